--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -8,4 +8,4 @@
 pub mod request;
 
 pub use process::{Limits, bind_udp, serve};
-pub use request::{Answer, Call, CallError, Handler, call};
+pub use request::{BufferedRequest, BufferedResponse, CallError, Handler, call};
--- a/crates/net/src/process/serve.rs
+++ b/crates/net/src/process/serve.rs
@@ -14,7 +14,7 @@
     time::{sleep, timeout},
 };
 
-use crate::request::{Answer, Call, Handler};
+use crate::request::{BufferedRequest, BufferedResponse, Handler};
 
 /// Bounds of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -51,10 +51,10 @@
             return;
         };
         match listener.accept().await {
-            Ok((stream, from)) => {
+            Ok((stream, client_address)) => {
                 let handler = handler.clone();
                 spawn_local(async move {
-                    connection(stream, from, handler, limits).await;
+                    serve_connection(stream, client_address, handler, limits).await;
                     drop(permit);
                 });
             }
@@ -66,12 +66,17 @@
     }
 }
 
-async fn connection<H: Handler>(stream: TcpStream, from: SocketAddr, handler: H, limits: Limits) {
+async fn serve_connection<H: Handler>(
+    stream: TcpStream,
+    client_address: SocketAddr,
+    handler: H,
+    limits: Limits,
+) {
     // Only a socket that is already closed refuses this.
     let _ = stream.set_nodelay(true);
     let service = service_fn(|req| {
         let handler = handler.clone();
-        async move { Ok::<_, Infallible>(response(req, from, &handler, limits).await) }
+        async move { Ok::<_, Infallible>(respond(req, client_address, &handler, limits).await) }
     });
     let served = http1::Builder::new()
         .timer(TokioTimer::new())
@@ -79,42 +84,43 @@
         .serve_connection(TokioIo::new(stream), service)
         .await;
     if let Err(e) = served {
-        log::debug!(event = "connection_failed", from:% = from, error:% = e; "a connection broke");
+        log::debug!(event = "connection_failed", from:% = client_address, error:% = e; "a connection broke");
     }
 }
 
-async fn response<H: Handler>(
+async fn respond<H: Handler>(
     req: Request<Incoming>,
-    from: SocketAddr,
+    client_address: SocketAddr,
     handler: &H,
     limits: Limits,
 ) -> Response<Full<Bytes>> {
-    let answer = async {
+    let buffered_response = async {
         let (head, body) = req.into_parts();
         let body = match Limited::new(body, limits.body).collect().await {
             Ok(body) => body.to_bytes(),
             Err(e) if e.is::<LengthLimitError>() => {
-                return Answer::empty(StatusCode::PAYLOAD_TOO_LARGE);
+                return BufferedResponse::empty(StatusCode::PAYLOAD_TOO_LARGE);
             }
-            Err(_) => return Answer::empty(StatusCode::BAD_REQUEST),
+            Err(_) => return BufferedResponse::empty(StatusCode::BAD_REQUEST),
         };
-        let call = Call {
+        let request = BufferedRequest {
             method: head.method,
             path: head.uri.path().to_owned(),
             body,
-            from,
+            client_address,
         };
-        handler.answer(call).await
+        handler.handle(request).await
     };
-    let answer = timeout(limits.request, answer).await;
-    let answer = answer.unwrap_or_else(|_| Answer::empty(StatusCode::SERVICE_UNAVAILABLE));
-    let mut response = Response::new(Full::new(answer.body));
-    *response.status_mut() = answer.status;
-    if !answer.content_type.is_empty() {
-        let value = header::HeaderValue::from_static(answer.content_type);
+    let buffered_response = timeout(limits.request, buffered_response).await;
+    let buffered_response = buffered_response
+        .unwrap_or_else(|_| BufferedResponse::empty(StatusCode::SERVICE_UNAVAILABLE));
+    let mut response = Response::new(Full::new(buffered_response.body));
+    *response.status_mut() = buffered_response.status;
+    if !buffered_response.content_type.is_empty() {
+        let value = header::HeaderValue::from_static(buffered_response.content_type);
         response.headers_mut().insert(header::CONTENT_TYPE, value);
     }
-    if let Ok(value) = header::HeaderValue::from_str(&answer.location)
+    if let Ok(value) = header::HeaderValue::from_str(&buffered_response.location)
         && !value.is_empty()
     {
         response.headers_mut().insert(header::LOCATION, value);
--- a/crates/net/src/request/message.rs
+++ b/crates/net/src/request/message.rs
@@ -7,20 +7,20 @@
 
 /// A request whose body has been read.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Call {
+pub struct BufferedRequest {
     /// The method.
     pub method: Method,
     /// The path, without a query.
     pub path: String,
     /// The body.
     pub body: Bytes,
-    /// Who sent the request.
-    pub from: SocketAddr,
+    /// Address from which the request was sent.
+    pub client_address: SocketAddr,
 }
 
 /// An answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Answer {
+pub struct BufferedResponse {
     /// The status.
     pub status: StatusCode,
     /// The type of the body; none without a body.
@@ -31,20 +31,20 @@
     pub body: Bytes,
 }
 
-impl Answer {
+impl BufferedResponse {
     /// Sends the caller to another place.
     #[must_use]
     pub fn redirect(location: String) -> Self {
-        Answer {
+        BufferedResponse {
             location,
-            ..Answer::empty(StatusCode::TEMPORARY_REDIRECT)
+            ..BufferedResponse::empty(StatusCode::TEMPORARY_REDIRECT)
         }
     }
 
     /// An answer without a body.
     #[must_use]
     pub fn empty(status: StatusCode) -> Self {
-        Answer {
+        BufferedResponse {
             status,
             content_type: "",
             location: String::new(),
@@ -55,7 +55,7 @@
     /// A successful answer with a body.
     #[must_use]
     pub fn ok(content_type: &'static str, body: impl Into<Bytes>) -> Self {
-        Answer {
+        BufferedResponse {
             status: StatusCode::OK,
             content_type,
             location: String::new(),
@@ -67,5 +67,5 @@
 /// Answers requests. A clone of it serves each connection.
 pub trait Handler: Clone + 'static {
     /// Answers a request.
-    fn answer(&self, call: Call) -> impl Future<Output = Answer>;
+    fn handle(&self, req: BufferedRequest) -> impl Future<Output = BufferedResponse>;
 }
--- a/crates/net/src/request/mod.rs
+++ b/crates/net/src/request/mod.rs
@@ -4,4 +4,4 @@
 mod message;
 
 pub use call::{CallError, call};
-pub use message::{Answer, Call, Handler};
+pub use message::{BufferedRequest, BufferedResponse, Handler};
--- a/crates/net/tests/http.rs
+++ b/crates/net/tests/http.rs
@@ -8,21 +8,21 @@
 use actix_rt::{System, spawn};
 use bytes::Bytes;
 use http::{Method, StatusCode};
-use net::{Answer, Call, CallError, Handler, Limits, call, serve};
+use net::{BufferedRequest, BufferedResponse, CallError, Handler, Limits, call, serve};
 use tokio::net::TcpListener;
 
 #[derive(Clone)]
 struct Echo;
 
 impl Handler for Echo {
-    async fn answer(&self, call: Call) -> Answer {
-        match call.path.as_str() {
-            "/echo" => Answer::ok("text/plain", call.body),
+    async fn handle(&self, req: BufferedRequest) -> BufferedResponse {
+        match req.path.as_str() {
+            "/echo" => BufferedResponse::ok("text/plain", req.body),
             "/slow" => {
                 actix_rt::time::sleep(Duration::from_secs(5)).await;
-                Answer::empty(StatusCode::OK)
+                BufferedResponse::empty(StatusCode::OK)
             }
-            _ => Answer::empty(StatusCode::NOT_FOUND),
+            _ => BufferedResponse::empty(StatusCode::NOT_FOUND),
         }
     }
 }
--- a/crates/replica/src/process/http.rs
+++ b/crates/replica/src/process/http.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use http::{Method, StatusCode};
-use net::{Answer, Call, Handler};
+use net::{BufferedRequest, BufferedResponse, Handler};
 use serde::Serialize;
 use tokio::sync::{mpsc, oneshot};
 use types::SetNumber;
@@ -32,65 +32,65 @@
 }
 
 impl Handler for Interface {
-    async fn answer(&self, call: Call) -> Answer {
-        match (&call.method, call.path.as_str()) {
-            (&Method::POST, CONSENSUS_PATH) => self.message(&call.body),
-            (&Method::POST, CHANGE_PATH) => self.change(&call.body).await,
+    async fn handle(&self, req: BufferedRequest) -> BufferedResponse {
+        match (&req.method, req.path.as_str()) {
+            (&Method::POST, CONSENSUS_PATH) => self.message(&req.body),
+            (&Method::POST, CHANGE_PATH) => self.change(&req.body).await,
             (&Method::POST, READ_PATH) => self.read().await,
-            (&Method::POST, DELTA_PATH) => self.delta(&call.body),
-            _ => Answer::empty(StatusCode::NOT_FOUND),
+            (&Method::POST, DELTA_PATH) => self.delta(&req.body),
+            _ => BufferedResponse::empty(StatusCode::NOT_FOUND),
         }
     }
 }
 
 impl Interface {
-    fn message(&self, body: &Bytes) -> Answer {
+    fn message(&self, body: &Bytes) -> BufferedResponse {
         let Ok(message) = wire::decode(body) else {
-            return Answer::empty(StatusCode::BAD_REQUEST);
+            return BufferedResponse::empty(StatusCode::BAD_REQUEST);
         };
         // A full queue loses the message; the consensus repeats it.
         let _ = self.group.try_send(GroupCommand::Message(message));
-        Answer::empty(StatusCode::NO_CONTENT)
+        BufferedResponse::empty(StatusCode::NO_CONTENT)
     }
 
-    async fn change(&self, body: &Bytes) -> Answer {
+    async fn change(&self, body: &Bytes) -> BufferedResponse {
         let Ok(req) = wire::decode(body) else {
-            return Answer::empty(StatusCode::BAD_REQUEST);
+            return BufferedResponse::empty(StatusCode::BAD_REQUEST);
         };
         let (tx, rx) = oneshot::channel();
         let command = GroupCommand::Change(Box::new(req), tx);
         if self.group.send(command).await.is_err() {
-            return Answer::empty(StatusCode::SERVICE_UNAVAILABLE);
+            return BufferedResponse::empty(StatusCode::SERVICE_UNAVAILABLE);
         }
         encoded(&rx.await.unwrap_or(ChangeReply::Unknown))
     }
 
-    async fn read(&self) -> Answer {
+    async fn read(&self) -> BufferedResponse {
         let (tx, rx) = oneshot::channel();
         if self.group.send(GroupCommand::Read(tx)).await.is_err() {
-            return Answer::empty(StatusCode::SERVICE_UNAVAILABLE);
+            return BufferedResponse::empty(StatusCode::SERVICE_UNAVAILABLE);
         }
         let none = QueryReply::NotLeader { leader: None };
         encoded(&rx.await.unwrap_or(none))
     }
 
-    fn delta(&self, body: &Bytes) -> Answer {
+    fn delta(&self, body: &Bytes) -> BufferedResponse {
         let Ok(have) = wire::decode::<SetNumber>(body) else {
-            return Answer::empty(StatusCode::BAD_REQUEST);
+            return BufferedResponse::empty(StatusCode::BAD_REQUEST);
         };
         match self.history.borrow().delta(have) {
             Some(delta) => encoded(&delta),
-            None => Answer::empty(StatusCode::NO_CONTENT),
+            None => BufferedResponse::empty(StatusCode::NO_CONTENT),
         }
     }
 }
 
-fn encoded<T: Serialize>(value: &T) -> Answer {
+fn encoded<T: Serialize>(value: &T) -> BufferedResponse {
     match wire::encode(value) {
-        Ok(body) => Answer::ok(CONTENT_TYPE, body),
+        Ok(body) => BufferedResponse::ok(CONTENT_TYPE, body),
         Err(e) => {
             log::error!(event = "unencodable_answer", error:% = e; "answer cannot be encoded");
-            Answer::empty(StatusCode::INTERNAL_SERVER_ERROR)
+            BufferedResponse::empty(StatusCode::INTERNAL_SERVER_ERROR)
         }
     }
 }
