--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,6 +1,6 @@
 //! Sockets and small HTTP servers and clients that several processes use alike.
 //!
-//! [`serve`] and [`call`] are for control traffic of processes that must stay
+//! [`serve`] and [`send_request`] are for control traffic of processes that must stay
 //! small: a connection for each call, so that a connection that has gone silent
 //! holds back nothing, and no thread of their own.
 
@@ -8,4 +8,4 @@
 pub mod request;
 
 pub use process::{Limits, bind_udp, serve};
-pub use request::{BufferedRequest, BufferedResponse, CallError, Handler, call};
+pub use request::{BufferedRequest, BufferedResponse, Handler, RequestError, send_request};
--- a/crates/net/src/request/mod.rs
+++ b/crates/net/src/request/mod.rs
@@ -1,7 +1,7 @@
 //! What lasts for one HTTP request.
 
-mod call;
 mod message;
+mod send;
 
-pub use call::{CallError, call};
 pub use message::{BufferedRequest, BufferedResponse, Handler};
+pub use send::{RequestError, send_request};
--- a/crates/net/src/request/call.rs
+++ b/crates/net/src/request/send.rs
@@ -11,7 +11,7 @@
 
 /// Why a call brought no answer.
 #[derive(Debug, thiserror::Error)]
-pub enum CallError {
+pub enum RequestError {
     /// The deadline has passed.
     #[error("no answer before the deadline")]
     Deadline,
@@ -35,18 +35,18 @@
 /// # Errors
 ///
 /// No whole answer came before the deadline.
-pub async fn call(
+pub async fn send_request(
     address: SocketAddr,
     method: Method,
     path: &str,
     body: Bytes,
     max_body: usize,
     deadline: Instant,
-) -> Result<(StatusCode, Bytes), CallError> {
+) -> Result<(StatusCode, Bytes), RequestError> {
     let exchange = exchange(address, method, path, body, max_body);
     timeout_at(deadline.into(), exchange)
         .await
-        .map_err(|_| CallError::Deadline)?
+        .map_err(|_| RequestError::Deadline)?
 }
 
 async fn exchange(
@@ -55,10 +55,10 @@
     path: &str,
     body: Bytes,
     max_body: usize,
-) -> Result<(StatusCode, Bytes), CallError> {
+) -> Result<(StatusCode, Bytes), RequestError> {
     let stream = TcpStream::connect(address).await;
-    let stream = stream.map_err(CallError::Connect)?;
-    stream.set_nodelay(true).map_err(CallError::Connect)?;
+    let stream = stream.map_err(RequestError::Connect)?;
+    stream.set_nodelay(true).map_err(RequestError::Connect)?;
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
     let req = Request::builder()
         .method(method)
@@ -69,7 +69,7 @@
         let response = sender.send_request(req).await?;
         let status = response.status();
         let body = Limited::new(response.into_body(), max_body).collect();
-        let body = body.await.map_err(CallError::Body)?;
+        let body = body.await.map_err(RequestError::Body)?;
         Ok((status, body.to_bytes()))
     };
     // Both run in this task, so that dropping the call closes the connection.
--- a/crates/net/tests/http.rs
+++ b/crates/net/tests/http.rs
@@ -8,7 +8,7 @@
 use actix_rt::{System, spawn};
 use bytes::Bytes;
 use http::{Method, StatusCode};
-use net::{BufferedRequest, BufferedResponse, CallError, Handler, Limits, call, serve};
+use net::{BufferedRequest, BufferedResponse, Handler, Limits, RequestError, send_request, serve};
 use tokio::net::TcpListener;
 
 #[derive(Clone)]
@@ -43,10 +43,10 @@
     address: SocketAddr,
     path: &str,
     len: usize,
-) -> Result<(StatusCode, Bytes), CallError> {
+) -> Result<(StatusCode, Bytes), RequestError> {
     let deadline = Instant::now() + Duration::from_secs(2);
     let body = Bytes::from(vec![7; len]);
-    call(address, Method::POST, path, body, 1000, deadline).await
+    send_request(address, Method::POST, path, body, 1000, deadline).await
 }
 
 /// Guards against bodies that are cut, and against too large ones that are taken.
@@ -80,8 +80,8 @@
         let address = listener.local_addr().unwrap();
         let start = Instant::now();
         let deadline = start + Duration::from_millis(100);
-        let answer = call(address, Method::GET, "/", Bytes::new(), 10, deadline).await;
-        assert!(matches!(answer, Err(CallError::Deadline)));
+        let answer = send_request(address, Method::GET, "/", Bytes::new(), 10, deadline).await;
+        assert!(matches!(answer, Err(RequestError::Deadline)));
         assert!(start.elapsed() < Duration::from_secs(2));
     });
 }
--- a/crates/relay/src/process/sync.rs
+++ b/crates/relay/src/process/sync.rs
@@ -346,7 +346,7 @@
 async fn fetch(host: SocketAddrV4, have: SetNumber) -> Option<RoutingDelta> {
     let body = Bytes::from(wire::encode(&have).ok()?);
     let deadline = Instant::now() + FETCH;
-    let called = net::call(
+    let response = net::send_request(
         host.into(),
         Method::POST,
         ROUTES_PATH,
@@ -354,7 +354,7 @@
         MAX_SET,
         deadline,
     );
-    let failed = match called.await {
+    let failed = match response.await {
         Ok((StatusCode::OK, body)) => match wire::decode(&body) {
             Ok(delta) => return Some(delta),
             Err(e) => e.to_string(),
--- a/crates/replica/src/process/replica.rs
+++ b/crates/replica/src/process/replica.rs
@@ -135,7 +135,7 @@
     deadline: Instant,
 ) -> Option<A> {
     let body = Bytes::from(wire::encode(question).ok()?);
-    let answer = net::call(member, Method::POST, path, body, MAX_ANSWER, deadline).await;
+    let answer = net::send_request(member, Method::POST, path, body, MAX_ANSWER, deadline).await;
     let failed = match answer {
         Ok((StatusCode::OK, body)) => match wire::decode(&body) {
             Ok(answer) => return Some(answer),
--- a/crates/replica/src/process/transport.rs
+++ b/crates/replica/src/process/transport.rs
@@ -81,7 +81,8 @@
     spawn(async move {
         let deadline = Instant::now() + SEND;
         let body = Bytes::from(message);
-        let sent = net::call(address, Method::POST, CONSENSUS_PATH, body, 1024, deadline).await;
+        let sent =
+            net::send_request(address, Method::POST, CONSENSUS_PATH, body, 1024, deadline).await;
         if let Err(e) = sent {
             log::debug!(event = "member_unreachable", member:% = address, error:% = e; "message lost");
         }
