--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -7,5 +7,5 @@
 pub mod process;
 pub mod request;
 
-pub use process::{Limits, bind_udp, serve};
+pub use process::{ServerLimits, bind_udp, serve};
 pub use request::{BufferedRequest, BufferedResponse, Handler, RequestError, send_request};
--- a/crates/net/src/process/mod.rs
+++ b/crates/net/src/process/mod.rs
@@ -3,5 +3,5 @@
 mod serve;
 mod udp;
 
-pub use serve::{Limits, serve};
+pub use serve::{ServerLimits, serve};
 pub use udp::bind_udp;
--- a/crates/net/src/process/serve.rs
+++ b/crates/net/src/process/serve.rs
@@ -18,24 +18,24 @@
 
 /// Bounds of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Limits {
+pub struct ServerLimits {
     /// Connections that are open at a time; others wait in the kernel's queue.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Bytes of a request's body.
-    pub body: usize,
+    pub max_body_bytes: usize,
     /// Time for the head of a request, also on a connection that is kept open.
-    pub head: Duration,
+    pub header_timeout: Duration,
     /// Time for a body to arrive and for the answer to be worked out.
-    pub request: Duration,
+    pub request_timeout: Duration,
 }
 
-impl Default for Limits {
+impl Default for ServerLimits {
     fn default() -> Self {
-        Limits {
-            connections: 128,
-            body: 4 << 20,
-            head: Duration::from_secs(15),
-            request: Duration::from_secs(10),
+        ServerLimits {
+            max_connections: 128,
+            max_body_bytes: 4 << 20,
+            header_timeout: Duration::from_secs(15),
+            request_timeout: Duration::from_secs(10),
         }
     }
 }
@@ -44,8 +44,8 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// Serves connections until the future is dropped. Must run on a local task set.
-pub async fn serve<H: Handler>(listener: TcpListener, handler: H, limits: Limits) {
-    let permits = Arc::new(Semaphore::new(limits.connections));
+pub async fn serve<H: Handler>(listener: TcpListener, handler: H, limits: ServerLimits) {
+    let permits = Arc::new(Semaphore::new(limits.max_connections));
     loop {
         let Ok(permit) = permits.clone().acquire_owned().await else {
             return;
@@ -70,7 +70,7 @@
     stream: TcpStream,
     client_address: SocketAddr,
     handler: H,
-    limits: Limits,
+    limits: ServerLimits,
 ) {
     // Only a socket that is already closed refuses this.
     let _ = stream.set_nodelay(true);
@@ -80,7 +80,7 @@
     });
     let served = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(limits.head)
+        .header_read_timeout(limits.header_timeout)
         .serve_connection(TokioIo::new(stream), service)
         .await;
     if let Err(e) = served {
@@ -92,11 +92,11 @@
     req: Request<Incoming>,
     client_address: SocketAddr,
     handler: &H,
-    limits: Limits,
+    limits: ServerLimits,
 ) -> Response<Full<Bytes>> {
     let buffered_response = async {
         let (head, body) = req.into_parts();
-        let body = match Limited::new(body, limits.body).collect().await {
+        let body = match Limited::new(body, limits.max_body_bytes).collect().await {
             Ok(body) => body.to_bytes(),
             Err(e) if e.is::<LengthLimitError>() => {
                 return BufferedResponse::empty(StatusCode::PAYLOAD_TOO_LARGE);
@@ -111,7 +111,7 @@
         };
         handler.handle(request).await
     };
-    let buffered_response = timeout(limits.request, buffered_response).await;
+    let buffered_response = timeout(limits.request_timeout, buffered_response).await;
     let buffered_response = buffered_response
         .unwrap_or_else(|_| BufferedResponse::empty(StatusCode::SERVICE_UNAVAILABLE));
     let mut response = Response::new(Full::new(buffered_response.body));
--- a/crates/net/tests/http.rs
+++ b/crates/net/tests/http.rs
@@ -8,7 +8,9 @@
 use actix_rt::{System, spawn};
 use bytes::Bytes;
 use http::{Method, StatusCode};
-use net::{BufferedRequest, BufferedResponse, Handler, Limits, RequestError, send_request, serve};
+use net::{
+    BufferedRequest, BufferedResponse, Handler, RequestError, ServerLimits, send_request, serve,
+};
 use tokio::net::TcpListener;
 
 #[derive(Clone)]
@@ -30,10 +32,10 @@
 async fn server() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let limits = Limits {
-        body: 1000,
-        request: Duration::from_millis(200),
-        ..Limits::default()
+    let limits = ServerLimits {
+        max_body_bytes: 1000,
+        request_timeout: Duration::from_millis(200),
+        ..ServerLimits::default()
     };
     spawn(serve(listener, Echo, limits));
     address
--- a/crates/replica/src/process/run.rs
+++ b/crates/replica/src/process/run.rs
@@ -3,7 +3,7 @@
 use std::{cell::RefCell, future::Future, net::Ipv4Addr, rc::Rc, time::Instant};
 
 use consensus::{Consensus, Identity};
-use net::Limits;
+use net::ServerLimits;
 use prometheus::Registry;
 use rand::Rng;
 use store::Dir;
@@ -104,7 +104,7 @@
         commands_tx.clone(),
     ));
     actix_rt::spawn(node_task.run());
-    actix_rt::spawn(net::serve(listener, interface, Limits::default()));
+    actix_rt::spawn(net::serve(listener, interface, ServerLimits::default()));
     let replica = Replica {
         group: commands_tx,
         metrics,
