--- a/crates/bench/src/bin/relay.rs
+++ b/crates/bench/src/bin/relay.rs
@@ -19,7 +19,7 @@
 use comfy_table::{Table, presets::ASCII_MARKDOWN};
 use flow::{Load, Segment, SteeringSettings};
 use prometheus::Registry;
-use relay::{Balancer, BalancerSettings, Codec, Message, Report, Update};
+use relay::{AgentReport, Balancer, BalancerSettings, Codec, ControlUpdate, Message};
 use tokio::sync::{mpsc, watch};
 use types::{Part, RoutingSet, Rule, ServiceName, SetNumber, Slots};
 
@@ -128,7 +128,7 @@
         rules: [(SERVICE.into(), rule)].into(),
         ..RoutingSet::default()
     };
-    let update = Update::Routes(routes.delta_from(None));
+    let update = ControlUpdate::Routes(routes.delta_from(None));
     updates.send(update).await.expect("the balancer listens");
     task.expect("a balancer").run().await;
 }
@@ -192,7 +192,7 @@
 
 /// Reports an agent to the balancer and opens the flows there.
 fn open_flows(sink: &UdpSocket, ingress: SocketAddrV4, peer: SocketAddrV4, flows: u32) {
-    let report = Message::Report(Report {
+    let report = Message::Report(AgentReport {
         run: 1,
         data_centre: "dc".parse().expect("a name"),
         service: service(),
--- a/crates/relay/src/connection/message.rs
+++ b/crates/relay/src/connection/message.rs
@@ -11,14 +11,14 @@
 /// Names the service that a datagram is for. An agent of another service, at an
 /// address that was used before, does not take it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Tag(pub u32);
+pub struct ServiceTag(pub u32);
 
-impl Tag {
+impl ServiceTag {
     /// The tag of a service.
     #[must_use]
     pub fn of(service: &ServiceName) -> Self {
         let hash = XxHash64::oneshot(0, service.as_str().as_bytes());
-        Tag(u32::try_from(hash >> 32).unwrap_or_default())
+        ServiceTag(u32::try_from(hash >> 32).unwrap_or_default())
     }
 }
 
@@ -28,7 +28,7 @@
     /// A datagram of a caller.
     Datagram {
         /// The service that it is for.
-        tag: Tag,
+        tag: ServiceTag,
         /// How it came here.
         origin: Origin,
         /// The balancer that took it from the caller.
@@ -46,7 +46,7 @@
     /// Asks an agent whether it holds a flow.
     Ask {
         /// The service that the flow belongs to.
-        tag: Tag,
+        tag: ServiceTag,
         /// The head of a datagram of the flow.
         head: Bytes,
     },
@@ -65,7 +65,7 @@
         service: ServiceName,
     },
     /// An agent tells its state.
-    Report(Report),
+    Report(AgentReport),
     /// An agent tells a balancer that has started, or that takes over from
     /// another one, which flows it holds.
     Holds {
@@ -78,7 +78,7 @@
 
 /// State of an agent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Report {
+pub struct AgentReport {
     /// Differs for each run of the agent.
     pub run: u64,
     /// Where it is.
@@ -93,7 +93,7 @@
     pub load: Load,
 }
 
-impl Report {
+impl AgentReport {
     /// The sender, as one that may take new flows.
     #[must_use]
     pub fn candidate(self, now: Instant) -> Candidate {
--- a/crates/relay/src/connection/mod.rs
+++ b/crates/relay/src/connection/mod.rs
@@ -4,4 +4,4 @@
 mod message;
 
 pub use codec::Codec;
-pub use message::{Message, Report, Tag};
+pub use message::{AgentReport, Message, ServiceTag};
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -3,7 +3,7 @@
 //! A [`Balancer`] takes callers' datagrams and hands them to agents; an
 //! [`Agent`] gives them to its upstream and sends the upstream's own to the
 //! callers. Each is one task that owns its sockets and its decisions (crate
-//! `flow`); a [`Sync`] task keeps it up to date by way of the control hosts.
+//! `flow`); a [`ControlSync`] task keeps it up to date by way of the control hosts.
 //! The protocol that the callers speak is a [`Codec`].
 //!
 //! ```text
@@ -16,9 +16,9 @@
 pub mod error;
 pub mod process;
 
-pub use connection::{Codec, Message, Report, Tag};
+pub use connection::{AgentReport, Codec, Message, ServiceTag};
 pub use error::{Error, Result};
 pub use process::{
-    Agent, AgentSettings, Announced, Balancer, BalancerSettings, Balancers, Egress, Handover,
-    Outgoing, Sync, SyncSettings, Update,
+    Agent, AgentSettings, Balancer, BalancerSettings, BalancerTable, ControlSync,
+    ControlSyncSettings, ControlUpdate, Egress, Handover, Outgoing, UpstreamUpdate,
 };
--- a/crates/relay/src/process/agent/mod.rs
+++ b/crates/relay/src/process/agent/mod.rs
@@ -18,8 +18,8 @@
 };
 use types::{DataCentre, ServiceName};
 
-use super::{Update, audience::Audience, balancers::Balancers, metrics::Metrics};
-use crate::{Codec, Error, Message, Result, Tag};
+use super::{ControlUpdate, audience::Audience, balancer_table::BalancerTable, metrics::Metrics};
+use crate::{Codec, Error, Message, Result, ServiceTag};
 
 /// Pause between two looks at what is to be reported and forgotten.
 const TICK: Duration = Duration::from_millis(50);
@@ -57,28 +57,28 @@
 
 /// What an agent is told of its upstream.
 #[derive(Debug)]
-pub struct Announced {
+pub struct UpstreamUpdate {
     /// The upstream; `None` once it has gone.
     pub upstream: Option<Upstream>,
     /// Told once it is in force.
-    pub done: oneshot::Sender<()>,
+    pub applied: oneshot::Sender<()>,
 }
 
 /// The task of an agent: it owns the sockets and the decisions.
 pub struct Agent<C> {
     cfg: AgentSettings,
-    tag: Tag,
+    tag: ServiceTag,
     codec: C,
     holder: Holder,
     /// The other agents of the service.
     pool: Pool,
     audience: Audience,
-    balancers: Balancers,
+    balancers: BalancerTable,
     outbound: UdpSocket,
     callers: UdpSocket,
     peers: UdpSocket,
-    updates: mpsc::Receiver<Update>,
-    announced: mpsc::Receiver<Announced>,
+    updates: mpsc::Receiver<ControlUpdate>,
+    upstream_updates: mpsc::Receiver<UpstreamUpdate>,
     stop: watch::Receiver<bool>,
     leaving: bool,
     /// Balancers that wait to hear whether a flow that was tried is held.
@@ -113,8 +113,8 @@
     pub fn new(
         cfg: AgentSettings,
         codec: C,
-        updates: mpsc::Receiver<Update>,
-        announced: mpsc::Receiver<Announced>,
+        updates: mpsc::Receiver<ControlUpdate>,
+        upstream_updates: mpsc::Receiver<UpstreamUpdate>,
         stop: watch::Receiver<bool>,
         registry: &Registry,
     ) -> Result<Self> {
@@ -124,18 +124,18 @@
         };
         let now = Instant::now();
         Ok(Agent {
-            tag: Tag::of(&cfg.service),
+            tag: ServiceTag::of(&cfg.service),
             codec,
             holder: Holder::new(cfg.holder, now),
             pool: Pool::default(),
             audience: Audience::new(now),
-            balancers: Balancers::default(),
+            balancers: BalancerTable::default(),
             outbound: bind(cfg.outbound)?,
             callers: bind(cfg.callers)?,
             peers: bind(cfg.peer_listen)?,
             cfg,
             updates,
-            announced,
+            upstream_updates,
             stop,
             leaving: false,
             tried_by: BTreeMap::new(),
@@ -163,11 +163,11 @@
                     }
                 }
                 update = self.updates.recv() => match update {
-                    Some(Update::Nodes(changes)) => self.nodes_changed(changes).await,
-                    Some(Update::Routes(_) | Update::Whole(_)) => {}
+                    Some(ControlUpdate::Nodes(changes)) => self.nodes_changed(changes).await,
+                    Some(ControlUpdate::Routes(_) | ControlUpdate::NodeListComplete(_)) => {}
                     None => return,
                 },
-                Some(announced) = self.announced.recv() => self.announced(announced).await,
+                Some(update) = self.upstream_updates.recv() => self.apply_upstream_update(update).await,
                 _ = self.stop.changed(), if !self.leaving => {
                     self.leaving = true;
                     self.report(Instant::now()).await;
@@ -182,23 +182,23 @@
         }
     }
 
-    async fn announced(&mut self, announced: Announced) {
+    async fn apply_upstream_update(&mut self, update: UpstreamUpdate) {
         let now = Instant::now();
         let before = self.holder.upstream().copied();
-        self.holder.set_upstream(announced.upstream, now);
+        self.holder.set_upstream(update.upstream, now);
         let state = |upstream: Option<Upstream>| upstream.map(|u| (u.incarnation, u.accepting));
-        if state(before) != state(announced.upstream) {
+        if state(before) != state(update.upstream) {
             log::info!(
                 event = "upstream",
-                incarnation = announced.upstream.and_then(|u| u.incarnation).unwrap_or(0),
-                accepting = u64::from(announced.upstream.is_some_and(|u| u.accepting)),
-                slots = announced.upstream.map_or(0, |u| u.slots.0);
+                incarnation = update.upstream.and_then(|u| u.incarnation).unwrap_or(0),
+                accepting = u64::from(update.upstream.is_some_and(|u| u.accepting)),
+                slots = update.upstream.map_or(0, |u| u.slots.0);
                 "state of the upstream changed"
             );
             self.report(now).await;
         }
         // Whoever announced it may be gone.
-        let _ = announced.done.send(());
+        let _ = update.applied.send(());
     }
 
     fn accepts(&self, now: Instant) -> bool {
@@ -257,7 +257,7 @@
         }
     }
 
-    async fn asked(&mut self, tag: Tag, head: &[u8], from: SocketAddrV4, now: Instant) {
+    async fn asked(&mut self, tag: ServiceTag, head: &[u8], from: SocketAddrV4, now: Instant) {
         let Some(seg) = self.codec.parse(head) else {
             return;
         };
--- a/crates/relay/src/process/agent/neighbours.rs
+++ b/crates/relay/src/process/agent/neighbours.rs
@@ -7,7 +7,7 @@
 use types::UpstreamId;
 
 use super::Agent;
-use crate::{Codec, Handover, Message, Report};
+use crate::{AgentReport, Codec, Handover, Message};
 
 /// Pause between two rounds of forgetting what is over.
 const EXPIRE: Duration = Duration::from_secs(1);
@@ -29,7 +29,7 @@
             return;
         }
         self.metrics.busy.set(i64::from(load.busy));
-        let report = Message::Report(Report {
+        let report = Message::Report(AgentReport {
             run: self.cfg.run,
             data_centre: self.cfg.data_centre.clone(),
             service: self.cfg.service.clone(),
--- a/crates/relay/src/process/balancer.rs
+++ b/crates/relay/src/process/balancer.rs
@@ -19,8 +19,8 @@
 };
 use types::{BytesPerSecond, DataCentre, ServiceName, Slots, UpstreamId};
 
-use super::{Egress, Update, metrics::Metrics};
-use crate::{Codec, Error, Message, Report, Result, Tag};
+use super::{ControlUpdate, Egress, metrics::Metrics};
+use crate::{AgentReport, Codec, Error, Message, Result, ServiceTag};
 
 /// Pause between two rounds of forgetting what is over.
 const EXPIRE: Duration = Duration::from_millis(250);
@@ -69,7 +69,7 @@
     ingress: UdpSocket,
     peers: UdpSocket,
     egress: Egress,
-    updates: mpsc::Receiver<Update>,
+    updates: mpsc::Receiver<ControlUpdate>,
     /// Whether new flows can be placed.
     ready: watch::Sender<bool>,
     /// Agents that the directory lists.
@@ -87,7 +87,7 @@
     pub fn new(
         cfg: BalancerSettings,
         codec: C,
-        updates: mpsc::Receiver<Update>,
+        updates: mpsc::Receiver<ControlUpdate>,
         ready: watch::Sender<bool>,
         registry: &Registry,
     ) -> Result<Self> {
@@ -207,7 +207,7 @@
     async fn ask(&mut self, payload: &Bytes, agents: Vec<(SocketAddrV4, ServiceName)>) {
         let head = Bytes::copy_from_slice(self.codec.head(payload));
         for (agent, service) in agents {
-            let tag = Tag::of(&service);
+            let tag = ServiceTag::of(&service);
             let head = head.clone();
             self.tell(agent, &Message::Ask { tag, head }).await;
         }
@@ -237,7 +237,7 @@
     ) {
         self.metrics.sent.with_label_values(&["agent"]).inc();
         let message = Message::Datagram {
-            tag: Tag::of(service),
+            tag: ServiceTag::of(service),
             origin,
             via: self.cfg.peer,
             declined: Vec::new(),
@@ -333,7 +333,7 @@
         }
     }
 
-    fn report(&mut self, from: SocketAddrV4, report: &Report, now: Instant) {
+    fn report(&mut self, from: SocketAddrV4, report: &AgentReport, now: Instant) {
         let candidate = report.clone().candidate(now);
         let pool = self.steering.pool(&report.service);
         let known = pool.get(from).map(|known| (known.id, known.accepting));
@@ -348,11 +348,11 @@
         self.note_ready();
     }
 
-    fn update(&mut self, update: Update) {
+    fn update(&mut self, update: ControlUpdate) {
         match update {
-            Update::Nodes(changes) => self.nodes_changed(changes, Instant::now()),
-            Update::Whole(until) => self.steering.set_whole(until),
-            Update::Routes(delta) => {
+            ControlUpdate::Nodes(changes) => self.nodes_changed(changes, Instant::now()),
+            ControlUpdate::NodeListComplete(until) => self.steering.set_whole(until),
+            ControlUpdate::Routes(delta) => {
                 let (number, changed) = (delta.number, delta.changed.len());
                 let advanced = self.steering.routes_mut().advance(delta);
                 log::info!(
--- a/crates/relay/src/process/balancers.rs
+++ b/crates/relay/src/process/balancer_table.rs
@@ -14,7 +14,7 @@
 
 /// The balancers that an agent knows.
 #[derive(Debug, Default)]
-pub struct Balancers {
+pub struct BalancerTable {
     known: BTreeMap<SocketAddrV4, Known>,
 }
 
@@ -34,7 +34,7 @@
     pub to: Vec<SocketAddrV4>,
 }
 
-impl Balancers {
+impl BalancerTable {
     /// Notes changes of the directory and returns what follows for flows.
     pub fn handovers(&mut self, changes: &Changes) -> Vec<Handover> {
         let mut handovers = Vec::new();
--- a/crates/relay/src/process/mod.rs
+++ b/crates/relay/src/process/mod.rs
@@ -3,13 +3,13 @@
 mod agent;
 mod audience;
 mod balancer;
-mod balancers;
+mod balancer_table;
 mod egress;
 mod metrics;
 mod sync;
 
-pub use agent::{Agent, AgentSettings, Announced};
+pub use agent::{Agent, AgentSettings, UpstreamUpdate};
 pub use balancer::{Balancer, BalancerSettings};
-pub use balancers::{Balancers, Handover};
+pub use balancer_table::{BalancerTable, Handover};
 pub use egress::{Egress, Outgoing};
-pub use sync::{Sync, SyncSettings, Update};
+pub use sync::{ControlSync, ControlSyncSettings, ControlUpdate};
--- a/crates/relay/src/process/sync.rs
+++ b/crates/relay/src/process/sync.rs
@@ -55,18 +55,18 @@
 
 /// What a node learns from the control hosts.
 #[derive(Debug)]
-pub enum Update {
+pub enum ControlUpdate {
     /// Nodes that have come, changed or gone.
     Nodes(Changes),
     /// A newer routing set.
     Routes(RoutingDelta),
     /// All processes are listed, until then.
-    Whole(Instant),
+    NodeListComplete(Instant),
 }
 
-/// Settings of a [`Sync`] task.
+/// Settings of a [`ControlSync`] task.
 #[derive(Debug, Clone)]
-pub struct SyncSettings {
+pub struct ControlSyncSettings {
     /// What the node says of itself.
     pub node: Node,
     /// Local address of the task's socket.
@@ -84,8 +84,8 @@
 }
 
 /// The task that keeps a node up to date by way of the control hosts.
-pub struct Sync {
-    cfg: SyncSettings,
+pub struct ControlSync {
+    cfg: ControlSyncSettings,
     socket: UdpSocket,
     view: View,
     /// The control host in use.
@@ -105,26 +105,26 @@
     fetch_tx: mpsc::Sender<Option<RoutingDelta>>,
     fetch_rx: mpsc::Receiver<Option<RoutingDelta>>,
     fetching: bool,
-    updates: mpsc::Sender<Update>,
+    updates: mpsc::Sender<ControlUpdate>,
     stop: watch::Receiver<bool>,
 }
 
-impl Sync {
+impl ControlSync {
     /// Opens the socket of the task.
     ///
     /// # Errors
     ///
     /// The socket cannot be opened.
     pub fn new(
-        cfg: SyncSettings,
-        updates: mpsc::Sender<Update>,
+        cfg: ControlSyncSettings,
+        updates: mpsc::Sender<ControlUpdate>,
         stop: watch::Receiver<bool>,
     ) -> Result<Self> {
         let listen = SocketAddr::V4(cfg.listen);
         let socket = net::bind_udp(listen).map_err(|e| Error::Bind(listen, e))?;
         let (fetch_tx, fetch_rx) = mpsc::channel(1);
         let now = Instant::now();
-        Ok(Sync {
+        Ok(ControlSync {
             // Nodes that start together do not all ask the same host first.
             next_host: usize::from(rand::random::<u8>()),
             cfg,
@@ -261,7 +261,10 @@
         // News of the list may have been lost on its way here.
         if reply.whole && self.view.mark() == reply.mark {
             // The receiver ends only with the process.
-            let _ = self.updates.send(Update::Whole(now + WHOLE)).await;
+            let _ = self
+                .updates
+                .send(ControlUpdate::NodeListComplete(now + WHOLE))
+                .await;
         }
         self.prefer_current(now);
         if self.cfg.routes && reply.routes > self.have && !self.fetching {
@@ -331,14 +334,14 @@
         }
         self.have = delta.number;
         // The receiver ends only with the process.
-        let _ = self.updates.send(Update::Routes(delta)).await;
+        let _ = self.updates.send(ControlUpdate::Routes(delta)).await;
         self.hello_at = Instant::now();
     }
 
     async fn tell(&mut self, changes: Changes) {
         if changes != Changes::default() {
             // The receiver ends only with the process.
-            let _ = self.updates.send(Update::Nodes(changes)).await;
+            let _ = self.updates.send(ControlUpdate::Nodes(changes)).await;
         }
     }
 }
--- a/crates/relay/tests/handover.rs
+++ b/crates/relay/tests/handover.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddrV4;
 
 use directory::{Changes, Node};
-use relay::{Balancers, Handover};
+use relay::{BalancerTable, Handover};
 
 fn balancer(n: u8, run: u64, data_centre: &str, leaving: bool) -> Node {
     Node {
@@ -26,8 +26,8 @@
 }
 
 /// Three balancers, the last one in another data centre.
-fn three() -> Balancers {
-    let mut balancers = Balancers::default();
+fn three() -> BalancerTable {
+    let mut balancers = BalancerTable::default();
     let nodes = vec![
         balancer(1, 1, "a", false),
         balancer(2, 1, "a", false),
