--- a/crates/bench/src/bin/relay.rs
+++ b/crates/bench/src/bin/relay.rs
@@ -111,12 +111,12 @@
     let (updates, received) = mpsc::channel(4);
     let (ready, _readiness) = watch::channel(false);
     let settings = BalancerSettings {
-        ingress,
-        peer,
-        peer_listen: peer,
+        ingress_address: ingress,
+        peer_address: peer,
+        peer_listen_address: peer,
         caller_port: 9,
         data_centre: "dc".parse().expect("a name"),
-        link: None,
+        link_rate: None,
         steering: SteeringSettings::default(),
     };
     let task = Balancer::new(settings, Numbered, received, ready, &Registry::new());
--- a/crates/relay/src/process/agent/mod.rs
+++ b/crates/relay/src/process/agent/mod.rs
@@ -36,15 +36,15 @@
     /// Differs for each run of the agent.
     pub run: u64,
     /// Where the upstream sends its datagrams.
-    pub outbound: SocketAddrV4,
+    pub outbound_address: SocketAddrV4,
     /// Where datagrams are sent to callers from.
-    pub callers: SocketAddrV4,
+    pub caller_source_address: SocketAddrV4,
     /// Where balancers and other agents reach the agent.
-    pub peer: SocketAddrV4,
+    pub peer_address: SocketAddrV4,
     /// Local address for it.
-    pub peer_listen: SocketAddrV4,
+    pub peer_listen_address: SocketAddrV4,
     /// Where the upstream takes datagrams.
-    pub upstream: SocketAddrV4,
+    pub upstream_address: SocketAddrV4,
     /// Port of callers.
     pub caller_port: u16,
     /// The upstream's service.
@@ -130,9 +130,9 @@
             pool: Pool::default(),
             audience: Audience::new(now),
             balancers: BalancerTable::default(),
-            outbound: bind(cfg.outbound)?,
-            callers: bind(cfg.callers)?,
-            peers: bind(cfg.peer_listen)?,
+            outbound: bind(cfg.outbound_address)?,
+            callers: bind(cfg.caller_source_address)?,
+            peers: bind(cfg.peer_listen_address)?,
             cfg,
             updates,
             upstream_updates,
@@ -324,7 +324,7 @@
         // A datagram may be lost anyway.
         let _ = self
             .outbound
-            .send_to(&arrival.payload, self.cfg.upstream)
+            .send_to(&arrival.payload, self.cfg.upstream_address)
             .await;
     }
 
@@ -333,7 +333,7 @@
     async fn pass_on(&mut self, seg: &Segment, arrival: Arrival, now: Instant) {
         let key = seg.key_from_caller();
         let mut declined = arrival.declined.clone();
-        declined.push(self.cfg.peer);
+        declined.push(self.cfg.peer_address);
         let full = self.accepts(now);
         let willing =
             declined.len() <= MAX_DECLINED && (!full || self.pool.has_free(&declined, now));
@@ -405,9 +405,10 @@
                 let key = seg.key_from_caller();
                 self.codec.clear_bounce(datagram);
                 let opening = self.openings.remove(&key);
-                let (via, declined) = opening.map_or((self.cfg.peer, Vec::new()), |opening| {
-                    (opening.via, opening.declined)
-                });
+                let (via, declined) = opening
+                    .map_or((self.cfg.peer_address, Vec::new()), |opening| {
+                        (opening.via, opening.declined)
+                    });
                 let arrival = Arrival {
                     origin: Origin::Placed,
                     via,
@@ -434,7 +435,7 @@
     /// is refused: the upstream would return it again.
     async fn bounced_opening(&mut self, seg: &Segment, arrival: Arrival, now: Instant) {
         let mut declined = arrival.declined.clone();
-        declined.push(self.cfg.peer);
+        declined.push(self.cfg.peer_address);
         let (near, hash) = (&self.cfg.data_centre, seg.key_from_caller().hash());
         let peer = if declined.len() <= MAX_DECLINED {
             self.pool.place(near, hash, &declined, now)
--- a/crates/relay/src/process/agent/neighbours.rs
+++ b/crates/relay/src/process/agent/neighbours.rs
@@ -57,7 +57,7 @@
                 Part::Agent(service) => *service == self.cfg.service,
                 Part::Control { .. } | Part::Observer => false,
             };
-            if !listens || node.address == self.cfg.peer {
+            if !listens || node.address == self.cfg.peer_address {
                 continue;
             }
             let near = node.data_centre == self.cfg.data_centre;
--- a/crates/relay/src/process/balancer.rs
+++ b/crates/relay/src/process/balancer.rs
@@ -46,17 +46,17 @@
 #[derive(Debug, Clone)]
 pub struct BalancerSettings {
     /// Where callers' datagrams arrive.
-    pub ingress: SocketAddrV4,
+    pub ingress_address: SocketAddrV4,
     /// Where agents reach the balancer.
-    pub peer: SocketAddrV4,
+    pub peer_address: SocketAddrV4,
     /// Local address for it.
-    pub peer_listen: SocketAddrV4,
+    pub peer_listen_address: SocketAddrV4,
     /// Port of callers.
     pub caller_port: u16,
     /// Where the balancer is.
     pub data_centre: DataCentre,
     /// Rate of the host's link; `None` if it needs no care.
-    pub link: Option<BytesPerSecond>,
+    pub link_rate: Option<BytesPerSecond>,
     /// Times and bounds of its decisions.
     pub steering: SteeringSettings,
 }
@@ -96,15 +96,15 @@
             net::bind_udp(address).map_err(|e| Error::Bind(address, e))
         };
         let steering = SteeringSettings {
-            questions: cfg.link.map_or(cfg.steering.questions, |link| {
+            questions: cfg.link_rate.map_or(cfg.steering.questions, |link| {
                 questions(link).min(cfg.steering.questions)
             }),
             ..cfg.steering
         };
         Ok(Balancer {
-            ingress: bind(cfg.ingress)?,
-            peers: bind(cfg.peer_listen)?,
-            egress: Egress::new(cfg.link, Instant::now()),
+            ingress: bind(cfg.ingress_address)?,
+            peers: bind(cfg.peer_listen_address)?,
+            egress: Egress::new(cfg.link_rate, Instant::now()),
             steering: Steering::new(steering, cfg.data_centre.clone()),
             cfg,
             codec,
@@ -239,7 +239,7 @@
         let message = Message::Datagram {
             tag: ServiceTag::of(service),
             origin,
-            via: self.cfg.peer,
+            via: self.cfg.peer_address,
             declined: Vec::new(),
             payload,
         };
--- a/crates/relay/src/process/sync.rs
+++ b/crates/relay/src/process/sync.rs
@@ -70,7 +70,7 @@
     /// What the node says of itself.
     pub node: Node,
     /// Local address of the task's socket.
-    pub listen: SocketAddrV4,
+    pub listen_address: SocketAddrV4,
     /// Where control hosts reach it.
     pub reply_to: SocketAddrV4,
     /// Hosts where control hosts may be found; they may change.
@@ -80,7 +80,7 @@
     /// TCP port of control hosts for calls.
     pub member_port: u16,
     /// Whether the node needs the routing set.
-    pub routes: bool,
+    pub needs_routing_set: bool,
 }
 
 /// The task that keeps a node up to date by way of the control hosts.
@@ -120,7 +120,7 @@
         updates: mpsc::Sender<ControlUpdate>,
         stop: watch::Receiver<bool>,
     ) -> Result<Self> {
-        let listen = SocketAddr::V4(cfg.listen);
+        let listen = SocketAddr::V4(cfg.listen_address);
         let socket = net::bind_udp(listen).map_err(|e| Error::Bind(listen, e))?;
         let (fetch_tx, fetch_rx) = mpsc::channel(1);
         let now = Instant::now();
@@ -267,7 +267,7 @@
                 .await;
         }
         self.prefer_current(now);
-        if self.cfg.routes && reply.routes > self.have && !self.fetching {
+        if self.cfg.needs_routing_set && reply.routes > self.have && !self.fetching {
             self.fetch(from);
         }
     }
