--- a/crates/net/tests/http.rs
+++ b/crates/net/tests/http.rs
@@ -8,21 +8,23 @@
 use actix_rt::{System, spawn};
 use bytes::Bytes;
 use http::{Method, StatusCode};
-use net::{Answer, Call, CallError, Handler, Limits, call, serve};
+use net::{
+    BufferedRequest, BufferedResponse, Handler, RequestError, ServerLimits, send_request, serve,
+};
 use tokio::net::TcpListener;
 
 #[derive(Clone)]
 struct Echo;
 
 impl Handler for Echo {
-    async fn answer(&self, call: Call) -> Answer {
-        match call.path.as_str() {
-            "/echo" => Answer::ok("text/plain", call.body),
+    async fn handle(&self, req: BufferedRequest) -> BufferedResponse {
+        match req.path.as_str() {
+            "/echo" => BufferedResponse::ok("text/plain", req.body),
             "/slow" => {
                 actix_rt::time::sleep(Duration::from_secs(5)).await;
-                Answer::empty(StatusCode::OK)
+                BufferedResponse::empty(StatusCode::OK)
             }
-            _ => Answer::empty(StatusCode::NOT_FOUND),
+            _ => BufferedResponse::empty(StatusCode::NOT_FOUND),
         }
     }
 }
@@ -30,10 +32,10 @@
 async fn server() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let limits = Limits {
-        body: 1000,
-        request: Duration::from_millis(200),
-        ..Limits::default()
+    let limits = ServerLimits {
+        max_body_bytes: 1000,
+        request_timeout: Duration::from_millis(200),
+        ..ServerLimits::default()
     };
     spawn(serve(listener, Echo, limits));
     address
@@ -43,10 +45,10 @@
     address: SocketAddr,
     path: &str,
     len: usize,
-) -> Result<(StatusCode, Bytes), CallError> {
+) -> Result<(StatusCode, Bytes), RequestError> {
     let deadline = Instant::now() + Duration::from_secs(2);
     let body = Bytes::from(vec![7; len]);
-    call(address, Method::POST, path, body, 1000, deadline).await
+    send_request(address, Method::POST, path, body, 1000, deadline).await
 }
 
 /// Guards against bodies that are cut, and against too large ones that are taken.
@@ -80,8 +82,8 @@
         let address = listener.local_addr().unwrap();
         let start = Instant::now();
         let deadline = start + Duration::from_millis(100);
-        let answer = call(address, Method::GET, "/", Bytes::new(), 10, deadline).await;
-        assert!(matches!(answer, Err(CallError::Deadline)));
+        let answer = send_request(address, Method::GET, "/", Bytes::new(), 10, deadline).await;
+        assert!(matches!(answer, Err(RequestError::Deadline)));
         assert!(start.elapsed() < Duration::from_secs(2));
     });
 }
--- a/crates/relay/src/process/balancer.rs
+++ b/crates/relay/src/process/balancer.rs
@@ -19,8 +19,8 @@
 };
 use types::{BytesPerSecond, DataCentre, ServiceName, Slots, UpstreamId};
 
-use super::{Egress, Update, metrics::Metrics};
-use crate::{Codec, Error, Message, Report, Result, Tag};
+use super::{ControlUpdate, Egress, metrics::Metrics};
+use crate::{AgentReport, Codec, Error, Message, Result, ServiceTag};
 
 /// Pause between two rounds of forgetting what is over.
 const EXPIRE: Duration = Duration::from_millis(250);
@@ -46,17 +46,17 @@
 #[derive(Debug, Clone)]
 pub struct BalancerSettings {
     /// Where callers' datagrams arrive.
-    pub ingress: SocketAddrV4,
+    pub ingress_address: SocketAddrV4,
     /// Where agents reach the balancer.
-    pub peer: SocketAddrV4,
+    pub peer_address: SocketAddrV4,
     /// Local address for it.
-    pub peer_listen: SocketAddrV4,
+    pub peer_listen_address: SocketAddrV4,
     /// Port of callers.
     pub caller_port: u16,
     /// Where the balancer is.
     pub data_centre: DataCentre,
     /// Rate of the host's link; `None` if it needs no care.
-    pub link: Option<BytesPerSecond>,
+    pub link_rate: Option<BytesPerSecond>,
     /// Times and bounds of its decisions.
     pub steering: SteeringSettings,
 }
@@ -69,7 +69,7 @@
     ingress: UdpSocket,
     peers: UdpSocket,
     egress: Egress,
-    updates: mpsc::Receiver<Update>,
+    updates: mpsc::Receiver<ControlUpdate>,
     /// Whether new flows can be placed.
     ready: watch::Sender<bool>,
     /// Agents that the directory lists.
@@ -87,7 +87,7 @@
     pub fn new(
         cfg: BalancerSettings,
         codec: C,
-        updates: mpsc::Receiver<Update>,
+        updates: mpsc::Receiver<ControlUpdate>,
         ready: watch::Sender<bool>,
         registry: &Registry,
     ) -> Result<Self> {
@@ -96,15 +96,15 @@
             net::bind_udp(address).map_err(|e| Error::Bind(address, e))
         };
         let steering = SteeringSettings {
-            questions: cfg.link.map_or(cfg.steering.questions, |link| {
+            questions: cfg.link_rate.map_or(cfg.steering.questions, |link| {
                 questions(link).min(cfg.steering.questions)
             }),
             ..cfg.steering
         };
         Ok(Balancer {
-            ingress: bind(cfg.ingress)?,
-            peers: bind(cfg.peer_listen)?,
-            egress: Egress::new(cfg.link, Instant::now()),
+            ingress: bind(cfg.ingress_address)?,
+            peers: bind(cfg.peer_listen_address)?,
+            egress: Egress::new(cfg.link_rate, Instant::now()),
             steering: Steering::new(steering, cfg.data_centre.clone()),
             cfg,
             codec,
@@ -207,7 +207,7 @@
     async fn ask(&mut self, payload: &Bytes, agents: Vec<(SocketAddrV4, ServiceName)>) {
         let head = Bytes::copy_from_slice(self.codec.head(payload));
         for (agent, service) in agents {
-            let tag = Tag::of(&service);
+            let tag = ServiceTag::of(&service);
             let head = head.clone();
             self.tell(agent, &Message::Ask { tag, head }).await;
         }
@@ -237,9 +237,9 @@
     ) {
         self.metrics.sent.with_label_values(&["agent"]).inc();
         let message = Message::Datagram {
-            tag: Tag::of(service),
+            tag: ServiceTag::of(service),
             origin,
-            via: self.cfg.peer,
+            via: self.cfg.peer_address,
             declined: Vec::new(),
             payload,
         };
@@ -333,7 +333,7 @@
         }
     }
 
-    fn report(&mut self, from: SocketAddrV4, report: &Report, now: Instant) {
+    fn report(&mut self, from: SocketAddrV4, report: &AgentReport, now: Instant) {
         let candidate = report.clone().candidate(now);
         let pool = self.steering.pool(&report.service);
         let known = pool.get(from).map(|known| (known.id, known.accepting));
@@ -348,11 +348,11 @@
         self.note_ready();
     }
 
-    fn update(&mut self, update: Update) {
+    fn update(&mut self, update: ControlUpdate) {
         match update {
-            Update::Nodes(changes) => self.nodes_changed(changes, Instant::now()),
-            Update::Whole(until) => self.steering.set_whole(until),
-            Update::Routes(delta) => {
+            ControlUpdate::Nodes(changes) => self.nodes_changed(changes, Instant::now()),
+            ControlUpdate::NodeListComplete(until) => self.steering.set_whole(until),
+            ControlUpdate::Routes(delta) => {
                 let (number, changed) = (delta.number, delta.changed.len());
                 let advanced = self.steering.routes_mut().advance(delta);
                 log::info!(
