--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -19,4 +19,4 @@
 pub mod version;
 
 pub use error::{Error, Result};
-pub use process::{Identity, Settings, run};
+pub use process::{ServiceCertificate, Settings, run};
--- a/crates/agent/src/process/identity.rs
+++ b/crates/agent/src/process/certificate.rs
@@ -11,14 +11,14 @@
 
 /// Certificate chain and private key of a service.
 #[derive(Debug)]
-pub struct Identity {
+pub struct ServiceCertificate {
     /// The chain, the end entity's certificate first.
     pub chain: Vec<CertificateDer<'static>>,
     /// Key of the first certificate.
     pub key: PrivateKeyDer<'static>,
 }
 
-impl Identity {
+impl ServiceCertificate {
     /// Makes a self-signed certificate for the given names.
     ///
     /// # Errors
@@ -27,7 +27,7 @@
     pub fn self_signed(names: Vec<String>) -> Result<Self> {
         let made = rcgen::generate_simple_self_signed(names)?;
         let key = PrivateKeyDer::try_from(made.signing_key.serialize_der()).map_err(Error::Key)?;
-        Ok(Identity {
+        Ok(ServiceCertificate {
             chain: vec![made.cert.der().clone()],
             key,
         })
--- a/crates/agent/src/process/endpoint.rs
+++ b/crates/agent/src/process/endpoint.rs
@@ -10,7 +10,7 @@
 use tokio::sync::watch;
 use types::UpstreamId;
 
-use super::{Identity, port::Port};
+use super::{ServiceCertificate, port::Port};
 use crate::{
     Error, Result,
     connection::{CidGenerator, CidSource},
@@ -57,7 +57,7 @@
 
 /// Opens the endpoint on a port towards the datagram task.
 pub(super) fn open_endpoint(
-    identity: Identity,
+    certificate: ServiceCertificate,
     own: UpstreamId,
     cids: watch::Receiver<CidSource>,
     port: Port,
@@ -70,7 +70,7 @@
         .keep_alive_interval(Some(KEEP_ALIVE))
         .max_concurrent_bidi_streams(VarInt::from_u32(MAX_STREAMS))
         .mtu_discovery_config(Some(mtu));
-    let mut server = ServerConfig::with_crypto(Arc::new(identity.into_crypto()?));
+    let mut server = ServerConfig::with_crypto(Arc::new(certificate.into_crypto()?));
     server
         .transport_config(Arc::new(transport))
         .max_incoming(MAX_INCOMING)
--- a/crates/agent/src/process/mod.rs
+++ b/crates/agent/src/process/mod.rs
@@ -2,10 +2,10 @@
 
 mod admission;
 mod balancers;
+mod certificate;
 mod commands;
 mod datagram;
 mod endpoint;
-mod identity;
 mod keys;
 mod load;
 mod metrics;
@@ -18,8 +18,8 @@
 mod settings;
 
 pub use balancers::{Balancers, Choice, Heard, Known};
+pub use certificate::ServiceCertificate;
 pub use commands::{AdmissionCommand, AdmissionHandle, Grant};
-pub use identity::Identity;
 pub use keys::{Asked, KeysCommand, KeysHandle};
 pub use metrics::Metrics;
 pub use openers::Openers;
--- a/crates/agent/src/process/run.rs
+++ b/crates/agent/src/process/run.rs
@@ -21,7 +21,7 @@
 use wire::Subset;
 
 use super::{
-    AdmissionHandle, Choice, Heard, Identity, KeysHandle, Metrics, Settings,
+    AdmissionHandle, Choice, Heard, KeysHandle, Metrics, ServiceCertificate, Settings,
     admission::AdmissionTask,
     datagram::DatagramTask,
     endpoint::{first_cid_source, open_endpoint},
@@ -54,11 +54,11 @@
 /// A socket cannot be opened, or the certificate cannot be used.
 pub async fn run(
     cfg: Settings,
-    identity: Identity,
+    certificate: ServiceCertificate,
     registry: &Registry,
     stop: watch::Receiver<bool>,
 ) -> Result<()> {
-    run_with::<Heard>(cfg, identity, registry, stop).await
+    run_with::<Heard>(cfg, certificate, registry, stop).await
 }
 
 /// Runs an agent as [`run`] does, with another choice of balancers.
@@ -68,12 +68,12 @@
 /// A socket cannot be opened, or the certificate cannot be used.
 pub async fn run_with<C: Choice + 'static>(
     cfg: Settings,
-    identity: Identity,
+    certificate: ServiceCertificate,
     registry: &Registry,
     stop: watch::Receiver<bool>,
 ) -> Result<()> {
     let (started, serving) = start::<C>(&cfg, registry, stop.clone())?;
-    let result = serving.run(&cfg, identity, &started.peers, stop).await;
+    let result = serving.run(&cfg, certificate, &started.peers, stop).await;
     actix_rt::time::sleep(FAREWELL).await;
     // A graceful stop that is under way would hold this one up until requests
     // of peers have ended, which may be after the end of the stay.
@@ -194,7 +194,7 @@
     async fn run(
         self,
         cfg: &Settings,
-        identity: Identity,
+        certificate: ServiceCertificate,
         peers: &ServerHandle,
         stop: watch::Receiver<bool>,
     ) -> Result<()> {
@@ -202,7 +202,7 @@
         let Some(cids) = first_cid_source(self.cids, &mut stopping).await else {
             return Ok(());
         };
-        let endpoint = open_endpoint(identity, self.own, cids, self.port)?;
+        let endpoint = open_endpoint(certificate, self.own, cids, self.port)?;
         let accept = AcceptTask::new(endpoint.clone(), self.cx, self.leaving, stop);
         let accept = actix_rt::spawn(accept.run());
         stay(cfg, stopping, accept, peers).await;
--- a/crates/bench/src/bin/requests.rs
+++ b/crates/bench/src/bin/requests.rs
@@ -14,7 +14,7 @@
     time::{sleep, sleep_until},
 };
 use agent::{
-    Identity,
+    ServiceCertificate,
     process::{Choice, Heard, Known, run_with},
 };
 use bytes::Bytes;
@@ -264,7 +264,8 @@
         let (stop_tx, stop) = watch::channel(false);
         self.others.push(stop_tx);
         actix_rt::spawn(async move {
-            let identity = Identity::self_signed(vec!["localhost".into()]).expect("certificate");
+            let identity =
+                ServiceCertificate::self_signed(vec!["localhost".into()]).expect("certificate");
             let ended = run_with::<C>(cfg, identity, &Registry::new(), stop).await;
             ended.expect("agent");
         });
--- a/crates/limpetd/src/process/cli.rs
+++ b/crates/limpetd/src/process/cli.rs
@@ -7,7 +7,7 @@
     time::Duration,
 };
 
-use agent::Identity;
+use agent::ServiceCertificate;
 use clap::{Args, Parser, Subcommand};
 use rustls::pki_types::{CertificateDer, PrivateKeyDer, pem::PemObject};
 use types::{ClassName, DataCentre, HostName, PathPrefix, ServiceName};
@@ -65,7 +65,7 @@
 pub enum Start {
     Control(Box<control::Settings>),
     Balancer(Box<balancer::Settings>),
-    Agent(Box<agent::Settings>, Identity),
+    Agent(Box<agent::Settings>, ServiceCertificate),
     Local(LocalArgs),
 }
 
@@ -251,12 +251,12 @@
 }
 
 impl AgentArgs {
-    pub(super) fn identity(&self) -> Result<Identity> {
+    pub(super) fn identity(&self) -> Result<ServiceCertificate> {
         if let (Some(certificate), Some(key)) = (&self.certificate, &self.key) {
             return read_identity(certificate, key);
         }
         let names = vec![self.service.to_string(), "localhost".into()];
-        Ok(Identity::self_signed(names)?)
+        Ok(ServiceCertificate::self_signed(names)?)
     }
 
     pub(super) fn settings(self) -> Result<agent::Settings> {
@@ -279,12 +279,12 @@
     }
 }
 
-fn read_identity(certificate: &Path, key: &Path) -> Result<Identity> {
+fn read_identity(certificate: &Path, key: &Path) -> Result<ServiceCertificate> {
     let chain = CertificateDer::pem_file_iter(certificate)
         .and_then(Iterator::collect)
         .map_err(|e| Error::Pem(certificate.into(), e))?;
     let key = PrivateKeyDer::from_pem_file(key).map_err(|e| Error::Pem(key.into(), e))?;
-    Ok(Identity { chain, key })
+    Ok(ServiceCertificate { chain, key })
 }
 
 /// Settings of the embedded system.
--- a/crates/limpetd/src/process/local.rs
+++ b/crates/limpetd/src/process/local.rs
@@ -6,7 +6,7 @@
 };
 
 use actix_rt::time::sleep;
-use agent::Identity;
+use agent::ServiceCertificate;
 use client::{Http, Operator};
 use prometheus::Registry;
 use standin::Upstream;
@@ -49,7 +49,7 @@
         let operator = Operator::new(Http::default(), vec![args.control]);
         configure(&operator, args.listen).await?;
         actix_rt::spawn(announce_ready(operator, args.listen));
-        let identity = Identity::self_signed(vec![SERVICE.into(), "localhost".into()])?;
+        let identity = ServiceCertificate::self_signed(vec![SERVICE.into(), "localhost".into()])?;
         agent::run(agent_settings(&args, upstream), identity, registry, stop).await?;
         parts_stop_tx.send_replace(true);
         Ok::<(), Error>(())
