--- a/crates/agent/src/process/balancers.rs
+++ b/crates/agent/src/process/balancers.rs
@@ -14,7 +14,7 @@
 /// fit into [`SILENCE`], so that one may be lost.
 const PROBE_AFTER: Duration = Duration::from_millis(150);
 
-/// Balancers that are kept heard by probes while answers are sent. The others
+/// BalancerTracker that are kept heard by probes while answers are sent. The others
 /// are heard by traffic if there is enough of it. A probe and its answer take
 /// 88 bytes, so probes for all of a few balancers would already exceed the 2 KB
 /// a second that a node may spend on control.
@@ -53,37 +53,37 @@
     }
 }
 
-/// Which of the known balancers may take an answer.
-pub trait Choice: Default {
-    /// Whether a balancer may be used that is silent from `silent` on,
-    /// unless it is heard again.
-    fn may_use(now: Instant, silent: Instant) -> bool;
+/// Decides which of the known balancers may carry a response to a caller.
+pub trait BalancerPolicy: Default {
+    /// Whether a balancer may be used that becomes unreachable at
+    /// `unreachable_at`, unless another datagram arrives from it.
+    fn is_usable(now: Instant, unreachable_at: Instant) -> bool;
 }
 
-/// Only balancers that were heard lately.
+/// Uses only balancers from which a datagram arrived recently.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Heard;
+pub struct ReachableOnly;
 
-impl Choice for Heard {
-    fn may_use(now: Instant, silent: Instant) -> bool {
-        now < silent
+impl BalancerPolicy for ReachableOnly {
+    fn is_usable(now: Instant, unreachable_at: Instant) -> bool {
+        now < unreachable_at
     }
 }
 
-/// All known balancers; the baseline of benchmarks.
+/// Uses all known balancers; the baseline of benchmarks.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Known;
+pub struct AnyKnown;
 
-impl Choice for Known {
-    fn may_use(_: Instant, _: Instant) -> bool {
+impl BalancerPolicy for AnyKnown {
+    fn is_usable(_: Instant, _: Instant) -> bool {
         true
     }
 }
 
-/// The balancers that the agent knows, and which of them it hears.
+/// The balancers of the version in force, and which of them are reachable.
 #[derive(Debug, Default)]
-pub struct Balancers<C: Choice = Heard> {
-    choice: PhantomData<C>,
+pub struct BalancerTracker<P: BalancerPolicy = ReachableOnly> {
+    policy: PhantomData<P>,
     known: BTreeMap<SocketAddr, Deadlines>,
     /// Answers count as being sent until this instant.
     active_until: Option<Instant>,
@@ -92,7 +92,7 @@
     turn: usize,
 }
 
-impl<C: Choice> Balancers<C> {
+impl<P: BalancerPolicy> BalancerTracker<P> {
     /// Replaces the known balancers. A new one is used once it is heard.
     pub fn set(&mut self, now: Instant, addresses: &BTreeSet<SocketAddr>) {
         self.known.retain(|address, _| addresses.contains(address));
@@ -122,7 +122,7 @@
     /// tried in turn, and else all.
     pub fn choose(&mut self, now: Instant, random: usize) -> Option<SocketAddr> {
         self.active_until = Some(now + ACTIVE);
-        let heard = self.nth(random, |d| C::may_use(now, d.silent));
+        let heard = self.nth(random, |d| P::is_usable(now, d.silent));
         if heard.is_some() {
             return heard;
         }
@@ -156,7 +156,7 @@
         due
     }
 
-    /// Balancers to probe so that enough are kept heard: those that are still
+    /// BalancerTracker to probe so that enough are kept heard: those that are still
     /// heard before silent ones, and then those whose probe is longest ago.
     fn to_keep(&self, now: Instant) -> Vec<SocketAddr> {
         let kept = self.known.values().filter(|d| now < d.probe).count();
--- a/crates/agent/src/process/datagram.rs
+++ b/crates/agent/src/process/datagram.rs
@@ -16,7 +16,7 @@
 use wire::{CidCodec, Endpoints, Prefix};
 
 use super::{
-    balancers::{Balancers, Choice},
+    balancers::{BalancerPolicy, BalancerTracker},
     metrics::Metrics,
     placement::{Placement, Placements},
     port::Packet,
@@ -53,13 +53,13 @@
 }
 
 /// The task that owns the data socket.
-pub struct DatagramTask<C: Choice> {
+pub struct DatagramTask<P: BalancerPolicy> {
     socket: UdpSocket,
     commands: mpsc::Receiver<DatagramCommand>,
     to_endpoint: mpsc::Sender<Packet>,
     from_endpoint: mpsc::Receiver<Packet>,
     placements: Placements,
-    balancers: Balancers<C>,
+    balancers: BalancerTracker<P>,
     metrics: Metrics,
     buf: Vec<u8>,
     /// Datagram that is being put together.
@@ -72,7 +72,7 @@
     Datagrams,
 }
 
-impl<C: Choice> DatagramTask<C> {
+impl<P: BalancerPolicy> DatagramTask<P> {
     /// Creates the task.
     pub fn new(
         own: UpstreamId,
@@ -88,7 +88,7 @@
             to_endpoint,
             from_endpoint,
             placements: Placements::new(Instant::now(), own),
-            balancers: Balancers::default(),
+            balancers: BalancerTracker::default(),
             metrics,
             buf: vec![0; BUFFER],
             out: Vec::with_capacity(BUFFER),
--- a/crates/agent/src/process/mod.rs
+++ b/crates/agent/src/process/mod.rs
@@ -17,12 +17,12 @@
 mod run;
 mod settings;
 
-pub use balancers::{Balancers, Choice, Heard, Known};
+pub use balancers::{AnyKnown, BalancerPolicy, BalancerTracker, ReachableOnly};
 pub use certificate::ServiceCertificate;
 pub use commands::{AdmissionCommand, AdmissionHandle, Grant};
 pub use keys::{Asked, KeysCommand, KeysHandle};
 pub use metrics::Metrics;
 pub use openers::Openers;
 pub use placement::{Placement, Placements};
-pub use run::{run, run_with};
+pub use run::{run, run_with_policy};
 pub use settings::Settings;
--- a/crates/agent/src/process/run.rs
+++ b/crates/agent/src/process/run.rs
@@ -21,7 +21,8 @@
 use wire::Subset;
 
 use super::{
-    AdmissionHandle, Choice, Heard, KeysHandle, Metrics, ServiceCertificate, Settings,
+    AdmissionHandle, BalancerPolicy, KeysHandle, Metrics, ReachableOnly, ServiceCertificate,
+    Settings,
     admission::AdmissionTask,
     datagram::DatagramTask,
     endpoint::{first_cid_source, open_endpoint},
@@ -58,21 +59,21 @@
     registry: &Registry,
     stop: watch::Receiver<bool>,
 ) -> Result<()> {
-    run_with::<Heard>(cfg, certificate, registry, stop).await
+    run_with_policy::<ReachableOnly>(cfg, certificate, registry, stop).await
 }
 
-/// Runs an agent as [`run`] does, with another choice of balancers.
+/// Runs an agent as [`run`] does, with another policy for choosing balancers.
 ///
 /// # Errors
 ///
 /// A socket cannot be opened, or the certificate cannot be used.
-pub async fn run_with<C: Choice + 'static>(
+pub async fn run_with_policy<P: BalancerPolicy + 'static>(
     cfg: Settings,
     certificate: ServiceCertificate,
     registry: &Registry,
     stop: watch::Receiver<bool>,
 ) -> Result<()> {
-    let (started, serving) = start::<C>(&cfg, registry, stop.clone())?;
+    let (started, serving) = start::<P>(&cfg, registry, stop.clone())?;
     let result = serving.run(&cfg, certificate, &started.peers, stop).await;
     actix_rt::time::sleep(FAREWELL).await;
     // A graceful stop that is under way would hold this one up until requests
@@ -102,7 +103,7 @@
 }
 
 /// Opens the sockets and starts the tasks.
-fn start<C: Choice + 'static>(
+fn start<P: BalancerPolicy + 'static>(
     cfg: &Settings,
     registry: &Registry,
     stop: watch::Receiver<bool>,
@@ -163,7 +164,7 @@
     let keys_task = KeysTask::new(settings, own, http.clone(), keys, keys_rx);
     let admission_task =
         AdmissionTask::new(cfg, own, http.clone(), admission.clone(), admission_rx);
-    let datagram_task = DatagramTask::<C>::new(own, data, datagram_rx, in_tx, out_rx, metrics);
+    let datagram_task = DatagramTask::<P>::new(own, data, datagram_rx, in_tx, out_rx, metrics);
     let sync_task = SyncTask::new(sync_settings(cfg), http, report_rx, step_tx);
     let mut tasks = vec![
         actix_rt::spawn(sync_task.run()),
--- a/crates/agent/tests/datagrams.rs
+++ b/crates/agent/tests/datagrams.rs
@@ -9,7 +9,7 @@
 
 use agent::{
     connection::FirstPacket,
-    process::{Balancers, Openers, Placement, Placements},
+    process::{BalancerTracker, Openers, Placement, Placements},
 };
 use route::{Arrival, Hop};
 use types::{
@@ -33,7 +33,7 @@
     start + Duration::from_millis(millis)
 }
 
-fn chosen(balancers: &mut Balancers, now: Instant) -> BTreeSet<SocketAddr> {
+fn chosen(balancers: &mut BalancerTracker, now: Instant) -> BTreeSet<SocketAddr> {
     (0..8).filter_map(|n| balancers.choose(now, n)).collect()
 }
 
@@ -43,7 +43,7 @@
 fn only_heard_balancers_are_used() {
     let start = Instant::now();
     let all = BTreeSet::from([address(1), address(2), address(3)]);
-    let mut balancers: Balancers = Balancers::default();
+    let mut balancers: BalancerTracker = BalancerTracker::default();
     assert_eq!(balancers.choose(start, 0), None);
     balancers.set(start, &all);
     assert_eq!(chosen(&mut balancers, start), all, "none is heard yet");
@@ -78,7 +78,7 @@
 /// the bytes of the probes, and through whom answers went later than the stated
 /// time after the start.
 fn pass_second(
-    balancers: &mut Balancers,
+    balancers: &mut BalancerTracker,
     start: Instant,
     dead: &BTreeSet<SocketAddr>,
     send_every: Option<u64>,
@@ -113,7 +113,7 @@
     let none = BTreeSet::new();
     for send_every in [None, Some(50), Some(1)] {
         let start = Instant::now();
-        let mut balancers: Balancers = Balancers::default();
+        let mut balancers: BalancerTracker = BalancerTracker::default();
         balancers.set(start, &all);
         for second in 0..11 {
             let now = after(start, 1_000 * second);
@@ -140,7 +140,7 @@
 fn a_balancer_that_came_back_is_used_again() {
     let start = Instant::now();
     let all = BTreeSet::from([address(1), address(2)]);
-    let mut balancers: Balancers = Balancers::default();
+    let mut balancers: BalancerTracker = BalancerTracker::default();
     balancers.set(start, &all);
     let dead = BTreeSet::from([address(1)]);
     pass_second(&mut balancers, start, &dead, Some(5));
--- a/crates/bench/src/bin/requests.rs
+++ b/crates/bench/src/bin/requests.rs
@@ -15,7 +15,7 @@
 };
 use agent::{
     ServiceCertificate,
-    process::{Choice, Heard, Known, run_with},
+    process::{AnyKnown, BalancerPolicy, ReachableOnly, run_with_policy},
 };
 use bytes::Bytes;
 use caller::{Caller, Endpoint, Trust};
@@ -32,7 +32,7 @@
 
 const SEEDS: [u64; 3] = [1, 2, 3];
 
-/// Balancers and upstreams of a site.
+/// BalancerTracker and upstreams of a site.
 const BALANCERS: u8 = 4;
 const UPSTREAMS: u8 = 2;
 
@@ -62,8 +62,8 @@
         let mut range = 200;
         for seed in SEEDS {
             let (heard, known) = tokio::join!(
-                Site::start::<Heard>(range, seed, Slots(64)),
-                Site::start::<Known>(range + 1, seed, Slots(64)),
+                Site::start::<ReachableOnly>(range, seed, Slots(64)),
+                Site::start::<AnyKnown>(range + 1, seed, Slots(64)),
             );
             lose("heard", seed, heard).await;
             lose("known", seed, known).await;
@@ -101,7 +101,7 @@
 
 /// Answer times of local requests beside handed-off ones, in rounds.
 async fn hand_off(range: u8) {
-    let site = Site::start::<Heard>(range, 1, Slots(1)).await;
+    let site = Site::start::<ReachableOnly>(range, 1, Slots(1)).await;
     println!("answer time p50 in ms, local beside handed off, {HAND_OFFS} requests of each");
     let mut costs = Vec::new();
     for round in 0..ROUNDS {
@@ -194,7 +194,7 @@
 }
 
 impl Site {
-    async fn start<C: Choice + 'static>(range: u8, seed: u64, carry: Slots) -> Site {
+    async fn start<P: BalancerPolicy + 'static>(range: u8, seed: u64, carry: Slots) -> Site {
         let service = address(range, 100, 4433);
         let (fabric, handle) = Fabric::open(service, seed).await.expect("fabric");
         actix_rt::spawn(fabric.run());
@@ -223,7 +223,7 @@
             site.start_balancer(n, control);
         }
         for n in 0..UPSTREAMS {
-            site.start_agent::<C>(n, control);
+            site.start_agent::<P>(n, control);
         }
         site.use_balancers(0).await;
         configure(control, service, carry).await;
@@ -248,7 +248,7 @@
         }));
     }
 
-    fn start_agent<C: Choice + 'static>(&mut self, n: u8, control: SocketAddr) {
+    fn start_agent<P: BalancerPolicy + 'static>(&mut self, n: u8, control: SocketAddr) {
         let listen = (Ipv4Addr::LOCALHOST, 0).into();
         let upstream = Upstream::start("upstream", listen).expect("upstream");
         let (host, data_centre) = (name(format!("app-{n}")), name("dc"));
@@ -266,7 +266,7 @@
         actix_rt::spawn(async move {
             let identity =
                 ServiceCertificate::self_signed(vec!["localhost".into()]).expect("certificate");
-            let ended = run_with::<C>(cfg, identity, &Registry::new(), stop).await;
+            let ended = run_with_policy::<P>(cfg, identity, &Registry::new(), stop).await;
             ended.expect("agent");
         });
     }
