--- a/crates/agent/src/process/admission.rs
+++ b/crates/agent/src/process/admission.rs
@@ -75,7 +75,7 @@
             budget: RetryBudget::new(),
             own,
             data_centre: cfg.data_centre.clone(),
-            upstream: cfg.upstream,
+            upstream: cfg.upstream_address,
             service: None,
             peers: BTreeMap::new(),
             waiting: BTreeMap::new(),
--- a/crates/agent/src/process/node.rs
+++ b/crates/agent/src/process/node.rs
@@ -114,7 +114,7 @@
         self.send(DatagramCommand::Leaving(leaving)).await;
         self.admission.send(AdmissionCommand::View(AdmissionView {
             service: view.service.as_ref().map(|state| state.service.id),
-            targets: view.targets(&self.cfg.classes),
+            targets: view.targets(&self.cfg.served_classes),
             peers: view.peers(own),
             leaving,
         }));
@@ -151,7 +151,7 @@
     }
 
     fn announcement_of(&self, summary: Summary) -> Announcement {
-        let served = &self.cfg.classes;
+        let served = &self.cfg.served_classes;
         let loads: Loads = summary
             .loads
             .into_iter()
--- a/crates/agent/src/process/run.rs
+++ b/crates/agent/src/process/run.rs
@@ -48,7 +48,7 @@
 const FAREWELL: Duration = Duration::from_millis(200);
 
 /// Runs an agent. When `stop` changes it leaves: it ends once the last request
-/// is done, at the latest after `stay_at_most`.
+/// is done, at the latest after `drain_timeout`.
 ///
 /// # Errors
 ///
@@ -135,7 +135,7 @@
     let cx = RequestContext {
         admission: admission.clone(),
         ids: RequestIds::default(),
-        upstream: cfg.upstream,
+        upstream: cfg.upstream_address,
         service,
         keys: keys.clone(),
         metrics: metrics.clone(),
@@ -177,7 +177,7 @@
         }),
     ];
     tasks.extend(cfg.load_path.as_ref().map(|path| {
-        let task = LoadTask::new(cfg.upstream, &path.to_string(), admission);
+        let task = LoadTask::new(cfg.upstream_address, &path.to_string(), admission);
         actix_rt::spawn(task.run())
     }));
     let serving = Serving {
@@ -219,7 +219,7 @@
             cfg.host.clone(),
             Role::Agent,
             cfg.data_centre.clone(),
-            cfg.control.clone(),
+            cfg.control_hosts.clone(),
         )
     }
 }
@@ -249,7 +249,7 @@
 }
 
 /// Waits for the order to stop and then for the requests in progress, at most
-/// `stay_at_most`.
+/// `drain_timeout`.
 async fn stay(
     cfg: &Settings,
     mut stop: watch::Receiver<bool>,
@@ -257,7 +257,7 @@
     peers: &ServerHandle,
 ) {
     let _ = stop.wait_for(|stop| *stop).await;
-    let stay_until = Instant::now() + cfg.stay_at_most;
+    let stay_until = Instant::now() + cfg.drain_timeout;
     let done = async {
         let _ = accept.await;
         peers.stop(true).await;
--- a/crates/agent/src/process/settings.rs
+++ b/crates/agent/src/process/settings.rs
@@ -15,49 +15,52 @@
     pub host: HostName,
     /// Data centre of the host.
     pub data_centre: DataCentre,
-    /// The control hosts; never empty.
-    pub control: Vec<SocketAddr>,
-    /// Service that the upstream serves.
+    /// Addresses of the control hosts; never empty.
+    pub control_hosts: Vec<SocketAddr>,
+    /// Name of the service that the upstream belongs to.
     pub service: ServiceName,
-    /// Classes of work that the upstream serves; all if empty.
-    pub classes: BTreeSet<ClassName>,
-    /// Where the upstream takes HTTP/1.1 requests.
-    pub upstream: SocketAddr,
-    /// Where balancers send datagrams; announced, so not a wildcard address.
+    /// Request classes that the upstream serves; all if empty.
+    pub served_classes: BTreeSet<ClassName>,
+    /// Address on which the upstream accepts HTTP/1.1 requests.
+    pub upstream_address: SocketAddr,
+    /// Listen address for datagrams from balancers. It is announced, so it must
+    /// not be a wildcard address.
     pub data_listen: SocketAddr,
-    /// Where peers send requests; announced, so not a wildcard address.
+    /// Listen address for requests from peers. It is announced, so it must not
+    /// be a wildcard address.
     pub peer_listen: SocketAddr,
-    /// Path of the upstream's load endpoint; none if it reports no load.
+    /// Path of the upstream's load report; `None` if it has none.
     pub load_path: Option<PathPrefix>,
-    /// Longest time that a leaving agent stays for requests in progress.
-    pub stay_at_most: Duration,
-    /// Settings of the admission.
+    /// Longest time that a stopping agent waits for requests in progress.
+    pub drain_timeout: Duration,
+    /// Settings of admission control.
     pub admission: admit::Settings,
-    /// Proofs of identity; plain HTTP without them.
+    /// Certificates for mutual TLS with control hosts and peers; `None` means
+    /// plain HTTP.
     pub credentials: Option<auth::Credentials>,
 }
 
 impl Settings {
-    /// Settings with default sockets and times.
+    /// Returns settings with loopback listen addresses and default timeouts.
     #[must_use]
     pub fn new(
         host: HostName,
         data_centre: DataCentre,
-        control: Vec<SocketAddr>,
+        control_hosts: Vec<SocketAddr>,
         service: ServiceName,
-        upstream: SocketAddr,
+        upstream_address: SocketAddr,
     ) -> Self {
         Settings {
             host,
             data_centre,
-            control,
+            control_hosts,
             service,
-            classes: BTreeSet::new(),
-            upstream,
+            served_classes: BTreeSet::new(),
+            upstream_address,
             data_listen: (Ipv4Addr::LOCALHOST, 0).into(),
             peer_listen: (Ipv4Addr::LOCALHOST, 0).into(),
             load_path: None,
-            stay_at_most: Duration::from_hours(1),
+            drain_timeout: Duration::from_hours(1),
             admission: admit::Settings::default(),
             credentials: None,
         }
--- a/crates/limpetd/src/process/cli.rs
+++ b/crates/limpetd/src/process/cli.rs
@@ -269,11 +269,11 @@
             agent::Settings::new(host, data_centre, control, self.service, self.upstream);
         Ok(agent::Settings {
             credentials: self.tls.node()?,
-            classes: self.classes.into_iter().collect::<BTreeSet<_>>(),
+            served_classes: self.classes.into_iter().collect::<BTreeSet<_>>(),
             load_path: self.load_path,
             data_listen: self.data_listen,
             peer_listen: self.peer_listen,
-            stay_at_most: self.stay_at_most,
+            drain_timeout: self.stay_at_most,
             ..settings
         })
     }
