--- a/crates/agent/src/process/run.rs
+++ b/crates/agent/src/process/run.rs
@@ -21,7 +21,8 @@
 use wire::Subset;
 
 use super::{
-    AdmissionHandle, Choice, Heard, Identity, KeysHandle, Metrics, Settings,
+    AdmissionHandle, BalancerPolicy, KeysHandle, Metrics, ReachableOnly, ServiceCertificate,
+    Settings,
     admission::AdmissionTask,
     datagram::DatagramTask,
     endpoint::{first_cid_source, open_endpoint},
@@ -47,33 +48,33 @@
 const FAREWELL: Duration = Duration::from_millis(200);
 
 /// Runs an agent. When `stop` changes it leaves: it ends once the last request
-/// is done, at the latest after `stay_at_most`.
+/// is done, at the latest after `drain_timeout`.
 ///
 /// # Errors
 ///
 /// A socket cannot be opened, or the certificate cannot be used.
 pub async fn run(
     cfg: Settings,
-    identity: Identity,
+    certificate: ServiceCertificate,
     registry: &Registry,
     stop: watch::Receiver<bool>,
 ) -> Result<()> {
-    run_with::<Heard>(cfg, identity, registry, stop).await
+    run_with_policy::<ReachableOnly>(cfg, certificate, registry, stop).await
 }
 
-/// Runs an agent as [`run`] does, with another choice of balancers.
+/// Runs an agent as [`run`] does, with another policy for choosing balancers.
 ///
 /// # Errors
 ///
 /// A socket cannot be opened, or the certificate cannot be used.
-pub async fn run_with<C: Choice + 'static>(
+pub async fn run_with_policy<P: BalancerPolicy + 'static>(
     cfg: Settings,
-    identity: Identity,
+    certificate: ServiceCertificate,
     registry: &Registry,
     stop: watch::Receiver<bool>,
 ) -> Result<()> {
-    let (started, serving) = start::<C>(&cfg, registry, stop.clone())?;
-    let result = serving.run(&cfg, identity, &started.peers, stop).await;
+    let (started, serving) = start::<P>(&cfg, registry, stop.clone())?;
+    let result = serving.run(&cfg, certificate, &started.peers, stop).await;
     actix_rt::time::sleep(FAREWELL).await;
     // A graceful stop that is under way would hold this one up until requests
     // of peers have ended, which may be after the end of the stay.
@@ -102,7 +103,7 @@
 }
 
 /// Opens the sockets and starts the tasks.
-fn start<C: Choice + 'static>(
+fn start<P: BalancerPolicy + 'static>(
     cfg: &Settings,
     registry: &Registry,
     stop: watch::Receiver<bool>,
@@ -134,7 +135,7 @@
     let cx = RequestContext {
         admission: admission.clone(),
         ids: RequestIds::default(),
-        upstream: cfg.upstream,
+        upstream: cfg.upstream_address,
         service,
         keys: keys.clone(),
         metrics: metrics.clone(),
@@ -163,7 +164,7 @@
     let keys_task = KeysTask::new(settings, own, http.clone(), keys, keys_rx);
     let admission_task =
         AdmissionTask::new(cfg, own, http.clone(), admission.clone(), admission_rx);
-    let datagram_task = DatagramTask::<C>::new(own, data, datagram_rx, in_tx, out_rx, metrics);
+    let datagram_task = DatagramTask::<P>::new(own, data, datagram_rx, in_tx, out_rx, metrics);
     let sync_task = SyncTask::new(sync_settings(cfg), http, report_rx, step_tx);
     let mut tasks = vec![
         actix_rt::spawn(sync_task.run()),
@@ -176,7 +177,7 @@
         }),
     ];
     tasks.extend(cfg.load_path.as_ref().map(|path| {
-        let task = LoadTask::new(cfg.upstream, &path.to_string(), admission);
+        let task = LoadTask::new(cfg.upstream_address, &path.to_string(), admission);
         actix_rt::spawn(task.run())
     }));
     let serving = Serving {
@@ -194,7 +195,7 @@
     async fn run(
         self,
         cfg: &Settings,
-        identity: Identity,
+        certificate: ServiceCertificate,
         peers: &ServerHandle,
         stop: watch::Receiver<bool>,
     ) -> Result<()> {
@@ -202,7 +203,7 @@
         let Some(cids) = first_cid_source(self.cids, &mut stopping).await else {
             return Ok(());
         };
-        let endpoint = open_endpoint(identity, self.own, cids, self.port)?;
+        let endpoint = open_endpoint(certificate, self.own, cids, self.port)?;
         let accept = AcceptTask::new(endpoint.clone(), self.cx, self.leaving, stop);
         let accept = actix_rt::spawn(accept.run());
         stay(cfg, stopping, accept, peers).await;
@@ -218,7 +219,7 @@
             cfg.host.clone(),
             Role::Agent,
             cfg.data_centre.clone(),
-            cfg.control.clone(),
+            cfg.control_hosts.clone(),
         )
     }
 }
@@ -248,7 +249,7 @@
 }
 
 /// Waits for the order to stop and then for the requests in progress, at most
-/// `stay_at_most`.
+/// `drain_timeout`.
 async fn stay(
     cfg: &Settings,
     mut stop: watch::Receiver<bool>,
@@ -256,7 +257,7 @@
     peers: &ServerHandle,
 ) {
     let _ = stop.wait_for(|stop| *stop).await;
-    let stay_until = Instant::now() + cfg.stay_at_most;
+    let stay_until = Instant::now() + cfg.drain_timeout;
     let done = async {
         let _ = accept.await;
         peers.stop(true).await;
--- a/crates/limpetd/src/process/cli.rs
+++ b/crates/limpetd/src/process/cli.rs
@@ -7,7 +7,7 @@
     time::Duration,
 };
 
-use agent::Identity;
+use agent::ServiceCertificate;
 use clap::{Args, Parser, Subcommand};
 use rustls::pki_types::{CertificateDer, PrivateKeyDer, pem::PemObject};
 use types::{ClassName, DataCentre, HostName, PathPrefix, ServiceName};
@@ -65,7 +65,7 @@
 pub enum Start {
     Control(Box<control::Settings>),
     Balancer(Box<balancer::Settings>),
-    Agent(Box<agent::Settings>, Identity),
+    Agent(Box<agent::Settings>, ServiceCertificate),
     Local(LocalArgs),
 }
 
@@ -251,12 +251,12 @@
 }
 
 impl AgentArgs {
-    pub(super) fn identity(&self) -> Result<Identity> {
+    pub(super) fn identity(&self) -> Result<ServiceCertificate> {
         if let (Some(certificate), Some(key)) = (&self.certificate, &self.key) {
             return read_identity(certificate, key);
         }
         let names = vec![self.service.to_string(), "localhost".into()];
-        Ok(Identity::self_signed(names)?)
+        Ok(ServiceCertificate::self_signed(names)?)
     }
 
     pub(super) fn settings(self) -> Result<agent::Settings> {
@@ -269,22 +269,22 @@
             agent::Settings::new(host, data_centre, control, self.service, self.upstream);
         Ok(agent::Settings {
             credentials: self.tls.node()?,
-            classes: self.classes.into_iter().collect::<BTreeSet<_>>(),
+            served_classes: self.classes.into_iter().collect::<BTreeSet<_>>(),
             load_path: self.load_path,
             data_listen: self.data_listen,
             peer_listen: self.peer_listen,
-            stay_at_most: self.stay_at_most,
+            drain_timeout: self.stay_at_most,
             ..settings
         })
     }
 }
 
-fn read_identity(certificate: &Path, key: &Path) -> Result<Identity> {
+fn read_identity(certificate: &Path, key: &Path) -> Result<ServiceCertificate> {
     let chain = CertificateDer::pem_file_iter(certificate)
         .and_then(Iterator::collect)
         .map_err(|e| Error::Pem(certificate.into(), e))?;
     let key = PrivateKeyDer::from_pem_file(key).map_err(|e| Error::Pem(key.into(), e))?;
-    Ok(Identity { chain, key })
+    Ok(ServiceCertificate { chain, key })
 }
 
 /// Settings of the embedded system.
