--- a/crates/directory/src/lib.rs
+++ b/crates/directory/src/lib.rs
@@ -23,5 +23,7 @@
 pub mod process;
 pub mod version;
 
-pub use process::{Changes, Coverage, Directory, LEASE, Node, Part, View};
-pub use version::{Hello, Mark, News, ROUTES_PATH, Reply, Spoken};
+pub use process::{Coverage, Directory, NODE_LEASE, Node, NodeRole, View, ViewChanges};
+pub use version::{
+    ControlMessage, DirectoryDelta, DirectoryVersion, Hello, HelloReply, ROUTES_PATH,
+};
--- a/crates/directory/src/process/mod.rs
+++ b/crates/directory/src/process/mod.rs
@@ -6,6 +6,6 @@
 mod view;
 
 pub use coverage::Coverage;
-pub use node::{Node, Part};
-pub use store::{Directory, LEASE};
-pub use view::{Changes, View};
+pub use node::{Node, NodeRole};
+pub use store::{Directory, NODE_LEASE};
+pub use view::{View, ViewChanges};
--- a/crates/directory/src/process/node.rs
+++ b/crates/directory/src/process/node.rs
@@ -7,7 +7,7 @@
 
 /// What a process does.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Part {
+pub enum NodeRole {
     /// A control host with a disk.
     Control {
         /// Its identity in the group.
@@ -39,7 +39,7 @@
     /// Where the host is.
     pub data_centre: DataCentre,
     /// What the process does.
-    pub part: Part,
+    pub part: NodeRole,
     /// It ends soon and takes nothing new.
     pub leaving: bool,
 }
@@ -58,7 +58,7 @@
             run: 1,
             seq: 0,
             data_centre,
-            part: Part::Balancer,
+            part: NodeRole::Balancer,
             leaving: false,
         }
     }
@@ -66,26 +66,26 @@
     /// Whether other control hosts are to be told what this one hears.
     #[must_use]
     pub fn gossips(&self) -> bool {
-        matches!(self.part, Part::Control { .. } | Part::Observer)
+        matches!(self.part, NodeRole::Control { .. } | NodeRole::Observer)
     }
 
     /// Whether it holds the configuration.
     #[must_use]
     pub fn is_control(&self) -> bool {
-        matches!(self.part, Part::Control { .. })
+        matches!(self.part, NodeRole::Control { .. })
     }
 
     /// Whether it holds a configuration: a control host on an empty disk holds
     /// none until it has joined its group.
     #[must_use]
     pub fn is_formed(&self) -> bool {
-        matches!(self.part, Part::Control { formed: true, .. })
+        matches!(self.part, NodeRole::Control { formed: true, .. })
     }
 
     /// Whether it holds the latest configuration.
     #[must_use]
     pub fn is_current(&self) -> bool {
-        matches!(self.part, Part::Control { current: true, .. }) && !self.leaving
+        matches!(self.part, NodeRole::Control { current: true, .. }) && !self.leaving
     }
 
     /// The host of the process.
--- a/crates/directory/src/process/store.rs
+++ b/crates/directory/src/process/store.rs
@@ -7,11 +7,11 @@
 };
 
 use super::Node;
-use crate::{Mark, News};
+use crate::{DirectoryDelta, DirectoryVersion};
 
 /// A process that was not heard for this long is gone. Three times the pause
 /// between two hellos, and time for a control host to be replaced by another.
-pub const LEASE: Duration = Duration::from_secs(3);
+pub const NODE_LEASE: Duration = Duration::from_secs(3);
 
 /// Nodes in one piece of news, so that it fits a datagram.
 const PIECE: usize = 16;
@@ -64,7 +64,7 @@
     /// Notes what another control host heard `age` ago.
     pub fn note_heard(&mut self, node: Node, age: Duration, now: Instant) -> bool {
         match now.checked_sub(age) {
-            Some(heard) if age < LEASE => self.take(node, heard, false),
+            Some(heard) if age < NODE_LEASE => self.take(node, heard, false),
             _ => false,
         }
     }
@@ -100,9 +100,9 @@
         true
     }
 
-    /// Removes the processes that were not heard for a [`LEASE`]. Returns them.
+    /// Removes the processes that were not heard for a [`NODE_LEASE`]. Returns them.
     pub fn expire(&mut self, now: Instant) -> Vec<Node> {
-        let overdue = |known: &Known| now >= known.heard + LEASE;
+        let overdue = |known: &Known| now >= known.heard + NODE_LEASE;
         let gone: Vec<Node> = self
             .known
             .values()
@@ -125,9 +125,13 @@
     /// What a reader at `mark` lacks, in pieces to be applied in order. A
     /// reader that is up to date gets none.
     #[must_use]
-    pub fn news(&self, mark: Mark) -> Vec<News> {
+    pub fn news(&self, mark: DirectoryVersion) -> Vec<DirectoryDelta> {
         let known_mark = mark.run == self.run && mark.seq >= self.floor && mark.seq <= self.seq;
-        let from = if known_mark { mark } else { Mark::default() };
+        let from = if known_mark {
+            mark
+        } else {
+            DirectoryVersion::default()
+        };
         let mut changes: BTreeMap<u64, Result<&Node, SocketAddrV4>> = self
             .known
             .values()
@@ -144,22 +148,22 @@
 
     fn pieces(
         &self,
-        from: Mark,
+        from: DirectoryVersion,
         changes: &BTreeMap<u64, Result<&Node, SocketAddrV4>>,
-    ) -> Vec<News> {
+    ) -> Vec<DirectoryDelta> {
         let mut from = from;
         let mut pieces = Vec::new();
         let changes: Vec<_> = changes.iter().collect();
         let count = changes.chunks(PIECE).count();
         for (i, piece) in changes.chunks(PIECE).enumerate() {
             let last = piece.last().map_or(self.seq, |(seq, _)| **seq);
-            let to = Mark {
+            let to = DirectoryVersion {
                 run: self.run,
                 seq: if i + 1 == count { self.seq } else { last },
             };
             let nodes = piece.iter().filter_map(|(_, change)| change.ok().cloned());
             let gone = piece.iter().filter_map(|(_, change)| change.err());
-            pieces.push(News {
+            pieces.push(DirectoryDelta {
                 from,
                 to,
                 changed: nodes.collect(),
@@ -193,8 +197,8 @@
 
     /// The last change.
     #[must_use]
-    pub fn mark(&self) -> Mark {
-        Mark {
+    pub fn mark(&self) -> DirectoryVersion {
+        DirectoryVersion {
             run: self.run,
             seq: self.seq,
         }
--- a/crates/directory/src/process/view.rs
+++ b/crates/directory/src/process/view.rs
@@ -6,12 +6,12 @@
     time::{Duration, Instant},
 };
 
-use super::{LEASE, Node};
-use crate::{Mark, News};
+use super::{NODE_LEASE, Node};
+use crate::{DirectoryDelta, DirectoryVersion};
 
 /// A node that another control host does not know is kept for this long. A
 /// control host that has just started knows all of them within a lease.
-const DOUBT: Duration = LEASE.saturating_add(Duration::from_secs(1));
+const DOUBT: Duration = NODE_LEASE.saturating_add(Duration::from_secs(1));
 
 #[derive(Debug)]
 struct Seen {
@@ -24,13 +24,13 @@
 /// host can be reached.
 #[derive(Debug, Default)]
 pub struct View {
-    mark: Mark,
+    mark: DirectoryVersion,
     nodes: BTreeMap<SocketAddrV4, Seen>,
 }
 
 /// What news changed.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Changes {
+pub struct ViewChanges {
     /// Nodes that are new or changed.
     pub changed: Vec<Node>,
     /// Nodes that are gone.
@@ -40,15 +40,15 @@
 impl View {
     /// What the next hello says is already known.
     #[must_use]
-    pub fn mark(&self) -> Mark {
+    pub fn mark(&self) -> DirectoryVersion {
         self.mark
     }
 
-    /// Applies news and returns what changed. News that does not follow on
+    /// Applies news and returns what changed. DirectoryDelta that does not follow on
     /// what is known is left out: the next hello asks again.
-    pub fn apply(&mut self, news: News, now: Instant) -> Changes {
-        let mut changes = Changes::default();
-        let starts_over = news.from == Mark::default();
+    pub fn apply(&mut self, news: DirectoryDelta, now: Instant) -> ViewChanges {
+        let mut changes = ViewChanges::default();
+        let starts_over = news.from == DirectoryVersion::default();
         let repeated = news.to.run == self.mark.run && news.to.seq <= self.mark.seq;
         if repeated || (!starts_over && news.from != self.mark) {
             return changes;
--- a/crates/directory/src/version/mod.rs
+++ b/crates/directory/src/version/mod.rs
@@ -10,20 +10,20 @@
 
 /// How far a reader has followed the directory of a control host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct Mark {
+pub struct DirectoryVersion {
     /// The run of the control host; 0 for none.
     pub run: u64,
     /// Its last change that the reader has.
     pub seq: u64,
 }
 
-/// Changes of the directory of a control host.
+/// ViewChanges of the directory of a control host.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct News {
+pub struct DirectoryDelta {
     /// What the reader must have; the default starts from nothing.
-    pub from: Mark,
+    pub from: DirectoryVersion,
     /// What the reader has afterwards.
-    pub to: Mark,
+    pub to: DirectoryVersion,
     /// Nodes that are new or changed.
     pub changed: Vec<Node>,
     /// Nodes that are gone.
@@ -42,34 +42,36 @@
     pub reply_to: SocketAddrV4,
     /// How far it has followed the directory of this control host; `None` while
     /// it asks several for one to use, and wants no news yet.
-    pub mark: Option<Mark>,
+    pub mark: Option<DirectoryVersion>,
 }
 
 /// What a control host is told.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Spoken {
+pub enum ControlMessage {
     /// By a node.
     Hello(Hello),
     /// By another control host: the nodes that it heard, and how many
     /// milliseconds ago.
-    Heard(Vec<(Node, u64)>),
+    #[serde(rename = "Heard")]
+    Relayed(Vec<(Node, u64)>),
     /// By the control host that forms the first group: its members.
-    Form(Vec<(MemberId, Ipv4Addr)>),
+    #[serde(rename = "Form")]
+    FormGroup(Vec<(MemberId, Ipv4Addr)>),
 }
 
 /// What a control host tells a node.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Reply {
+pub struct HelloReply {
     /// The routing set in force, as far as the control host knows.
     pub routes: SetNumber,
     /// Whether the control host hears the leader of its group.
     pub current: bool,
-    /// Changes of the directory, if any.
-    pub news: Option<News>,
+    /// ViewChanges of the directory, if any.
+    pub news: Option<DirectoryDelta>,
     /// Other control hosts, for a node that wants no news yet.
     pub hosts: Vec<SocketAddrV4>,
     /// The last change of the directory.
-    pub mark: Mark,
+    pub mark: DirectoryVersion,
     /// Whether the directory lists all processes: the control host hears all
     /// others.
     pub whole: bool,
--- a/crates/directory/tests/news.rs
+++ b/crates/directory/tests/news.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use arbtest::arbtest;
-use directory::{Directory, LEASE, Mark, Node, Part, View};
+use directory::{Directory, DirectoryVersion, NODE_LEASE, Node, NodeRole, View};
 use types::MemberId;
 
 fn node(n: u8, run: u64, seq: u64) -> Node {
@@ -70,9 +70,9 @@
     let mut new = Directory::new(2);
     new.note(node(1, 1, 0), now);
     follow(&mut view, &new, now);
-    assert!(view.expire(now + LEASE).is_empty());
+    assert!(view.expire(now + NODE_LEASE).is_empty());
     assert_eq!(view.nodes().count(), 5);
-    assert_eq!(view.expire(now + 2 * LEASE).len(), 4);
+    assert_eq!(view.expire(now + 2 * NODE_LEASE).len(), 4);
 }
 
 /// Guards against a node that an earlier run, heard late, takes the place of.
@@ -97,7 +97,7 @@
     let now = Instant::now();
     let mut directory = Directory::new(1);
     let control = Node {
-        part: Part::Control {
+        part: NodeRole::Control {
             member: MemberId(3),
             formed: true,
             current: true,
@@ -107,7 +107,7 @@
     directory.note_heard(control.clone(), Duration::from_millis(200), now);
     directory.note_heard(node(2, 1, 0), Duration::from_millis(200), now);
     let told: Vec<Node> = directory
-        .heard(now.checked_sub(LEASE).unwrap(), now)
+        .heard(now.checked_sub(NODE_LEASE).unwrap(), now)
         .map(|(node, _)| node)
         .collect();
     assert_eq!(told, [control]);
@@ -126,6 +126,6 @@
     for news in later {
         view.apply(news, now);
     }
-    assert_eq!(view.mark(), Mark::default());
+    assert_eq!(view.mark(), DirectoryVersion::default());
     assert_eq!(view.nodes().count(), 0);
 }
--- a/crates/relay/src/process/agent/neighbours.rs
+++ b/crates/relay/src/process/agent/neighbours.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use directory::{Changes, Part};
+use directory::{NodeRole, ViewChanges};
 use flow::Pool;
 use types::UpstreamId;
 
@@ -43,7 +43,7 @@
     }
 
     /// Takes over what the directory says of balancers and other agents.
-    pub(super) async fn nodes_changed(&mut self, changes: Changes) {
+    pub(super) async fn nodes_changed(&mut self, changes: ViewChanges) {
         for handover in self.balancers.handovers(&changes) {
             self.hand_over(&handover).await;
         }
@@ -53,9 +53,9 @@
         }
         for node in changes.changed {
             let listens = match &node.part {
-                Part::Balancer => true,
-                Part::Agent(service) => *service == self.cfg.service,
-                Part::Control { .. } | Part::Observer => false,
+                NodeRole::Balancer => true,
+                NodeRole::Agent(service) => *service == self.cfg.service,
+                NodeRole::Control { .. } | NodeRole::Observer => false,
             };
             if !listens || node.address == self.cfg.peer_address {
                 continue;
--- a/crates/relay/src/process/balancer.rs
+++ b/crates/relay/src/process/balancer.rs
@@ -7,7 +7,7 @@
 };
 
 use bytes::Bytes;
-use directory::{Changes, Node, Part};
+use directory::{Node, NodeRole, ViewChanges};
 use flow::{
     Candidate, Claim, Dropped, Load, Origin, Release, Segment, Steer, Steering, SteeringSettings,
 };
@@ -364,14 +364,14 @@
         self.note_ready();
     }
 
-    fn nodes_changed(&mut self, changes: Changes, now: Instant) {
+    fn nodes_changed(&mut self, changes: ViewChanges, now: Instant) {
         for node in changes.changed {
-            if let Part::Agent(service) = node.part.clone() {
+            if let NodeRole::Agent(service) = node.part.clone() {
                 self.agent_listed(&node, &service, now);
             }
         }
         for node in changes.removed {
-            if let Part::Agent(_) = node.part {
+            if let NodeRole::Agent(_) = node.part {
                 self.listed.remove(&node.address);
             }
         }
--- a/crates/relay/src/process/balancer_table.rs
+++ b/crates/relay/src/process/balancer_table.rs
@@ -9,7 +9,7 @@
     net::SocketAddrV4,
 };
 
-use directory::{Changes, Node, Part};
+use directory::{Node, NodeRole, ViewChanges};
 use types::DataCentre;
 
 /// The balancers that an agent knows.
@@ -36,13 +36,13 @@
 
 impl BalancerTable {
     /// Notes changes of the directory and returns what follows for flows.
-    pub fn handovers(&mut self, changes: &Changes) -> Vec<Handover> {
+    pub fn handovers(&mut self, changes: &ViewChanges) -> Vec<Handover> {
         let mut handovers = Vec::new();
         for node in &changes.removed {
             handovers.extend(self.removed(node));
         }
         for node in &changes.changed {
-            if node.part == Part::Balancer {
+            if node.part == NodeRole::Balancer {
                 handovers.extend(self.changed(node));
             }
         }
--- a/crates/relay/src/process/sync.rs
+++ b/crates/relay/src/process/sync.rs
@@ -7,7 +7,7 @@
 };
 
 use bytes::Bytes;
-use directory::{Changes, Hello, Node, ROUTES_PATH, Reply, Spoken, View};
+use directory::{ControlMessage, Hello, HelloReply, Node, ROUTES_PATH, View, ViewChanges};
 use http::{Method, StatusCode};
 use tokio::{
     net::UdpSocket,
@@ -57,7 +57,7 @@
 #[derive(Debug)]
 pub enum ControlUpdate {
     /// Nodes that have come, changed or gone.
-    Nodes(Changes),
+    Nodes(ViewChanges),
     /// A newer routing set.
     Routes(RoutingDelta),
     /// All processes are listed, until then.
@@ -170,9 +170,9 @@
 
     async fn hello(&mut self, now: Instant) {
         let gone = self.view.expire(now);
-        self.tell(Changes {
+        self.tell(ViewChanges {
             removed: gone,
-            ..Changes::default()
+            ..ViewChanges::default()
         })
         .await;
         if let Some(host) = self.host
@@ -186,7 +186,7 @@
         let hosts = self
             .host
             .map_or_else(|| self.candidates(), |host| vec![host]);
-        let hello = Spoken::Hello(Hello {
+        let hello = ControlMessage::Hello(Hello {
             node: self.cfg.node.clone(),
             reply_to: self.cfg.reply_to,
             mark: self.host.map(|_| self.view.mark()),
@@ -223,7 +223,7 @@
 
     async fn receive(&mut self, datagram: &[u8], from: SocketAddrV4) {
         let now = Instant::now();
-        let reply: Reply = match wire::decode(datagram) {
+        let reply: HelloReply = match wire::decode(datagram) {
             Ok(reply) => reply,
             Err(e) => {
                 log::debug!(event = "bad_reply", from:% = from, error:% = e; "datagram is no reply");
@@ -338,8 +338,8 @@
         self.hello_at = Instant::now();
     }
 
-    async fn tell(&mut self, changes: Changes) {
-        if changes != Changes::default() {
+    async fn tell(&mut self, changes: ViewChanges) {
+        if changes != ViewChanges::default() {
             // The receiver ends only with the process.
             let _ = self.updates.send(ControlUpdate::Nodes(changes)).await;
         }
--- a/crates/relay/tests/handover.rs
+++ b/crates/relay/tests/handover.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddrV4;
 
-use directory::{Changes, Node};
+use directory::{ViewChanges, Node};
 use relay::{BalancerTable, Handover};
 
 fn balancer(n: u8, run: u64, data_centre: &str, leaving: bool) -> Node {
@@ -18,10 +18,10 @@
     format!("10.0.0.{n}:7082").parse().unwrap()
 }
 
-fn changed(nodes: Vec<Node>) -> Changes {
-    Changes {
+fn changed(nodes: Vec<Node>) -> ViewChanges {
+    ViewChanges {
         changed: nodes,
-        ..Changes::default()
+        ..ViewChanges::default()
     }
 }
 
@@ -66,9 +66,9 @@
         ),
         (
             "dies",
-            Changes {
+            ViewChanges {
                 removed: vec![balancer(1, 1, "a", false)],
-                ..Changes::default()
+                ..ViewChanges::default()
             },
             vec![handover(&[1], &[2])],
         ),
@@ -95,9 +95,9 @@
     let leaving = changed(vec![balancer(1, 1, "a", true)]);
     assert_eq!(balancers.handovers(&leaving).len(), 1);
     assert_eq!(balancers.handovers(&leaving), []);
-    let gone = Changes {
+    let gone = ViewChanges {
         removed: vec![balancer(1, 1, "a", true)],
-        ..Changes::default()
+        ..ViewChanges::default()
     };
     assert_eq!(balancers.handovers(&gone), []);
 }
--- a/crates/replica/src/process/nodes/form.rs
+++ b/crates/replica/src/process/nodes/form.rs
@@ -6,7 +6,7 @@
 };
 
 use consensus::Group;
-use directory::{Part, Spoken};
+use directory::{ControlMessage, NodeRole};
 use types::MemberId;
 
 use super::NodeTask;
@@ -44,7 +44,7 @@
             .directory
             .nodes()
             .filter_map(|(node, _)| match node.part {
-                Part::Control { member, formed, .. } => Some((member, node.ip(), formed)),
+                NodeRole::Control { member, formed, .. } => Some((member, node.ip(), formed)),
                 _ => None,
             });
         let controls: Vec<_> = controls.collect();
@@ -67,7 +67,7 @@
             self.form_at = None;
         }
         self.form(&group);
-        let message = Spoken::Form(group.clone());
+        let message = ControlMessage::FormGroup(group.clone());
         for ip in late {
             self.send(SocketAddrV4::new(ip, port), &message).await;
         }
--- a/crates/replica/src/process/nodes/mod.rs
+++ b/crates/replica/src/process/nodes/mod.rs
@@ -12,7 +12,9 @@
 };
 
 use consensus::Group;
-use directory::{Coverage, Directory, Hello, Mark, Node, Part, Reply, Spoken};
+use directory::{
+    ControlMessage, Coverage, Directory, DirectoryVersion, Hello, HelloReply, Node, NodeRole,
+};
 use tokio::{
     net::UdpSocket,
     sync::{mpsc, watch},
@@ -64,7 +66,7 @@
 #[derive(Debug)]
 struct Subscriber {
     reply_to: SocketAddrV4,
-    mark: Mark,
+    mark: DirectoryVersion,
     at: Instant,
 }
 
@@ -109,8 +111,8 @@
 }
 
 impl Member {
-    fn part(&self) -> Part {
-        Part::Control {
+    fn part(&self) -> NodeRole {
+        NodeRole::Control {
             member: self.id,
             formed: self.standing.borrow().formed,
             current: self.standing.borrow().current,
@@ -144,7 +146,7 @@
             part: channels
                 .member
                 .as_ref()
-                .map_or(Part::Observer, Member::part),
+                .map_or(NodeRole::Observer, Member::part),
             leaving: false,
         };
         let port = cfg.node_port;
@@ -231,8 +233,8 @@
     async fn receive(&mut self, datagram: &[u8], from: SocketAddr) {
         let now = Instant::now();
         match wire::decode(datagram) {
-            Ok(Spoken::Hello(hello)) => self.hello(hello, now).await,
-            Ok(Spoken::Heard(heard)) => {
+            Ok(ControlMessage::Hello(hello)) => self.hello(hello, now).await,
+            Ok(ControlMessage::Relayed(heard)) => {
                 if let SocketAddr::V4(from) = from {
                     self.coverage.note(*from.ip(), now);
                 }
@@ -248,7 +250,7 @@
                     self.tell_soon(now);
                 }
             }
-            Ok(Spoken::Form(members)) => self.form(&members),
+            Ok(ControlMessage::FormGroup(members)) => self.form(&members),
             Err(e) => {
                 log::debug!(event = "bad_hello", error:% = e; "datagram is no message of a node");
             }
@@ -283,10 +285,10 @@
 
     /// Answers a node that asks several control hosts for one to use. To send
     /// it all nodes would cost the square of their number at a start.
-    fn introduction(&self) -> Reply {
+    fn introduction(&self) -> HelloReply {
         let nodes = self.directory.nodes().map(|(node, _)| node);
         let hosts = nodes.filter(|node| node.is_control() && !node.leaving);
-        Reply {
+        HelloReply {
             routes: self.history.borrow().number(),
             current: self.me.is_current(),
             news: None,
@@ -326,7 +328,7 @@
         }
         self.send(
             to,
-            &Reply {
+            &HelloReply {
                 routes,
                 current,
                 news: first,
@@ -337,7 +339,7 @@
         )
         .await;
         for piece in news {
-            let reply = Reply {
+            let reply = HelloReply {
                 routes,
                 current,
                 news: Some(piece),
@@ -418,7 +420,7 @@
         let mut count = 0;
         for (node, at) in self.directory.nodes() {
             count += 1;
-            if let Part::Control { member, .. } = node.part {
+            if let NodeRole::Control { member, .. } = node.part {
                 let address = SocketAddrV4::new(node.ip(), port).into();
                 let leaving = node.leaving;
                 heard.insert(
@@ -458,7 +460,7 @@
         hosts.sort_unstable();
         hosts.dedup();
         for piece in told.chunks(PIECE) {
-            let message = Spoken::Heard(piece.to_vec());
+            let message = ControlMessage::Relayed(piece.to_vec());
             for host in &hosts {
                 self.send(*host, &message).await;
             }
--- a/crates/replica/tests/hello.rs
+++ b/crates/replica/tests/hello.rs
@@ -7,7 +7,7 @@
 };
 
 use actix_rt::{System, time::timeout};
-use directory::{Hello, Mark, Node, Reply, Spoken};
+use directory::{ControlMessage, DirectoryVersion, Hello, HelloReply, Node};
 use prometheus::Registry;
 use replica::{Settings, observe};
 use tokio::{net::UdpSocket, sync::watch};
@@ -18,7 +18,7 @@
 /// Time for an answer on the loopback.
 const LIMIT: Duration = Duration::from_secs(5);
 
-async fn receive(socket: &UdpSocket) -> Reply {
+async fn receive(socket: &UdpSocket) -> HelloReply {
     let mut buf = vec![0; 64 * 1024];
     let len = timeout(LIMIT, socket.recv(&mut buf))
         .await
@@ -51,7 +51,7 @@
                 address: SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, n), 7000),
                 ..Node::example("10.0.0.1:7000")
             };
-            let hello = Spoken::Hello(Hello {
+            let hello = ControlMessage::Hello(Hello {
                 node,
                 reply_to,
                 mark,
@@ -66,7 +66,10 @@
             assert!(!reply.whole);
         }
         // One that has chosen this host gets the list, in pieces.
-        let mut known = hello(1, Some(Mark::default())).await.news.unwrap();
+        let mut known = hello(1, Some(DirectoryVersion::default()))
+            .await
+            .news
+            .unwrap();
         let mut count = known.changed.len();
         // The host lists itself too.
         while count < usize::from(NODES) + 1 {
