--- a/crates/directory/src/lib.rs
+++ b/crates/directory/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! Every process says hello to a control host, which notes it in its
 //! [`Directory`]. Control hosts tell one another what they have heard
-//! ([`Directory::heard`]), and tell each process what changed since its last
-//! hello ([`Directory::news`]); the process keeps a [`View`]. All of it is soft
+//! ([`Directory::heard_since`]), and tell each process what changed since its last
+//! hello ([`Directory::deltas_since`]); the process keeps a [`View`]. All of it is soft
 //! state: it needs no agreement, and is complete again a hello after a restart.
 //!
 //! ```
@@ -12,10 +12,10 @@
 //!
 //! let now = Instant::now();
 //! let mut directory = Directory::new(1);
-//! directory.note(Node::example("10.0.0.1:7000"), now);
+//! directory.record_hello(Node::example("10.0.0.1:7000"), now);
 //! let mut view = View::default();
-//! for news in directory.news(view.mark()) {
-//!     view.apply(news, now);
+//! for delta in directory.deltas_since(view.version()) {
+//!     view.apply(delta, now);
 //! }
 //! assert_eq!(view.nodes().count(), 1);
 //! ```
--- a/crates/directory/src/process/coverage.rs
+++ b/crates/directory/src/process/coverage.rs
@@ -43,13 +43,13 @@
     }
 
     /// Notes that a control host spoke to this one.
-    pub fn note(&mut self, host: Ipv4Addr, now: Instant) {
+    pub fn record_contact(&mut self, host: Ipv4Addr, now: Instant) {
         self.heard.insert(host, now);
     }
 
     /// Looks whether the `others` of the group are heard; `current` tells
     /// whether the leader is.
-    pub fn review(&mut self, others: &[Ipv4Addr], current: bool, now: Instant) {
+    pub fn update(&mut self, others: &[Ipv4Addr], current: bool, now: Instant) {
         let stood_still = now >= self.reviewed + STOOD_STILL;
         self.reviewed = now;
         let heard = |host| self.heard.get(host).is_some_and(|at| now < *at + HEARD);
@@ -63,7 +63,7 @@
 
     /// Whether the list of processes is complete.
     #[must_use]
-    pub fn is_whole(&self, now: Instant) -> bool {
+    pub fn is_complete(&self, now: Instant) -> bool {
         let settled = self.since.is_some_and(|since| now >= since + SETTLED);
         settled && now < self.reviewed + STOOD_STILL
     }
--- a/crates/directory/src/process/node.rs
+++ b/crates/directory/src/process/node.rs
@@ -33,13 +33,13 @@
     /// Where other processes reach it; no two processes share one.
     pub address: SocketAddrV4,
     /// Differs for each run of the process; never 0.
-    pub run: u64,
+    pub incarnation: u64,
     /// Rises with each change of this record within a run.
     pub seq: u64,
     /// Where the host is.
     pub data_centre: DataCentre,
     /// What the process does.
-    pub part: NodeRole,
+    pub role: NodeRole,
     /// It ends soon and takes nothing new.
     pub leaving: bool,
 }
@@ -55,10 +55,10 @@
         let data_centre = "dc".parse().expect("a valid name");
         Node {
             address: address.parse().expect("an IPv4 address and port"),
-            run: 1,
+            incarnation: 1,
             seq: 0,
             data_centre,
-            part: NodeRole::Balancer,
+            role: NodeRole::Balancer,
             leaving: false,
         }
     }
@@ -66,26 +66,26 @@
     /// Whether other control hosts are to be told what this one hears.
     #[must_use]
     pub fn gossips(&self) -> bool {
-        matches!(self.part, NodeRole::Control { .. } | NodeRole::Observer)
+        matches!(self.role, NodeRole::Control { .. } | NodeRole::Observer)
     }
 
     /// Whether it holds the configuration.
     #[must_use]
     pub fn is_control(&self) -> bool {
-        matches!(self.part, NodeRole::Control { .. })
+        matches!(self.role, NodeRole::Control { .. })
     }
 
     /// Whether it holds a configuration: a control host on an empty disk holds
     /// none until it has joined its group.
     #[must_use]
     pub fn is_formed(&self) -> bool {
-        matches!(self.part, NodeRole::Control { formed: true, .. })
+        matches!(self.role, NodeRole::Control { formed: true, .. })
     }
 
     /// Whether it holds the latest configuration.
     #[must_use]
     pub fn is_current(&self) -> bool {
-        matches!(self.part, NodeRole::Control { current: true, .. }) && !self.leaving
+        matches!(self.role, NodeRole::Control { current: true, .. }) && !self.leaving
     }
 
     /// The host of the process.
--- a/crates/directory/src/process/store.rs
+++ b/crates/directory/src/process/store.rs
@@ -32,7 +32,7 @@
 /// The processes that a control host knows of.
 #[derive(Debug)]
 pub struct Directory {
-    run: u64,
+    incarnation: u64,
     /// Counts the changes.
     seq: u64,
     known: BTreeMap<SocketAddrV4, Known>,
@@ -46,9 +46,9 @@
 impl Directory {
     /// An empty directory; `run` differs for each run of the control host.
     #[must_use]
-    pub fn new(run: u64) -> Self {
+    pub fn new(incarnation: u64) -> Self {
         Directory {
-            run,
+            incarnation,
             seq: 0,
             known: BTreeMap::new(),
             removed: BTreeMap::new(),
@@ -57,12 +57,12 @@
     }
 
     /// Notes a hello. Returns whether it told anything new.
-    pub fn note(&mut self, node: Node, now: Instant) -> bool {
+    pub fn record_hello(&mut self, node: Node, now: Instant) -> bool {
         self.take(node, now, true)
     }
 
     /// Notes what another control host heard `age` ago.
-    pub fn note_heard(&mut self, node: Node, age: Duration, now: Instant) -> bool {
+    pub fn record_relayed(&mut self, node: Node, age: Duration, now: Instant) -> bool {
         match now.checked_sub(age) {
             Some(heard) if age < NODE_LEASE => self.take(node, heard, false),
             _ => false,
@@ -72,7 +72,7 @@
     fn take(&mut self, node: Node, heard: Instant, direct: bool) -> bool {
         let address = node.address;
         if let Some(known) = self.known.get_mut(&address) {
-            let same_run = known.node.run == node.run;
+            let same_run = known.node.incarnation == node.incarnation;
             // Another run counts only if it was heard later: what an earlier
             // run said may still be on its way.
             if heard <= known.heard && !(same_run && node.seq > known.node.seq) {
@@ -125,10 +125,12 @@
     /// What a reader at `mark` lacks, in pieces to be applied in order. A
     /// reader that is up to date gets none.
     #[must_use]
-    pub fn news(&self, mark: DirectoryVersion) -> Vec<DirectoryDelta> {
-        let known_mark = mark.run == self.run && mark.seq >= self.floor && mark.seq <= self.seq;
-        let from = if known_mark {
-            mark
+    pub fn deltas_since(&self, version: DirectoryVersion) -> Vec<DirectoryDelta> {
+        let is_known = version.incarnation == self.incarnation
+            && version.seq >= self.floor
+            && version.seq <= self.seq;
+        let from = if is_known {
+            version
         } else {
             DirectoryVersion::default()
         };
@@ -139,7 +141,7 @@
             .map(|known| (known.changed, Ok(&known.node)))
             .collect();
         // A reader that starts over has nothing to remove.
-        if known_mark {
+        if is_known {
             let removed = self.removed.range(from.seq + 1..);
             changes.extend(removed.map(|(seq, address)| (*seq, Err(*address))));
         }
@@ -158,7 +160,7 @@
         for (i, piece) in changes.chunks(PIECE).enumerate() {
             let last = piece.last().map_or(self.seq, |(seq, _)| **seq);
             let to = DirectoryVersion {
-                run: self.run,
+                incarnation: self.incarnation,
                 seq: if i + 1 == count { self.seq } else { last },
             };
             let nodes = piece.iter().filter_map(|(_, change)| change.ok().cloned());
@@ -177,7 +179,11 @@
     /// What this control host heard itself since `since`, and what it knows of
     /// other control hosts, with the time that has passed. Hosts that are no
     /// seeds would otherwise never hear of one another.
-    pub fn heard(&self, since: Instant, now: Instant) -> impl Iterator<Item = (Node, Duration)> {
+    pub fn heard_since(
+        &self,
+        since: Instant,
+        now: Instant,
+    ) -> impl Iterator<Item = (Node, Duration)> {
         self.known
             .values()
             .filter(move |known| known.direct || known.node.gossips())
@@ -197,9 +203,9 @@
 
     /// The last change.
     #[must_use]
-    pub fn mark(&self) -> DirectoryVersion {
+    pub fn version(&self) -> DirectoryVersion {
         DirectoryVersion {
-            run: self.run,
+            incarnation: self.incarnation,
             seq: self.seq,
         }
     }
--- a/crates/directory/src/process/view.rs
+++ b/crates/directory/src/process/view.rs
@@ -24,7 +24,7 @@
 /// host can be reached.
 #[derive(Debug, Default)]
 pub struct View {
-    mark: DirectoryVersion,
+    version: DirectoryVersion,
     nodes: BTreeMap<SocketAddrV4, Seen>,
 }
 
@@ -40,8 +40,8 @@
 impl View {
     /// What the next hello says is already known.
     #[must_use]
-    pub fn mark(&self) -> DirectoryVersion {
-        self.mark
+    pub fn version(&self) -> DirectoryVersion {
+        self.version
     }
 
     /// Applies news and returns what changed. DirectoryDelta that does not follow on
@@ -49,11 +49,12 @@
     pub fn apply(&mut self, news: DirectoryDelta, now: Instant) -> ViewChanges {
         let mut changes = ViewChanges::default();
         let starts_over = news.from == DirectoryVersion::default();
-        let repeated = news.to.run == self.mark.run && news.to.seq <= self.mark.seq;
-        if repeated || (!starts_over && news.from != self.mark) {
+        let repeated =
+            news.to.incarnation == self.version.incarnation && news.to.seq <= self.version.seq;
+        if repeated || (!starts_over && news.from != self.version) {
             return changes;
         }
-        self.mark = news.to;
+        self.version = news.to;
         if starts_over {
             for seen in self.nodes.values_mut() {
                 seen.forget_at.get_or_insert(now + DOUBT);
--- a/crates/directory/src/version/mod.rs
+++ b/crates/directory/src/version/mod.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct DirectoryVersion {
     /// The run of the control host; 0 for none.
-    pub run: u64,
+    pub incarnation: u64,
     /// Its last change that the reader has.
     pub seq: u64,
 }
@@ -42,7 +42,7 @@
     pub reply_to: SocketAddrV4,
     /// How far it has followed the directory of this control host; `None` while
     /// it asks several for one to use, and wants no news yet.
-    pub mark: Option<DirectoryVersion>,
+    pub version: Option<DirectoryVersion>,
 }
 
 /// What a control host is told.
@@ -63,16 +63,16 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HelloReply {
     /// The routing set in force, as far as the control host knows.
-    pub routes: SetNumber,
+    pub routing_set: SetNumber,
     /// Whether the control host hears the leader of its group.
     pub current: bool,
     /// ViewChanges of the directory, if any.
-    pub news: Option<DirectoryDelta>,
+    pub delta: Option<DirectoryDelta>,
     /// Other control hosts, for a node that wants no news yet.
-    pub hosts: Vec<SocketAddrV4>,
+    pub control_hosts: Vec<SocketAddrV4>,
     /// The last change of the directory.
-    pub mark: DirectoryVersion,
+    pub version: DirectoryVersion,
     /// Whether the directory lists all processes: the control host hears all
     /// others.
-    pub whole: bool,
+    pub complete: bool,
 }
--- a/crates/directory/tests/coverage.rs
+++ b/crates/directory/tests/coverage.rs
@@ -21,11 +21,15 @@
     for tick in 0..ticks {
         for host in [A, B] {
             if heard(tick, host) {
-                coverage.note(host, now);
+                coverage.record_contact(host, now);
             }
         }
-        coverage.review(&[A, B], current(tick), now);
-        whole = if coverage.is_whole(now) { whole + 1 } else { 0 };
+        coverage.update(&[A, B], current(tick), now);
+        whole = if coverage.is_complete(now) {
+            whole + 1
+        } else {
+            0
+        };
         now += TICK;
     }
     whole
@@ -62,14 +66,14 @@
     let mut now = Instant::now();
     let mut coverage = Coverage::new(now);
     for _ in 0..20 {
-        coverage.note(A, now);
-        coverage.review(&[A], true, now);
+        coverage.record_contact(A, now);
+        coverage.update(&[A], true, now);
         now += TICK;
     }
-    assert!(coverage.is_whole(now));
+    assert!(coverage.is_complete(now));
     now += Duration::from_secs(2);
-    assert!(!coverage.is_whole(now), "before it looks again");
-    coverage.note(A, now);
-    coverage.review(&[A], true, now);
-    assert!(!coverage.is_whole(now), "after it has looked");
+    assert!(!coverage.is_complete(now), "before it looks again");
+    coverage.record_contact(A, now);
+    coverage.update(&[A], true, now);
+    assert!(!coverage.is_complete(now), "after it has looked");
 }
--- a/crates/directory/tests/news.rs
+++ b/crates/directory/tests/news.rs
@@ -8,14 +8,14 @@
 
 fn node(n: u8, run: u64, seq: u64) -> Node {
     Node {
-        run,
+        incarnation: run,
         seq,
         ..Node::example(&format!("10.0.0.{n}:7000"))
     }
 }
 
 fn follow(view: &mut View, directory: &Directory, now: Instant) {
-    for news in directory.news(view.mark()) {
+    for news in directory.deltas_since(view.version()) {
         view.apply(news, now);
     }
 }
@@ -43,13 +43,14 @@
                 0 => drop(directory.expire(now)),
                 1 => follow(&mut view, &directory, now),
                 _ => drop(
-                    directory.note(node(n, u.int_in_range(1..=2)?, u.int_in_range(0..=3)?), now),
+                    directory
+                        .record_hello(node(n, u.int_in_range(1..=2)?, u.int_in_range(0..=3)?), now),
                 ),
             }
         }
         follow(&mut view, &directory, now);
         assert_eq!(known(&view), held(&directory));
-        assert!(directory.news(view.mark()).is_empty());
+        assert!(directory.deltas_since(view.version()).is_empty());
         Ok(())
     })
     .seed(0x11_0000_4000)
@@ -63,12 +64,12 @@
     let now = Instant::now();
     let mut old = Directory::new(1);
     for n in 1..=5 {
-        old.note(node(n, 1, 0), now);
+        old.record_hello(node(n, 1, 0), now);
     }
     let mut view = View::default();
     follow(&mut view, &old, now);
     let mut new = Directory::new(2);
-    new.note(node(1, 1, 0), now);
+    new.record_hello(node(1, 1, 0), now);
     follow(&mut view, &new, now);
     assert!(view.expire(now + NODE_LEASE).is_empty());
     assert_eq!(view.nodes().count(), 5);
@@ -80,8 +81,8 @@
 fn what_an_earlier_run_said_does_not_replace_a_later_one() {
     let now = Instant::now();
     let mut directory = Directory::new(1);
-    directory.note(node(1, 2, 0), now + Duration::from_secs(1));
-    let late = directory.note_heard(
+    directory.record_hello(node(1, 2, 0), now + Duration::from_secs(1));
+    let late = directory.record_relayed(
         node(1, 1, 9),
         Duration::from_secs(1),
         now + Duration::from_secs(1),
@@ -97,17 +98,17 @@
     let now = Instant::now();
     let mut directory = Directory::new(1);
     let control = Node {
-        part: NodeRole::Control {
+        role: NodeRole::Control {
             member: MemberId(3),
             formed: true,
             current: true,
         },
         ..node(1, 1, 0)
     };
-    directory.note_heard(control.clone(), Duration::from_millis(200), now);
-    directory.note_heard(node(2, 1, 0), Duration::from_millis(200), now);
+    directory.record_relayed(control.clone(), Duration::from_millis(200), now);
+    directory.record_relayed(node(2, 1, 0), Duration::from_millis(200), now);
     let told: Vec<Node> = directory
-        .heard(now.checked_sub(NODE_LEASE).unwrap(), now)
+        .heard_since(now.checked_sub(NODE_LEASE).unwrap(), now)
         .map(|(node, _)| node)
         .collect();
     assert_eq!(told, [control]);
@@ -118,14 +119,14 @@
 fn news_that_does_not_follow_on_is_left_out() {
     let now = Instant::now();
     let mut directory = Directory::new(1);
-    directory.note(node(1, 1, 0), now);
-    let first = directory.mark();
-    directory.note(node(2, 1, 0), now);
-    let later = directory.news(first);
+    directory.record_hello(node(1, 1, 0), now);
+    let first = directory.version();
+    directory.record_hello(node(2, 1, 0), now);
+    let later = directory.deltas_since(first);
     let mut view = View::default();
     for news in later {
         view.apply(news, now);
     }
-    assert_eq!(view.mark(), DirectoryVersion::default());
+    assert_eq!(view.version(), DirectoryVersion::default());
     assert_eq!(view.nodes().count(), 0);
 }
--- a/crates/relay/src/process/agent/neighbours.rs
+++ b/crates/relay/src/process/agent/neighbours.rs
@@ -52,7 +52,7 @@
             self.pool.remove(node.address);
         }
         for node in changes.changed {
-            let listens = match &node.part {
+            let listens = match &node.role {
                 NodeRole::Balancer => true,
                 NodeRole::Agent(service) => *service == self.cfg.service,
                 NodeRole::Control { .. } | NodeRole::Observer => false,
@@ -64,7 +64,7 @@
             self.audience.insert(node.address, near);
             let leaving = node.leaving;
             if let Some(known) = self.pool.get_mut(node.address) {
-                known.accepting &= !leaving || known.id != UpstreamId(node.run);
+                known.accepting &= !leaving || known.id != UpstreamId(node.incarnation);
             }
         }
     }
--- a/crates/relay/src/process/balancer.rs
+++ b/crates/relay/src/process/balancer.rs
@@ -366,12 +366,12 @@
 
     fn nodes_changed(&mut self, changes: ViewChanges, now: Instant) {
         for node in changes.changed {
-            if let NodeRole::Agent(service) = node.part.clone() {
+            if let NodeRole::Agent(service) = node.role.clone() {
                 self.agent_listed(&node, &service, now);
             }
         }
         for node in changes.removed {
-            if let NodeRole::Agent(_) = node.part {
+            if let NodeRole::Agent(_) = node.role {
                 self.listed.remove(&node.address);
             }
         }
@@ -381,11 +381,13 @@
         self.listed.insert(node.address);
         let pool = self.steering.pool(service);
         match pool.get_mut(node.address) {
-            Some(known) if known.id == UpstreamId(node.run) => known.accepting &= !node.leaving,
+            Some(known) if known.id == UpstreamId(node.incarnation) => {
+                known.accepting &= !node.leaving
+            }
             _ => pool.insert(
                 node.address,
                 Candidate {
-                    id: UpstreamId(node.run),
+                    id: UpstreamId(node.incarnation),
                     data_centre: node.data_centre.clone(),
                     slots: Slots(1),
                     // It takes flows once it has reported.
--- a/crates/relay/src/process/balancer_table.rs
+++ b/crates/relay/src/process/balancer_table.rs
@@ -42,7 +42,7 @@
             handovers.extend(self.removed(node));
         }
         for node in &changes.changed {
-            if node.part == NodeRole::Balancer {
+            if node.role == NodeRole::Balancer {
                 handovers.extend(self.changed(node));
             }
         }
@@ -61,14 +61,14 @@
 
     fn changed(&mut self, node: &Node) -> Option<Handover> {
         let known = Known {
-            run: node.run,
+            run: node.incarnation,
             data_centre: node.data_centre.clone(),
             leaving: node.leaving,
         };
         let former = self.known.insert(node.address, known);
-        let started = former.as_ref().is_none_or(|f| f.run != node.run);
+        let started = former.as_ref().is_none_or(|f| f.run != node.incarnation);
         if node.leaving {
-            let said_before = former.is_some_and(|f| f.leaving && f.run == node.run);
+            let said_before = former.is_some_and(|f| f.leaving && f.run == node.incarnation);
             return (!said_before).then(|| Handover {
                 from: [node.address].into(),
                 to: self.others(node.address, &node.data_centre),
--- a/crates/relay/src/process/sync.rs
+++ b/crates/relay/src/process/sync.rs
@@ -189,7 +189,7 @@
         let hello = ControlMessage::Hello(Hello {
             node: self.cfg.node.clone(),
             reply_to: self.cfg.reply_to,
-            mark: self.host.map(|_| self.view.mark()),
+            version: self.host.map(|_| self.view.version()),
         });
         match wire::encode(&hello) {
             Ok(datagram) => {
@@ -231,10 +231,10 @@
             }
         };
         if self.host.is_none() {
-            let holds_routes = reply.current || reply.routes > SetNumber(0);
+            let holds_routes = reply.current || reply.routing_set > SetNumber(0);
             if !holds_routes && now < self.seeking_since + PATIENCE {
                 // It may know where others are.
-                for host in reply.hosts {
+                for host in reply.control_hosts {
                     if self.introduced.len() < INTRODUCED && self.introduced.insert(host) {
                         self.hello_at = now;
                     }
@@ -251,7 +251,7 @@
             return;
         }
         self.heard = now;
-        if let Some(news) = reply.news {
+        if let Some(news) = reply.delta {
             let changes = self.view.apply(news, now);
             self.tell(changes).await;
         }
@@ -259,7 +259,7 @@
             self.current_at = now;
         }
         // News of the list may have been lost on its way here.
-        if reply.whole && self.view.mark() == reply.mark {
+        if reply.complete && self.view.version() == reply.version {
             // The receiver ends only with the process.
             let _ = self
                 .updates
@@ -267,7 +267,7 @@
                 .await;
         }
         self.prefer_current(now);
-        if self.cfg.needs_routing_set && reply.routes > self.have && !self.fetching {
+        if self.cfg.needs_routing_set && reply.routing_set > self.have && !self.fetching {
             self.fetch(from);
         }
     }
--- a/crates/relay/tests/handover.rs
+++ b/crates/relay/tests/handover.rs
@@ -7,7 +7,7 @@
 
 fn balancer(n: u8, run: u64, data_centre: &str, leaving: bool) -> Node {
     Node {
-        run,
+        incarnation: run,
         data_centre: data_centre.parse().unwrap(),
         leaving,
         ..Node::example(&format!("10.0.0.{n}:7082"))
--- a/crates/replica/src/process/nodes/form.rs
+++ b/crates/replica/src/process/nodes/form.rs
@@ -43,7 +43,7 @@
         let controls = self
             .directory
             .nodes()
-            .filter_map(|(node, _)| match node.part {
+            .filter_map(|(node, _)| match node.role {
                 NodeRole::Control { member, formed, .. } => Some((member, node.ip(), formed)),
                 _ => None,
             });
--- a/crates/replica/src/process/nodes/mod.rs
+++ b/crates/replica/src/process/nodes/mod.rs
@@ -140,10 +140,10 @@
         let now = Instant::now();
         let me = Node {
             address: cfg.node_address(),
-            run,
+            incarnation: run,
             seq: 0,
             data_centre: cfg.data_centre.clone(),
-            part: channels
+            role: channels
                 .member
                 .as_ref()
                 .map_or(NodeRole::Observer, Member::part),
@@ -224,8 +224,8 @@
         }
         member.standing.mark_unchanged();
         let part = member.part();
-        if self.me.part != part {
-            self.me.part = part;
+        if self.me.role != part {
+            self.me.role = part;
             self.me.seq += 1;
         }
     }
@@ -236,14 +236,14 @@
             Ok(ControlMessage::Hello(hello)) => self.hello(hello, now).await,
             Ok(ControlMessage::Relayed(heard)) => {
                 if let SocketAddr::V4(from) = from {
-                    self.coverage.note(*from.ip(), now);
+                    self.coverage.record_contact(*from.ip(), now);
                 }
                 let mut new = false;
                 for (node, age) in heard {
                     let age = Duration::from_millis(age);
                     // Each host speaks for itself.
                     if node.address != self.me.address {
-                        new |= self.directory.note_heard(node, age, now);
+                        new |= self.directory.record_relayed(node, age, now);
                     }
                 }
                 if new {
@@ -259,8 +259,8 @@
 
     async fn hello(&mut self, hello: Hello, now: Instant) {
         let address = hello.node.address;
-        let new = self.directory.note(hello.node.clone(), now);
-        if let Some(mark) = hello.mark {
+        let new = self.directory.record_hello(hello.node.clone(), now);
+        if let Some(mark) = hello.version {
             let subscriber = Subscriber {
                 reply_to: hello.reply_to,
                 mark,
@@ -274,8 +274,8 @@
         }
         if new {
             log::info!(
-                event = "node", address:% = address, run = hello.node.run,
-                part:? = hello.node.part, leaving = u64::from(hello.node.leaving);
+                event = "node", address:% = address, run = hello.node.incarnation,
+                part:? = hello.node.role, leaving = u64::from(hello.node.leaving);
                 "a node is new or has changed"
             );
             self.spread(vec![(hello.node, 0)]).await;
@@ -289,12 +289,12 @@
         let nodes = self.directory.nodes().map(|(node, _)| node);
         let hosts = nodes.filter(|node| node.is_control() && !node.leaving);
         HelloReply {
-            routes: self.history.borrow().number(),
+            routing_set: self.history.borrow().number(),
             current: self.me.is_current(),
-            news: None,
-            hosts: hosts.map(|node| node.address).take(INTRODUCED).collect(),
-            mark: self.directory.mark(),
-            whole: false,
+            delta: None,
+            control_hosts: hosts.map(|node| node.address).take(INTRODUCED).collect(),
+            version: self.directory.version(),
+            complete: false,
         }
     }
 
@@ -308,12 +308,12 @@
     async fn reply(&mut self, to: SocketAddrV4, always: bool) {
         let routes = self.history.borrow().number();
         let current = self.me.is_current();
-        let mark = self.directory.mark();
-        let whole = self.coverage.is_whole(Instant::now());
+        let mark = self.directory.version();
+        let whole = self.coverage.is_complete(Instant::now());
         let Some(subscriber) = self.subscribers.get_mut(&to) else {
             return;
         };
-        let mut news = self.directory.news(subscriber.mark);
+        let mut news = self.directory.deltas_since(subscriber.mark);
         if let Some(last) = news.last() {
             subscriber.mark = last.to;
         }
@@ -329,23 +329,23 @@
         self.send(
             to,
             &HelloReply {
-                routes,
+                routing_set: routes,
                 current,
-                news: first,
-                hosts: Vec::new(),
-                mark,
-                whole,
+                delta: first,
+                control_hosts: Vec::new(),
+                version: mark,
+                complete: whole,
             },
         )
         .await;
         for piece in news {
             let reply = HelloReply {
-                routes,
+                routing_set: routes,
                 current,
-                news: Some(piece),
-                hosts: Vec::new(),
-                mark,
-                whole,
+                delta: Some(piece),
+                control_hosts: Vec::new(),
+                version: mark,
+                complete: whole,
             };
             self.send(to, &reply).await;
         }
@@ -375,12 +375,12 @@
     async fn gossip(&mut self, now: Instant) {
         let eager = now < self.eager_until;
         self.gossip_at = now + if eager { EAGER_GOSSIP } else { GOSSIP };
-        self.directory.note(self.me.clone(), now);
+        self.directory.record_hello(self.me.clone(), now);
         let mut told: Vec<(Node, u64)> = vec![(self.me.clone(), 0)];
         if now >= self.repeated_at + REPEAT {
             let since = self.repeated_at;
             self.repeated_at = now;
-            let others = self.directory.heard(since, now);
+            let others = self.directory.heard_since(since, now);
             let others = others.filter(|(node, _)| node.address != self.me.address);
             told.extend(others.map(|(node, age)| (node, millis(age))));
         }
@@ -411,7 +411,7 @@
                 SocketAddr::V6(_) => None,
             })
             .collect();
-        self.coverage.review(&others, self.me.is_current(), now);
+        self.coverage.update(&others, self.me.is_current(), now);
     }
 
     fn report(&mut self, now: Instant) {
@@ -420,7 +420,7 @@
         let mut count = 0;
         for (node, at) in self.directory.nodes() {
             count += 1;
-            if let NodeRole::Control { member, .. } = node.part {
+            if let NodeRole::Control { member, .. } = node.role {
                 let address = SocketAddrV4::new(node.ip(), port).into();
                 let leaving = node.leaving;
                 heard.insert(
--- a/crates/replica/tests/hello.rs
+++ b/crates/replica/tests/hello.rs
@@ -54,7 +54,7 @@
             let hello = ControlMessage::Hello(Hello {
                 node,
                 reply_to,
-                mark,
+                version: mark,
             });
             let datagram = wire::encode(&hello).unwrap();
             socket.send_to(&datagram, host).await.unwrap();
@@ -62,23 +62,23 @@
         };
         for n in 1..=NODES {
             let reply = hello(n, None).await;
-            assert_eq!(reply.news, None, "node {n}");
-            assert!(!reply.whole);
+            assert_eq!(reply.delta, None, "node {n}");
+            assert!(!reply.complete);
         }
         // One that has chosen this host gets the list, in pieces.
         let mut known = hello(1, Some(DirectoryVersion::default()))
             .await
-            .news
+            .delta
             .unwrap();
         let mut count = known.changed.len();
         // The host lists itself too.
         while count < usize::from(NODES) + 1 {
             let reply = receive(&socket).await;
-            let news = reply.news.unwrap();
+            let news = reply.delta.unwrap();
             assert_eq!(news.from, known.to);
             count += news.changed.len();
             known = news;
-            assert_eq!(reply.mark.seq, u64::from(NODES) + 1);
+            assert_eq!(reply.version.seq, u64::from(NODES) + 1);
         }
         assert_eq!(known.to.seq, u64::from(NODES) + 1);
     });
