--- a/crates/flow/src/connection/key.rs
+++ b/crates/flow/src/connection/key.rs
@@ -7,17 +7,17 @@
 
 /// The two ends of a flow as the caller sees them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Key {
+pub struct FlowTuple {
     /// The caller's address.
     pub caller: SocketAddrV4,
     /// The address that the caller sends to.
     pub service: SocketAddrV4,
 }
 
-impl Key {
+impl FlowTuple {
     /// A hash that is equal on every host.
     #[must_use]
-    pub fn hash(&self) -> u64 {
+    pub fn stable_hash(&self) -> u64 {
         let mut bytes = [0; 12];
         bytes[..4].copy_from_slice(&self.caller.ip().octets());
         bytes[4..6].copy_from_slice(&self.caller.port().to_be_bytes());
@@ -27,7 +27,7 @@
     }
 }
 
-impl fmt::Display for Key {
+impl fmt::Display for FlowTuple {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}-{}", self.caller, self.service)
     }
--- a/crates/flow/src/connection/mod.rs
+++ b/crates/flow/src/connection/mod.rs
@@ -5,5 +5,5 @@
 mod segment;
 
 pub(crate) use flow::{Flow, Stage};
-pub use key::Key;
+pub use key::FlowTuple;
 pub use segment::Segment;
--- a/crates/flow/src/connection/segment.rs
+++ b/crates/flow/src/connection/segment.rs
@@ -2,7 +2,7 @@
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-use super::Key;
+use super::FlowTuple;
 
 /// The header of a datagram, as far as decisions need it.
 #[expect(clippy::struct_excessive_bools, reason = "each is a bit of the header")]
@@ -53,8 +53,8 @@
 impl Segment {
     /// The flow of a datagram that a caller wrote.
     #[must_use]
-    pub fn key_from_caller(&self) -> Key {
-        Key {
+    pub fn key_from_caller(&self) -> FlowTuple {
+        FlowTuple {
             caller: self.source,
             service: self.destination,
         }
@@ -62,8 +62,8 @@
 
     /// The flow of a datagram that an upstream wrote.
     #[must_use]
-    pub fn key_from_upstream(&self) -> Key {
-        Key {
+    pub fn key_from_upstream(&self) -> FlowTuple {
+        FlowTuple {
             caller: self.destination,
             service: self.source,
         }
--- a/crates/flow/src/lib.rs
+++ b/crates/flow/src/lib.rs
@@ -5,7 +5,7 @@
 //! remembers is lost with its process. The authority on a flow is therefore
 //! the agent beside its upstream, which sees both directions:
 //!
-//! - [`Holder`] is what an agent knows of the flows of its upstream. A datagram
+//! - [`FlowTable`] is what an agent knows of the flows of its upstream. A datagram
 //!   of a flow that it does not hold never reaches the upstream unasked.
 //! - [`Steering`] is what a balancer remembers. Its entries are hints: a wrong
 //!   one costs a retransmission, never a delivery to another upstream.
@@ -15,20 +15,20 @@
 //! the present instant and a [`Segment`] that a codec has read.
 //!
 //! ```
-//! use flow::{Holder, HolderSettings, Origin, Segment, Upstream, Verdict};
+//! use flow::{FlowTable, FlowTableSettings, Origin, Segment, Upstream, CallerAction};
 //! use std::time::Instant;
 //! use types::Slots;
 //!
 //! let now = Instant::now();
-//! let mut holder = Holder::new(HolderSettings::default(), now);
-//! holder.set_upstream(Some(Upstream::ready(7, Slots(2))), now);
+//! let mut holder = FlowTable::new(FlowTableSettings::default(), now);
+//! holder.set_upstream(Some(UpstreamStatus::ready(7, Slots(2))), now);
 //! let opening = Segment {
 //!     source: "100.64.0.7:40001".parse().unwrap(),
 //!     destination: "198.18.0.1:443".parse().unwrap(),
 //!     opens: true,
 //!     ..Segment::default()
 //! };
-//! assert_eq!(holder.caller_datagram(&opening, Origin::Placed, now), Verdict::Deliver);
+//! assert_eq!(holder.caller_datagram(&opening, Origin::Placed, now), CallerAction::Deliver);
 //!
 //! // A datagram of a flow that was never opened here is not delivered.
 //! let other = Segment {
@@ -36,14 +36,15 @@
 //!     opens: false,
 //!     ..opening
 //! };
-//! assert_eq!(holder.caller_datagram(&other, Origin::Placed, now), Verdict::NotHeld);
+//! assert_eq!(holder.caller_datagram(&other, Origin::Placed, now), CallerAction::NotHeld);
 //! ```
 
 pub mod connection;
 pub mod process;
 
-pub use connection::{Key, Segment};
+pub use connection::{FlowTuple, Segment};
 pub use process::{
-    Allowance, Candidate, Claim, Dropped, Ended, FromUpstream, Holder, HolderSettings, Load,
-    Origin, Pool, Question, Release, Steer, Steering, SteeringSettings, Upstream, Verdict,
+    Allowance, CallerAction, Candidate, Claim, Dropped, Ended, FlowTable, FlowTableSettings, Load,
+    Origin, Pool, Question, Release, Steer, Steering, SteeringSettings, UpstreamAction,
+    UpstreamStatus,
 };
--- a/crates/flow/src/process/holder.rs
+++ b/crates/flow/src/process/flow_table.rs
@@ -10,46 +10,46 @@
 use types::Slots;
 
 use crate::{
-    Key, Segment,
+    FlowTuple, Segment,
     connection::{Flow, Stage},
 };
 
-/// Times and bounds of a [`Holder`].
+/// Times and bounds of a [`FlowTable`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct HolderSettings {
+pub struct FlowTableSettings {
     /// A flow without a datagram for this long is forgotten. Above the time
     /// after which the ends of a flow discard it.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// A closed flow is kept for this long, for copies of its last datagrams.
-    pub linger: Duration,
+    pub linger_timeout: Duration,
     /// After a start, flows that the upstream may hold from before are looked
     /// for during this time: the longest pause of an open flow.
-    pub relearn: Duration,
+    pub recovery_period: Duration,
     /// An upstream that left an opening datagram unanswered for this long
     /// counts as silent. A living one answers within a few milliseconds.
-    pub silence: Duration,
+    pub response_timeout: Duration,
     /// A silent upstream is given one opening datagram in this time.
-    pub probe: Duration,
+    pub probe_interval: Duration,
     /// Flows kept at most; beyond that nothing new is accepted.
-    pub flows: usize,
+    pub max_flows: usize,
 }
 
-impl Default for HolderSettings {
+impl Default for FlowTableSettings {
     fn default() -> Self {
-        HolderSettings {
-            idle: Duration::from_mins(1),
-            linger: Duration::from_secs(4),
-            relearn: Duration::from_mins(1),
-            silence: Duration::from_millis(150),
-            probe: Duration::from_millis(600),
-            flows: 100_000,
+        FlowTableSettings {
+            idle_timeout: Duration::from_mins(1),
+            linger_timeout: Duration::from_secs(4),
+            recovery_period: Duration::from_mins(1),
+            response_timeout: Duration::from_millis(150),
+            probe_interval: Duration::from_millis(600),
+            max_flows: 100_000,
         }
     }
 }
 
 /// What an agent is told of its upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Upstream {
+pub struct UpstreamStatus {
     /// Differs for each run of the upstream; `None` while it has not announced
     /// itself and is only known to listen.
     pub incarnation: Option<u64>,
@@ -59,36 +59,36 @@
     pub accepting: bool,
     /// It started before its agent, so it may hold flows that the agent has
     /// never seen.
-    pub precedes_agent: bool,
+    pub started_before_agent: bool,
     /// It is slow after its start until then.
-    pub cold_until: Option<Instant>,
+    pub slow_start_until: Option<Instant>,
 }
 
-impl Upstream {
+impl UpstreamStatus {
     /// An upstream that listens and has not announced itself yet. An agent that
     /// has restarted need not wait for that to give it flows.
     #[must_use]
     pub fn listening() -> Self {
         /// As few slots as an upstream may have and still serve two callers.
         const ASSUMED: Slots = Slots(2);
-        Upstream {
+        UpstreamStatus {
             incarnation: None,
             slots: ASSUMED,
             accepting: true,
-            precedes_agent: true,
-            cold_until: None,
+            started_before_agent: true,
+            slow_start_until: None,
         }
     }
 
     /// An upstream that takes flows, is not cold and started with its agent.
     #[must_use]
     pub fn ready(incarnation: u64, slots: Slots) -> Self {
-        Upstream {
+        UpstreamStatus {
             incarnation: Some(incarnation),
             slots,
             accepting: true,
-            precedes_agent: false,
-            cold_until: None,
+            started_before_agent: false,
+            slow_start_until: None,
         }
     }
 }
@@ -109,7 +109,7 @@
 
 /// What to do with a datagram of a caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum CallerAction {
     /// Give it to the upstream.
     Deliver,
     /// Give it to a peer: the upstream takes no new flow, or is full.
@@ -122,7 +122,7 @@
 
 /// What to do with a datagram of the upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum FromUpstream {
+pub enum UpstreamAction {
     /// Send it to the caller. `learned` is set if the flow was not known: the
     /// balancer that asked should be told.
     ToCaller {
@@ -155,19 +155,19 @@
 pub struct Load {
     /// Requests that wait for the first byte of their answer, and new flows
     /// whose request is still to come.
-    pub busy: u32,
+    pub busy_requests: u32,
     /// Open flows.
-    pub flows: u32,
+    pub open_flows: u32,
 }
 
 /// The flows of an upstream. See the [crate] documentation.
 #[derive(Debug)]
-pub struct Holder {
-    settings: HolderSettings,
-    upstream: Option<Upstream>,
+pub struct FlowTable {
+    settings: FlowTableSettings,
+    upstream: Option<UpstreamStatus>,
     /// Flows that the upstream may hold unseen are looked for until then.
     relearn_until: Instant,
-    flows: BTreeMap<Key, Flow>,
+    flows: BTreeMap<FlowTuple, Flow>,
     /// The first opening datagram that the upstream has not answered, since
     /// its last sign of life.
     unanswered: Option<Instant>,
@@ -175,14 +175,14 @@
     probed: Option<Instant>,
 }
 
-impl Holder {
+impl FlowTable {
     /// Holds nothing yet.
     #[must_use]
-    pub fn new(settings: HolderSettings, now: Instant) -> Self {
-        Holder {
+    pub fn new(settings: FlowTableSettings, now: Instant) -> Self {
+        FlowTable {
             settings,
             upstream: None,
-            relearn_until: now + settings.relearn,
+            relearn_until: now + settings.recovery_period,
             flows: BTreeMap::new(),
             unanswered: None,
             probed: None,
@@ -190,7 +190,7 @@
     }
 
     /// Notes what is known of the upstream. Flows of an earlier run of it are lost.
-    pub fn set_upstream(&mut self, upstream: Option<Upstream>, now: Instant) {
+    pub fn set_upstream(&mut self, upstream: Option<UpstreamStatus>, now: Instant) {
         let known = self.upstream.and_then(|upstream| upstream.incarnation);
         let present = upstream.and_then(|upstream| upstream.incarnation);
         if known.is_some() && present.is_some() && known != present {
@@ -200,7 +200,7 @@
             }
             self.unanswered = None;
         }
-        if upstream.is_some_and(|upstream| !upstream.precedes_agent) {
+        if upstream.is_some_and(|upstream| !upstream.started_before_agent) {
             self.relearn_until = now;
         }
         self.upstream = upstream;
@@ -208,26 +208,26 @@
 
     /// What is known of the upstream.
     #[must_use]
-    pub fn upstream(&self) -> Option<&Upstream> {
+    pub fn upstream(&self) -> Option<&UpstreamStatus> {
         self.upstream.as_ref()
     }
 
     /// Whether the upstream left an opening datagram unanswered for too long.
     #[must_use]
-    pub fn is_silent(&self, now: Instant) -> bool {
-        let limit = self.settings.silence;
+    pub fn is_unresponsive(&self, now: Instant) -> bool {
+        let limit = self.settings.response_timeout;
         self.unanswered.is_some_and(|since| now >= since + limit)
     }
 
     /// Whether new flows may be given to the upstream.
     #[must_use]
-    pub fn accepts(&self, now: Instant) -> bool {
+    pub fn accepts_new_flows(&self, now: Instant) -> bool {
         let accepting = self.upstream.is_some_and(|upstream| upstream.accepting);
-        accepting && self.flows.len() < self.settings.flows && !self.is_silent(now)
+        accepting && self.flows.len() < self.settings.max_flows && !self.is_unresponsive(now)
     }
 
     /// Decides about a datagram of a caller.
-    pub fn caller_datagram(&mut self, seg: &Segment, origin: Origin, now: Instant) -> Verdict {
+    pub fn caller_datagram(&mut self, seg: &Segment, origin: Origin, now: Instant) -> CallerAction {
         if seg.is_opening() {
             return self.opening(seg, origin, now);
         }
@@ -237,21 +237,21 @@
         };
         flow.last = now;
         if !flow.fits(seg) {
-            return Verdict::NotHeld;
+            return CallerAction::NotHeld;
         }
         match flow.stage {
             Stage::Opening | Stage::Open | Stage::Closed | Stage::Tried => {
                 flow.note_caller(seg);
                 flow.note_end();
-                Verdict::Deliver
+                CallerAction::Deliver
             }
-            Stage::Lost if seg.resets => Verdict::NotHeld,
-            Stage::Lost => Verdict::Reset,
-            Stage::Foreign => Verdict::NotHeld,
+            Stage::Lost if seg.resets => CallerAction::NotHeld,
+            Stage::Lost => CallerAction::Reset,
+            Stage::Foreign => CallerAction::NotHeld,
         }
     }
 
-    fn opening(&mut self, seg: &Segment, origin: Origin, now: Instant) -> Verdict {
+    fn opening(&mut self, seg: &Segment, origin: Origin, now: Instant) -> CallerAction {
         let key = seg.key_from_caller();
         if let Some(flow) = self.flows.get_mut(&key)
             && flow.opening == Some(seg.seq)
@@ -259,18 +259,18 @@
         {
             // A copy. A silent upstream will not answer this one either.
             flow.last = now;
-            return if self.is_silent(now) {
-                Verdict::PassOn
+            return if self.is_unresponsive(now) {
+                CallerAction::PassOn
             } else {
-                Verdict::Deliver
+                CallerAction::Deliver
             };
         }
         let probes = self.may_probe(now);
-        if !self.accepts(now) && !probes {
-            return Verdict::PassOn;
+        if !self.accepts_new_flows(now) && !probes {
+            return CallerAction::PassOn;
         }
         if origin == Origin::Placed && self.is_full(now) {
-            return Verdict::PassOn;
+            return CallerAction::PassOn;
         }
         if probes {
             self.probed = Some(now);
@@ -281,14 +281,14 @@
             ..Flow::new(Stage::Opening, now)
         };
         self.flows.insert(key, flow);
-        Verdict::Deliver
+        CallerAction::Deliver
     }
 
     /// Whether a silent upstream gets an opening datagram, to see if it is back.
     fn may_probe(&self, now: Instant) -> bool {
         let accepting = self.upstream.is_some_and(|upstream| upstream.accepting);
-        let pause = self.settings.probe;
-        accepting && self.is_silent(now) && self.probed.is_none_or(|at| now >= at + pause)
+        let pause = self.settings.probe_interval;
+        accepting && self.is_unresponsive(now) && self.probed.is_none_or(|at| now >= at + pause)
     }
 
     /// Takes back the record of an opening datagram that went to a peer because
@@ -302,17 +302,17 @@
         self.flows.insert(seg.key_from_caller(), flow);
     }
 
-    fn unknown(&mut self, seg: &Segment, origin: Origin, now: Instant) -> Verdict {
+    fn unknown(&mut self, seg: &Segment, origin: Origin, now: Instant) -> CallerAction {
         // A balancer whose hint says that this agent holds the flow had it
         // confirmed, or placed its opening here, before this process started.
         let trusted = matches!(origin, Origin::Held | Origin::Tried);
         if !trusted || !self.is_relearning(now) || seg.resets {
-            return Verdict::NotHeld;
+            return CallerAction::NotHeld;
         }
         let mut flow = Flow::new(Stage::Tried, now);
         flow.note_caller(seg);
         self.flows.insert(seg.key_from_caller(), flow);
-        Verdict::Deliver
+        CallerAction::Deliver
     }
 
     /// Whether the upstream may hold flows that were never seen here. Every
@@ -323,13 +323,13 @@
 
     /// Whether a datagram of the flow was tried and the upstream has not reacted.
     #[must_use]
-    pub fn is_tried(&self, key: &Key) -> bool {
+    pub fn is_tried(&self, key: &FlowTuple) -> bool {
         let flow = self.flows.get(key);
         flow.is_some_and(|flow| flow.stage == Stage::Tried)
     }
 
     /// Notes the balancer that took a datagram of a flow from its caller.
-    pub fn set_via(&mut self, key: &Key, via: SocketAddrV4) {
+    pub fn set_via(&mut self, key: &FlowTuple, via: SocketAddrV4) {
         if let Some(flow) = self.flows.get_mut(key) {
             flow.via = Some(via);
         }
@@ -338,19 +338,20 @@
     /// The open flows whose last datagram came by way of a balancer that `by`
     /// accepts, those in use last first and `most` at most.
     #[must_use]
-    pub fn flows_via(&self, by: impl Fn(SocketAddrV4) -> bool, most: usize) -> Vec<Key> {
+    pub fn flows_via(&self, by: impl Fn(SocketAddrV4) -> bool, most: usize) -> Vec<FlowTuple> {
         let open = self.flows.iter().filter(|(_, flow)| {
             let held = matches!(flow.stage, Stage::Opening | Stage::Open);
             held && flow.via.is_some_and(&by)
         });
-        let mut open: Vec<(Instant, Key)> = open.map(|(key, flow)| (flow.last, *key)).collect();
+        let mut open: Vec<(Instant, FlowTuple)> =
+            open.map(|(key, flow)| (flow.last, *key)).collect();
         open.sort_unstable_by(|a, b| b.cmp(a));
         open.into_iter().take(most).map(|(_, key)| key).collect()
     }
 
     /// Answers a balancer that looks for the holder of a flow.
     #[must_use]
-    pub fn claim(&self, key: &Key, seg: &Segment, now: Instant) -> Claim {
+    pub fn claim(&self, key: &FlowTuple, seg: &Segment, now: Instant) -> Claim {
         match self.flows.get(key) {
             Some(flow) if !flow.fits(seg) => Claim::No,
             Some(flow) => match flow.stage {
@@ -364,7 +365,7 @@
     }
 
     /// Decides about a datagram of the upstream.
-    pub fn upstream_datagram(&mut self, seg: &Segment, now: Instant) -> FromUpstream {
+    pub fn upstream_datagram(&mut self, seg: &Segment, now: Instant) -> UpstreamAction {
         self.unanswered = None;
         if seg.bounced {
             return self.bounced(seg, now);
@@ -377,7 +378,7 @@
         if learned && seg.resets {
             // Says only that the flow is unknown or over.
             self.flows.remove(&key);
-            return FromUpstream::ToCaller { learned: false };
+            return UpstreamAction::ToCaller { learned: false };
         }
         let flow = self
             .flows
@@ -397,35 +398,35 @@
             flow.waiting = false;
         }
         flow.note_end();
-        FromUpstream::ToCaller { learned }
+        UpstreamAction::ToCaller { learned }
     }
 
-    fn bounced(&mut self, seg: &Segment, now: Instant) -> FromUpstream {
+    fn bounced(&mut self, seg: &Segment, now: Instant) -> UpstreamAction {
         let key = seg.key_from_caller();
         let Some(flow) = self.flows.get_mut(&key) else {
-            return FromUpstream::Drop;
+            return UpstreamAction::Drop;
         };
         flow.last = now;
         flow.waiting = false;
         if seg.is_opening() {
             if flow.stage == Stage::Opening {
                 self.flows.remove(&key);
-                return FromUpstream::PassOn;
+                return UpstreamAction::PassOn;
             }
-            return FromUpstream::Drop;
+            return UpstreamAction::Drop;
         }
         match flow.stage {
             Stage::Tried => {
                 flow.stage = Stage::Foreign;
-                FromUpstream::NotHeld
+                UpstreamAction::NotHeld
             }
             // The upstream had agreed to the flow: it has restarted since.
             Stage::Open if !seg.resets => {
                 flow.stage = Stage::Lost;
-                FromUpstream::Reset
+                UpstreamAction::Reset
             }
             Stage::Opening | Stage::Open | Stage::Closed | Stage::Lost | Stage::Foreign => {
-                FromUpstream::Drop
+                UpstreamAction::Drop
             }
         }
     }
@@ -437,7 +438,7 @@
         let Some(upstream) = &self.upstream else {
             return Slots(0);
         };
-        let cold = upstream.cold_until.is_some_and(|until| now < until);
+        let cold = upstream.slow_start_until.is_some_and(|until| now < until);
         if cold {
             Slots(upstream.slots.0.div_ceil(2))
         } else {
@@ -448,7 +449,7 @@
     /// Whether the upstream has as many requests as slots.
     #[must_use]
     pub fn is_full(&self, now: Instant) -> bool {
-        self.load(now).busy >= self.slots(now).0
+        self.load(now).busy_requests >= self.slots(now).0
     }
 
     /// The work of the upstream.
@@ -461,10 +462,11 @@
         for flow in self.flows.values() {
             let fresh = flow.caller_seq.is_none() && now < flow.opened_at + OPENING;
             match flow.stage {
-                Stage::Opening if fresh => load.busy += 1,
+                Stage::Opening if fresh => load.busy_requests += 1,
                 Stage::Open => {
-                    load.flows += 1;
-                    load.busy += u32::from(flow.waiting || (fresh && flow.opening.is_some()));
+                    load.open_flows += 1;
+                    load.busy_requests +=
+                        u32::from(flow.waiting || (fresh && flow.opening.is_some()));
                 }
                 _ => {}
             }
@@ -486,8 +488,8 @@
         let cfg = self.settings;
         self.flows.retain(|_, flow| {
             let keep = match flow.stage {
-                Stage::Open | Stage::Tried => cfg.idle,
-                Stage::Opening | Stage::Closed | Stage::Lost | Stage::Foreign => cfg.linger,
+                Stage::Open | Stage::Tried => cfg.idle_timeout,
+                Stage::Opening | Stage::Closed | Stage::Lost | Stage::Foreign => cfg.linger_timeout,
             };
             now < flow.last + keep
         });
--- a/crates/flow/src/process/pool.rs
+++ b/crates/flow/src/process/pool.rs
@@ -149,7 +149,7 @@
     #[must_use]
     pub fn has_free(&self, except: &[SocketAddrV4], now: Instant) -> bool {
         self.agents.iter().any(|(address, c)| {
-            let free = c.load.busy + c.placed < c.slots.0;
+            let free = c.load.busy_requests + c.placed < c.slots.0;
             free && c.accepting && Self::is_fresh(c, now) && !except.contains(address)
         })
     }
@@ -157,8 +157,8 @@
 
 fn cost(candidate: &Candidate, near: &DataCentre) -> f64 {
     let slots = f64::from(candidate.slots.0.max(1));
-    let requests = f64::from(candidate.load.busy + candidate.placed);
-    let flows = f64::from(candidate.load.flows) * OPEN_FLOW;
+    let requests = f64::from(candidate.load.busy_requests + candidate.placed);
+    let flows = f64::from(candidate.load.open_flows) * OPEN_FLOW;
     let way = if candidate.data_centre == *near {
         0.0
     } else {
--- a/crates/flow/src/process/steering/mod.rs
+++ b/crates/flow/src/process/steering/mod.rs
@@ -15,7 +15,7 @@
 use types::{DataCentre, RoutingSet, ServiceName};
 
 use super::{Allowance, Origin, Pool};
-use crate::{Key, Segment};
+use crate::{FlowTuple, Segment};
 
 /// Times and bounds of a [`Steering`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -87,10 +87,10 @@
     near: DataCentre,
     routes: Option<RoutingSet>,
     pools: BTreeMap<ServiceName, Pool>,
-    hints: BTreeMap<Key, Hint>,
-    searches: BTreeMap<Key, Search>,
+    hints: BTreeMap<FlowTuple, Hint>,
+    searches: BTreeMap<FlowTuple, Search>,
     /// Agents that were tried for a flow and may not hold it.
-    tried: BTreeMap<Key, Tries>,
+    tried: BTreeMap<FlowTuple, Tries>,
     /// Questions of searches that widen.
     questions: Allowance,
     /// All processes are listed until then, if the list was ever complete.
@@ -178,13 +178,13 @@
                 };
             }
         }
-        let Some(service) = rule.service(key.hash()).cloned() else {
+        let Some(service) = rule.service(key.stable_hash()).cloned() else {
             return Steer::Drop(Dropped::NoAgent);
         };
         self.place(key, seg, service, now)
     }
 
-    fn without_rule(&mut self, key: &Key, seg: &Segment) -> Steer {
+    fn without_rule(&mut self, key: &FlowTuple, seg: &Segment) -> Steer {
         // A flow that is not known here may belong to a set that this balancer
         // has yet to learn: only flows that were steered here are broken off.
         let known = self.hints.remove(key).is_some();
@@ -195,13 +195,19 @@
         }
     }
 
-    fn place(&mut self, key: Key, seg: &Segment, service: ServiceName, now: Instant) -> Steer {
+    fn place(
+        &mut self,
+        key: FlowTuple,
+        seg: &Segment,
+        service: ServiceName,
+        now: Instant,
+    ) -> Steer {
         let former = self.hints.get(&key).filter(|h| h.opening == Some(seg.seq));
         let except: Vec<SocketAddrV4> = former.map(|hint| hint.agent).into_iter().collect();
         let Some(pool) = self.pools.get_mut(&service) else {
             return Steer::Drop(Dropped::NoAgent);
         };
-        let hash = key.hash();
+        let hash = key.stable_hash();
         let placed = pool.place(&self.near, hash, &except, now);
         let Some(agent) = placed.or_else(|| pool.place(&self.near, hash, &[], now)) else {
             return Steer::Drop(Dropped::NoAgent);
@@ -220,13 +226,13 @@
         }
     }
 
-    fn remember(&mut self, key: Key, hint: Hint) {
+    fn remember(&mut self, key: FlowTuple, hint: Hint) {
         if self.hints.len() < self.settings.hints || self.hints.contains_key(&key) {
             self.hints.insert(key, hint);
         }
     }
 
-    fn continue_flow(&mut self, key: Key, payload: &Bytes, now: Instant) -> Steer {
+    fn continue_flow(&mut self, key: FlowTuple, payload: &Bytes, now: Instant) -> Steer {
         if let Some(hint) = self.hints.get_mut(&key) {
             hint.last = now;
             return Steer::To {
@@ -239,7 +245,7 @@
     }
 
     /// The services that the address of a flow leads to.
-    fn services_of(&self, key: Key) -> Vec<&ServiceName> {
+    fn services_of(&self, key: FlowTuple) -> Vec<&ServiceName> {
         let routes = self.routes.as_ref();
         let rule = routes.and_then(|routes| routes.rules.get(&SocketAddr::V4(key.service)));
         let parts = rule.into_iter().flat_map(|rule| rule.parts.keys());
@@ -248,8 +254,8 @@
 
     /// The agents of the services that the address leads to, the likeliest
     /// holders first.
-    fn agents_for(&self, key: &Key) -> Vec<(SocketAddrV4, ServiceName)> {
-        let hash = key.hash();
+    fn agents_for(&self, key: &FlowTuple) -> Vec<(SocketAddrV4, ServiceName)> {
+        let hash = key.stable_hash();
         self.services_of(*key)
             .into_iter()
             .filter_map(|service| Some((service, self.pools.get(service)?)))
@@ -263,7 +269,7 @@
     /// Notes that an agent took a flow, and returns the datagrams that waited.
     pub fn held(
         &mut self,
-        key: Key,
+        key: FlowTuple,
         agent: SocketAddrV4,
         service: &ServiceName,
         now: Instant,
@@ -295,7 +301,7 @@
     /// newer.
     pub fn told(
         &mut self,
-        keys: Vec<Key>,
+        keys: Vec<FlowTuple>,
         agent: SocketAddrV4,
         service: &ServiceName,
         now: Instant,
--- a/crates/flow/src/process/steering/search.rs
+++ b/crates/flow/src/process/steering/search.rs
@@ -10,11 +10,11 @@
 use types::ServiceName;
 
 use super::{Dropped, Ended, Question, Release, Steer, Steering};
-use crate::{Claim, Key, Origin};
+use crate::{Claim, FlowTuple, Origin};
 
 #[derive(Debug)]
 pub(super) struct Search {
-    key: Key,
+    key: FlowTuple,
     until: Instant,
     /// Agents that are asked next, if nobody claims the flow; the likeliest first.
     others: Vec<(SocketAddrV4, ServiceName)>,
@@ -54,7 +54,7 @@
 }
 impl Steering {
     /// Looks for the holder of a flow, or lets a datagram wait for a search.
-    pub(super) fn search(&mut self, key: Key, payload: Bytes, now: Instant) -> Steer {
+    pub(super) fn search(&mut self, key: FlowTuple, payload: Bytes, now: Instant) -> Steer {
         if let Some(search) = self.searches.get_mut(&key) {
             if search.parked.len() >= self.settings.parked {
                 return Steer::Drop(Dropped::Busy);
@@ -92,7 +92,7 @@
     /// Notes an agent's answer to a question for a flow.
     pub fn claimed(
         &mut self,
-        key: Key,
+        key: FlowTuple,
         agent: SocketAddrV4,
         claim: Claim,
         now: Instant,
@@ -117,7 +117,7 @@
 
     /// Notes an answer that came after its search: the way may take longer than
     /// a search waits.
-    fn claimed_late(&mut self, key: Key, agent: SocketAddrV4, claim: Claim, now: Instant) {
+    fn claimed_late(&mut self, key: FlowTuple, agent: SocketAddrV4, claim: Claim, now: Instant) {
         if claim != Claim::Holds || self.hints.contains_key(&key) {
             return;
         }
@@ -132,7 +132,7 @@
     /// searches for the holder with the datagram that came back.
     pub fn not_held(
         &mut self,
-        key: Key,
+        key: FlowTuple,
         agent: SocketAddrV4,
         payload: Bytes,
         now: Instant,
@@ -149,7 +149,7 @@
     /// its first datagram, and the caller sends the rest again.
     pub fn end_searches(&mut self, now: Instant) -> Ended {
         let settings = self.settings;
-        let due: Vec<Key> = self
+        let due: Vec<FlowTuple> = self
             .searches
             .iter()
             .filter(|(_, search)| now >= search.until)
@@ -217,7 +217,7 @@
         agents.collect()
     }
 
-    fn tries(&mut self, key: Key, now: Instant) -> &mut Tries {
+    fn tries(&mut self, key: FlowTuple, now: Instant) -> &mut Tries {
         self.tried.entry(key).or_insert(Tries {
             agents: BTreeSet::new(),
             since: now,
@@ -226,13 +226,13 @@
     }
 
     /// Whether another agent may be tried for a flow.
-    fn may_try(&self, key: &Key, now: Instant) -> bool {
+    fn may_try(&self, key: &FlowTuple, now: Instant) -> bool {
         self.tried.get(key).is_none_or(|tries| {
             tries.agents.len() < self.settings.tries || now >= tries.since + self.settings.tries_per
         })
     }
 
-    fn try_one(&mut self, key: Key, search: &Search, now: Instant) -> Option<Release> {
+    fn try_one(&mut self, key: FlowTuple, search: &Search, now: Instant) -> Option<Release> {
         let settings = self.settings;
         // An agent of another service may hold a flow, but is not tried for it.
         let likely = self.agents_for(&key);
--- a/crates/flow/tests/common/mod.rs
+++ b/crates/flow/tests/common/mod.rs
@@ -8,7 +8,8 @@
 
 use bytes::Bytes;
 use flow::{
-    Candidate, Holder, HolderSettings, Load, Segment, Steering, SteeringSettings, Upstream,
+    Candidate, FlowTable, FlowTableSettings, Load, Segment, Steering, SteeringSettings,
+    UpstreamStatus,
 };
 use types::{Part, RoutingDelta, RoutingSet, Rule, SetNumber, Slots, UpstreamId};
 
@@ -140,9 +141,9 @@
 }
 
 /// An agent's holder beside a ready upstream of 4 slots.
-pub fn holder() -> (Holder, Instant) {
+pub fn holder() -> (FlowTable, Instant) {
     let now = Instant::now();
-    let mut holder = Holder::new(HolderSettings::default(), now);
-    holder.set_upstream(Some(Upstream::ready(7, Slots(4))), now);
+    let mut holder = FlowTable::new(FlowTableSettings::default(), now);
+    holder.set_upstream(Some(UpstreamStatus::ready(7, Slots(4))), now);
     (holder, now)
 }
--- a/crates/flow/tests/holder.rs
+++ b/crates/flow/tests/flow_table.rs
@@ -5,20 +5,23 @@
 use std::time::Duration;
 
 use common::{agreement, answer, bounced, data, holder, opening};
-use flow::{Claim, FromUpstream, Holder, HolderSettings, Origin, Segment, Upstream, Verdict};
+use flow::{
+    CallerAction, Claim, FlowTable, FlowTableSettings, Origin, Segment, UpstreamAction,
+    UpstreamStatus,
+};
 use types::Slots;
 
 /// First number of the upstream in these tests.
 const FIRST: u32 = 5000;
 
 /// A holder with the open flow of caller 1.
-fn open() -> (Holder, std::time::Instant) {
+fn open() -> (FlowTable, std::time::Instant) {
     let (mut holder, now) = holder();
     assert_eq!(
         holder.caller_datagram(&opening(1), Origin::Placed, now),
-        Verdict::Deliver
+        CallerAction::Deliver
     );
-    let to_caller = FromUpstream::ToCaller { learned: false };
+    let to_caller = UpstreamAction::ToCaller { learned: false };
     assert_eq!(
         holder.upstream_datagram(&agreement(1, FIRST), now),
         to_caller
@@ -31,7 +34,7 @@
 fn a_datagram_of_an_unknown_flow_is_not_delivered() {
     let (mut holder, now) = holder();
     let verdict = holder.caller_datagram(&data(1, 101, 1), Origin::Placed, now);
-    assert_eq!(verdict, Verdict::NotHeld);
+    assert_eq!(verdict, CallerAction::NotHeld);
 }
 
 /// Guards against the case where two upstreams answer copies of one opening:
@@ -42,18 +45,18 @@
 fn a_caller_that_goes_on_with_another_upstream_is_not_delivered() {
     let (mut holder, now) = open();
     let cases = [
-        (FIRST + 1, Verdict::Deliver),
-        (FIRST, Verdict::Deliver),
-        (FIRST + 3, Verdict::NotHeld),
-        (FIRST + (1 << 20), Verdict::NotHeld),
-        (FIRST - 1, Verdict::NotHeld),
+        (FIRST + 1, CallerAction::Deliver),
+        (FIRST, CallerAction::Deliver),
+        (FIRST + 3, CallerAction::NotHeld),
+        (FIRST + (1 << 20), CallerAction::NotHeld),
+        (FIRST - 1, CallerAction::NotHeld),
     ];
     for (ack, expected) in cases {
         let seg = data(1, 101, ack);
         let verdict = holder.caller_datagram(&seg, Origin::Held, now);
         assert_eq!(verdict, expected, "acknowledges {ack}");
         let claim = holder.claim(&seg.key_from_caller(), &seg, now);
-        let holds = if expected == Verdict::Deliver {
+        let holds = if expected == CallerAction::Deliver {
             Claim::Holds
         } else {
             Claim::No
@@ -71,7 +74,7 @@
     holder.upstream_datagram(&answer(1, FIRST + 1), now);
     holder.upstream_datagram(&agreement(1, FIRST), now);
     let verdict = holder.caller_datagram(&data(1, 101, FIRST + 11), Origin::Held, now);
-    assert_eq!(verdict, Verdict::Deliver);
+    assert_eq!(verdict, CallerAction::Deliver);
 }
 
 /// Guards against agents that offer to take any flow because they have just
@@ -82,16 +85,16 @@
     let seg = data(1, 101, FIRST + 1);
     assert_eq!(holder.claim(&seg.key_from_caller(), &seg, now), Claim::No);
     let verdict = holder.caller_datagram(&seg, Origin::Tried, now);
-    assert_eq!(verdict, Verdict::NotHeld);
+    assert_eq!(verdict, CallerAction::NotHeld);
 }
 
 /// A holder whose agent has restarted.
-fn beside_an_older_upstream() -> (Holder, std::time::Instant) {
+fn beside_an_older_upstream() -> (FlowTable, std::time::Instant) {
     let now = std::time::Instant::now();
-    let mut holder = Holder::new(HolderSettings::default(), now);
-    let upstream = Upstream {
-        precedes_agent: true,
-        ..Upstream::ready(7, Slots(4))
+    let mut holder = FlowTable::new(FlowTableSettings::default(), now);
+    let upstream = UpstreamStatus {
+        started_before_agent: true,
+        ..UpstreamStatus::ready(7, Slots(4))
     };
     holder.set_upstream(Some(upstream), now);
     (holder, now)
@@ -104,23 +107,23 @@
     let (mut holder, now) = open();
     holder.upstream_datagram(&answer(1, FIRST + 1), now);
     let verdict = holder.caller_datagram(&data(1, 101, FIRST + 11), Origin::Held, now);
-    assert_eq!(verdict, Verdict::Deliver);
+    assert_eq!(verdict, CallerAction::Deliver);
 }
 
 /// Guards against work for a leaving upstream, and for one that has gone.
 #[test]
 fn a_leaving_upstream_gets_no_new_flow_and_keeps_its_own() {
     let (mut holder, now) = open();
-    let leaving = Upstream {
+    let leaving = UpstreamStatus {
         accepting: false,
-        ..Upstream::ready(7, Slots(4))
+        ..UpstreamStatus::ready(7, Slots(4))
     };
     for upstream in [Some(leaving), None] {
         holder.set_upstream(upstream, now);
         let verdict = holder.caller_datagram(&opening(2), Origin::Placed, now);
-        assert_eq!(verdict, Verdict::PassOn);
+        assert_eq!(verdict, CallerAction::PassOn);
         let verdict = holder.caller_datagram(&data(1, 101, FIRST + 1), Origin::Held, now);
-        assert_eq!(verdict, Verdict::Deliver);
+        assert_eq!(verdict, CallerAction::Deliver);
     }
 }
 
@@ -128,9 +131,9 @@
 #[test]
 fn flows_of_an_earlier_run_are_broken_off() {
     let (mut holder, now) = open();
-    holder.set_upstream(Some(Upstream::ready(8, Slots(4))), now);
+    holder.set_upstream(Some(UpstreamStatus::ready(8, Slots(4))), now);
     let verdict = holder.caller_datagram(&data(1, 101, FIRST + 1), Origin::Held, now);
-    assert_eq!(verdict, Verdict::Reset);
+    assert_eq!(verdict, CallerAction::Reset);
     let seg = data(3, 101, 1);
     assert_eq!(holder.claim(&seg.key_from_caller(), &seg, now), Claim::No);
 }
@@ -141,22 +144,22 @@
     let (mut holder, now) = holder();
     assert_eq!(
         holder.caller_datagram(&opening(1), Origin::Placed, now),
-        Verdict::Deliver
+        CallerAction::Deliver
     );
     let later = now + Duration::from_millis(200);
-    assert!(holder.is_silent(later));
+    assert!(holder.is_unresponsive(later));
     assert_eq!(
         holder.caller_datagram(&opening(2), Origin::Placed, later),
-        Verdict::Deliver
+        CallerAction::Deliver
     );
     assert_eq!(
         holder.caller_datagram(&opening(3), Origin::Placed, later),
-        Verdict::PassOn
+        CallerAction::PassOn
     );
     holder.upstream_datagram(&agreement(2, FIRST), later);
     assert_eq!(
         holder.caller_datagram(&opening(4), Origin::Placed, later),
-        Verdict::Deliver
+        CallerAction::Deliver
     );
 }
 
@@ -172,11 +175,11 @@
     assert!(holder.is_full(now));
     assert_eq!(
         holder.caller_datagram(&opening(5), Origin::Placed, now),
-        Verdict::PassOn
+        CallerAction::PassOn
     );
     assert_eq!(
         holder.caller_datagram(&opening(5), Origin::Passed, now),
-        Verdict::Deliver
+        CallerAction::Deliver
     );
 }
 
@@ -190,10 +193,10 @@
     assert_eq!(holder.claim(&key, &seg, now), Claim::Perhaps);
     assert_eq!(
         holder.caller_datagram(&seg, Origin::Tried, now),
-        Verdict::Deliver
+        CallerAction::Deliver
     );
     assert!(holder.is_tried(&key));
-    let learned = FromUpstream::ToCaller { learned: true };
+    let learned = UpstreamAction::ToCaller { learned: true };
     assert_eq!(
         holder.upstream_datagram(&answer(1, FIRST + 1), now),
         learned
@@ -203,16 +206,16 @@
     let seg = data(2, 101, FIRST + 1);
     assert_eq!(
         holder.caller_datagram(&seg, Origin::Tried, now),
-        Verdict::Deliver
+        CallerAction::Deliver
     );
     assert_eq!(
         holder.upstream_datagram(&bounced(seg), now),
-        FromUpstream::NotHeld
+        UpstreamAction::NotHeld
     );
     assert_eq!(holder.claim(&seg.key_from_caller(), &seg, now), Claim::No);
     assert_eq!(
         holder.caller_datagram(&seg, Origin::Tried, now),
-        Verdict::NotHeld
+        CallerAction::NotHeld
     );
 }
 
@@ -224,11 +227,11 @@
     let seg = data(1, 101, FIRST + 1);
     assert_eq!(
         holder.upstream_datagram(&bounced(seg), now),
-        FromUpstream::Reset
+        UpstreamAction::Reset
     );
     assert_eq!(
         holder.caller_datagram(&seg, Origin::Held, now),
-        Verdict::Reset
+        CallerAction::Reset
     );
 }
 
@@ -238,19 +241,19 @@
     let (mut holder, now) = holder();
     holder.caller_datagram(&opening(1), Origin::Placed, now);
     let back = bounced(opening(1));
-    assert_eq!(holder.upstream_datagram(&back, now), FromUpstream::PassOn);
-    assert_eq!(holder.upstream_datagram(&back, now), FromUpstream::Drop);
+    assert_eq!(holder.upstream_datagram(&back, now), UpstreamAction::PassOn);
+    assert_eq!(holder.upstream_datagram(&back, now), UpstreamAction::Drop);
 }
 
 /// Guards against memory that grows with every flow that ever was.
 #[test]
 fn idle_and_closed_flows_are_forgotten() {
     let (mut holder, now) = open();
-    let settings = HolderSettings::default();
-    holder.expire(now + settings.idle / 2);
-    assert_eq!(holder.load(now).flows, 1);
-    holder.expire(now + settings.idle);
-    assert_eq!(holder.load(now).flows, 0);
+    let settings = FlowTableSettings::default();
+    holder.expire(now + settings.idle_timeout / 2);
+    assert_eq!(holder.load(now).open_flows, 1);
+    holder.expire(now + settings.idle_timeout);
+    assert_eq!(holder.load(now).open_flows, 0);
 }
 
 /// Guards against a cold upstream that is given as much as a warm one.
@@ -258,9 +261,9 @@
 fn a_cold_upstream_is_given_half() {
     let (mut holder, now) = holder();
     let warm_at = now + Duration::from_secs(2);
-    let cold = Upstream {
-        cold_until: Some(warm_at),
-        ..Upstream::ready(7, Slots(7))
+    let cold = UpstreamStatus {
+        slow_start_until: Some(warm_at),
+        ..UpstreamStatus::ready(7, Slots(7))
     };
     holder.set_upstream(Some(cold), now);
     assert_eq!(holder.slots(now), Slots(4));
--- a/crates/flow/tests/placement.rs
+++ b/crates/flow/tests/placement.rs
@@ -22,8 +22,8 @@
         let mut candidate = agent(now);
         candidate.data_centre = data_centre.parse().unwrap();
         candidate.load = Load {
-            busy: *busy,
-            flows: 0,
+            busy_requests: *busy,
+            open_flows: 0,
         };
         pool.insert(address(*n), candidate);
     }
--- a/crates/relay/src/connection/message.rs
+++ b/crates/relay/src/connection/message.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddrV4, time::Instant};
 
 use bytes::Bytes;
-use flow::{Candidate, Claim, Key, Load, Origin};
+use flow::{Candidate, Claim, FlowTuple, Load, Origin};
 use serde::{Deserialize, Serialize};
 use twox_hash::XxHash64;
 use types::{DataCentre, ServiceName, Slots, UpstreamId};
@@ -53,14 +53,14 @@
     /// Answers [`Message::Ask`].
     Claim {
         /// The flow.
-        key: Key,
+        key: FlowTuple,
         /// The answer.
         claim: Claim,
     },
     /// The sender has taken a flow that was not placed at it.
     Taken {
         /// The flow.
-        key: Key,
+        key: FlowTuple,
         /// The sender's service.
         service: ServiceName,
     },
@@ -72,7 +72,7 @@
         /// The sender's service.
         service: ServiceName,
         /// The flows.
-        keys: Vec<Key>,
+        keys: Vec<FlowTuple>,
     },
 }
 
--- a/crates/relay/src/process/agent/mod.rs
+++ b/crates/relay/src/process/agent/mod.rs
@@ -9,7 +9,10 @@
 };
 
 use bytes::Bytes;
-use flow::{FromUpstream, Holder, HolderSettings, Key, Origin, Pool, Segment, Upstream, Verdict};
+use flow::{
+    CallerAction, FlowTable, FlowTableSettings, FlowTuple, Origin, Pool, Segment, UpstreamAction,
+    UpstreamStatus,
+};
 use prometheus::Registry;
 use tokio::{
     net::UdpSocket,
@@ -52,14 +55,14 @@
     /// Where the agent is.
     pub data_centre: DataCentre,
     /// Times and bounds of its decisions.
-    pub holder: HolderSettings,
+    pub holder: FlowTableSettings,
 }
 
 /// What an agent is told of its upstream.
 #[derive(Debug)]
 pub struct UpstreamUpdate {
     /// The upstream; `None` once it has gone.
-    pub upstream: Option<Upstream>,
+    pub upstream: Option<UpstreamStatus>,
     /// Told once it is in force.
     pub applied: oneshot::Sender<()>,
 }
@@ -69,7 +72,7 @@
     cfg: AgentSettings,
     tag: ServiceTag,
     codec: C,
-    holder: Holder,
+    holder: FlowTable,
     /// The other agents of the service.
     pool: Pool,
     audience: Audience,
@@ -82,9 +85,9 @@
     stop: watch::Receiver<bool>,
     leaving: bool,
     /// Balancers that wait to hear whether a flow that was tried is held.
-    tried_by: BTreeMap<Key, SocketAddrV4>,
+    tried_by: BTreeMap<FlowTuple, SocketAddrV4>,
     /// How the opening datagrams that the upstream may return came here.
-    openings: BTreeMap<Key, Opening>,
+    openings: BTreeMap<FlowTuple, Opening>,
     expire_at: Instant,
     metrics: Metrics,
 }
@@ -126,7 +129,7 @@
         Ok(Agent {
             tag: ServiceTag::of(&cfg.service),
             codec,
-            holder: Holder::new(cfg.holder, now),
+            holder: FlowTable::new(cfg.holder, now),
             pool: Pool::default(),
             audience: Audience::new(now),
             balancers: BalancerTable::default(),
@@ -186,7 +189,7 @@
         let now = Instant::now();
         let before = self.holder.upstream().copied();
         self.holder.set_upstream(update.upstream, now);
-        let state = |upstream: Option<Upstream>| upstream.map(|u| (u.incarnation, u.accepting));
+        let state = |upstream: Option<UpstreamStatus>| upstream.map(|u| (u.incarnation, u.accepting));
         if state(before) != state(update.upstream) {
             log::info!(
                 event = "upstream",
@@ -202,7 +205,7 @@
     }
 
     fn accepts(&self, now: Instant) -> bool {
-        !self.leaving && self.holder.accepts(now)
+        !self.leaving && self.holder.accepts_new_flows(now)
     }
 
     async fn on_peer(&mut self, datagram: &[u8], from: SocketAddrV4) {
@@ -279,19 +282,19 @@
         let key = seg.key_from_caller();
         let leaves = self.leaving && seg.is_opening();
         let verdict = if leaves {
-            Verdict::PassOn
+            CallerAction::PassOn
         } else {
             self.holder.caller_datagram(&seg, arrival.origin, now)
         };
         self.holder.set_via(&key, arrival.via);
         match verdict {
-            Verdict::Deliver => self.deliver(&seg, arrival, now).await,
-            Verdict::PassOn => self.pass_on(&seg, arrival, now).await,
-            Verdict::NotHeld => {
+            CallerAction::Deliver => self.deliver(&seg, arrival, now).await,
+            CallerAction::PassOn => self.pass_on(&seg, arrival, now).await,
+            CallerAction::NotHeld => {
                 log::info!(event = "not_held", flow:% = key, origin:? = arrival.origin; "flow is not held here");
                 self.not_held(arrival.via, arrival.payload).await;
             }
-            Verdict::Reset => self.reset(&seg, "upstream_restarted").await,
+            CallerAction::Reset => self.reset(&seg, "upstream_restarted").await,
         }
     }
 
@@ -301,7 +304,7 @@
             let load = self.holder.load(now);
             log::info!(
                 event = "opened", flow:% = key, copy = seg.ack, origin:? = arrival.origin,
-                busy = load.busy, flows = load.flows; "new flow given to the upstream"
+                busy = load.busy_requests, flows = load.open_flows; "new flow given to the upstream"
             );
             self.metrics.flows.with_label_values(&["opened"]).inc();
             if arrival.origin == Origin::Passed {
@@ -339,7 +342,7 @@
             declined.len() <= MAX_DECLINED && (!full || self.pool.has_free(&declined, now));
         let peer = if willing {
             self.pool
-                .place(&self.cfg.data_centre, key.hash(), &declined, now)
+                .place(&self.cfg.data_centre, key.stable_hash(), &declined, now)
         } else {
             None
         };
@@ -391,7 +394,7 @@
             return;
         };
         match self.holder.upstream_datagram(&seg, now) {
-            FromUpstream::ToCaller { learned } => {
+            UpstreamAction::ToCaller { learned } => {
                 let key = seg.key_from_upstream();
                 if learned {
                     self.learned(key).await;
@@ -401,7 +404,7 @@
                 // A datagram may be lost anyway.
                 let _ = self.callers.send_to(datagram, to).await;
             }
-            FromUpstream::PassOn => {
+            UpstreamAction::PassOn => {
                 let key = seg.key_from_caller();
                 self.codec.clear_bounce(datagram);
                 let opening = self.openings.remove(&key);
@@ -418,7 +421,7 @@
                 log::info!(event = "bounced", flow:% = key; "upstream did not take a new flow");
                 self.bounced_opening(&seg, arrival, now).await;
             }
-            FromUpstream::NotHeld => {
+            UpstreamAction::NotHeld => {
                 let key = seg.key_from_caller();
                 log::info!(event = "not_held", flow:% = key; "upstream returned a datagram that was tried");
                 if let Some(via) = self.tried_by.remove(&key) {
@@ -426,8 +429,8 @@
                     self.not_held(via, Bytes::copy_from_slice(datagram)).await;
                 }
             }
-            FromUpstream::Reset => self.reset(&seg, "upstream_lost_flow").await,
-            FromUpstream::Drop => {}
+            UpstreamAction::Reset => self.reset(&seg, "upstream_lost_flow").await,
+            UpstreamAction::Drop => {}
         }
     }
 
@@ -436,7 +439,7 @@
     async fn bounced_opening(&mut self, seg: &Segment, arrival: Arrival, now: Instant) {
         let mut declined = arrival.declined.clone();
         declined.push(self.cfg.peer_address);
-        let (near, hash) = (&self.cfg.data_centre, seg.key_from_caller().hash());
+        let (near, hash) = (&self.cfg.data_centre, seg.key_from_caller().stable_hash());
         let peer = if declined.len() <= MAX_DECLINED {
             self.pool.place(near, hash, &declined, now)
         } else {
@@ -449,7 +452,7 @@
     }
 
     /// Tells the balancer that asked that a flow is held here.
-    async fn learned(&mut self, key: Key) {
+    async fn learned(&mut self, key: FlowTuple) {
         self.metrics.flows.with_label_values(&["learned"]).inc();
         log::info!(event = "learned", flow:% = key; "the upstream holds a flow that was not known");
         if let Some(via) = self.tried_by.remove(&key) {
--- a/crates/relay/src/process/agent/neighbours.rs
+++ b/crates/relay/src/process/agent/neighbours.rs
@@ -28,7 +28,7 @@
         if listeners.is_empty() {
             return;
         }
-        self.metrics.busy.set(i64::from(load.busy));
+        self.metrics.busy.set(i64::from(load.busy_requests));
         let report = Message::Report(AgentReport {
             run: self.cfg.run,
             data_centre: self.cfg.data_centre.clone(),
@@ -103,12 +103,12 @@
         }
         self.expire_at = now + EXPIRE;
         self.holder.expire(now);
-        let linger = self.cfg.holder.linger;
+        let linger = self.cfg.holder.linger_timeout;
         self.openings.retain(|_, opening| now < opening.at + linger);
         let holder = &self.holder;
         self.tried_by.retain(|key, _| holder.is_tried(key));
         self.pool.retain(|_, agent| Pool::is_fresh(agent, now));
-        let flows = self.holder.load(now).flows;
+        let flows = self.holder.load(now).open_flows;
         self.metrics.known.set(i64::from(flows));
     }
 }
