--- a/crates/flow/src/lib.rs
+++ b/crates/flow/src/lib.rs
@@ -9,7 +9,7 @@
 //!   of a flow that it does not hold never reaches the upstream unasked.
 //! - [`Steering`] is what a balancer remembers. Its entries are hints: a wrong
 //!   one costs a retransmission, never a delivery to another upstream.
-//! - [`Pool`] chooses the agent of a new flow by data centre and free slots.
+//! - [`AgentPool`] chooses the agent of a new flow by data centre and free slots.
 //!
 //! The crate has no sockets, clock, randomness or encoding: the caller passes
 //! the present instant and a [`Segment`] that a codec has read.
@@ -44,7 +44,7 @@
 
 pub use connection::{FlowTuple, Segment};
 pub use process::{
-    Allowance, CallerAction, Candidate, Claim, Dropped, Ended, FlowTable, FlowTableSettings, Load,
-    Origin, Pool, Question, Release, Steer, Steering, SteeringSettings, UpstreamAction,
-    UpstreamStatus,
+    AgentPool, AgentStatus, CallerAction, Claim, DropReason, FlowQuery, FlowTable,
+    FlowTableSettings, Load, Origin, RateLimiter, ReleasedDatagram, SearchResults, Steering,
+    SteeringDecision, SteeringSettings, UpstreamAction, UpstreamStatus,
 };
--- a/crates/flow/src/process/pool.rs
+++ b/crates/flow/src/process/agent_pool.rs
@@ -13,7 +13,7 @@
 
 /// What is known of an agent that may take new flows.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Candidate {
+pub struct AgentStatus {
     /// The run of the agent.
     pub id: UpstreamId,
     /// Where the agent is.
@@ -25,9 +25,9 @@
     /// Its last report.
     pub load: Load,
     /// When it reported.
-    pub reported: Instant,
+    pub reported_at: Instant,
     /// Flows placed there since its last report.
-    pub placed: u32,
+    pub placed_since_report: u32,
 }
 
 /// A report counts as fresh for this long; agents report at least twice in it.
@@ -49,13 +49,13 @@
 
 /// The agents of a service.
 #[derive(Debug, Default)]
-pub struct Pool {
-    agents: BTreeMap<SocketAddrV4, Candidate>,
+pub struct AgentPool {
+    agents: BTreeMap<SocketAddrV4, AgentStatus>,
 }
 
-impl Pool {
+impl AgentPool {
     /// Adds an agent or replaces what is known of it.
-    pub fn insert(&mut self, address: SocketAddrV4, candidate: Candidate) {
+    pub fn insert(&mut self, address: SocketAddrV4, candidate: AgentStatus) {
         self.agents.insert(address, candidate);
     }
 
@@ -66,17 +66,17 @@
 
     /// What is known of an agent.
     #[must_use]
-    pub fn get(&self, address: SocketAddrV4) -> Option<&Candidate> {
+    pub fn get(&self, address: SocketAddrV4) -> Option<&AgentStatus> {
         self.agents.get(&address)
     }
 
     /// What is known of an agent, to change it.
-    pub fn get_mut(&mut self, address: SocketAddrV4) -> Option<&mut Candidate> {
+    pub fn get_mut(&mut self, address: SocketAddrV4) -> Option<&mut AgentStatus> {
         self.agents.get_mut(&address)
     }
 
     /// Keeps the agents that `keep` accepts.
-    pub fn retain(&mut self, mut keep: impl FnMut(SocketAddrV4, &Candidate) -> bool) {
+    pub fn retain(&mut self, mut keep: impl FnMut(SocketAddrV4, &AgentStatus) -> bool) {
         self.agents.retain(|address, agent| keep(*address, agent));
     }
 
@@ -87,15 +87,15 @@
 
     /// Whether an agent that takes new flows has reported lately.
     #[must_use]
-    pub fn is_usable(&self, now: Instant) -> bool {
-        let usable = |agent: &Candidate| agent.accepting && Self::is_fresh(agent, now);
+    pub fn has_available_agent(&self, now: Instant) -> bool {
+        let usable = |agent: &AgentStatus| agent.accepting && Self::has_recent_report(agent, now);
         self.agents.values().any(usable)
     }
 
     /// Whether a candidate reported lately.
     #[must_use]
-    pub fn is_fresh(candidate: &Candidate, now: Instant) -> bool {
-        now < candidate.reported + FRESH
+    pub fn has_recent_report(candidate: &AgentStatus, now: Instant) -> bool {
+        now < candidate.reported_at + FRESH
     }
 
     /// Chooses an agent that takes new flows and is not in `except`, and counts
@@ -108,8 +108,8 @@
         except: &[SocketAddrV4],
         now: Instant,
     ) -> Option<SocketAddrV4> {
-        let willing = |address: &SocketAddrV4, c: &Candidate| {
-            c.accepting && !except.contains(address) && Self::is_fresh(c, now)
+        let willing = |address: &SocketAddrV4, c: &AgentStatus| {
+            c.accepting && !except.contains(address) && Self::has_recent_report(c, now)
         };
         let any_fresh = self.agents.iter().any(|(a, c)| willing(a, c));
         let open: Vec<(SocketAddrV4, f64)> = self
@@ -129,14 +129,14 @@
                 (is_near, preference(hash, *address))
             })?;
         if let Some(candidate) = self.agents.get_mut(&address) {
-            candidate.placed += 1;
+            candidate.placed_since_report += 1;
         }
         Some(address)
     }
 
     /// Agents in the order in which they are likely to hold a flow of this hash
     /// that was placed by a balancer in `near`.
-    pub fn likely(&self, near: &DataCentre, hash: u64) -> Vec<SocketAddrV4> {
+    pub fn by_preference(&self, near: &DataCentre, hash: u64) -> Vec<SocketAddrV4> {
         let mut agents: Vec<_> = self.agents.iter().collect();
         agents.sort_by_key(|(address, candidate)| {
             let far = candidate.data_centre != *near;
@@ -147,17 +147,17 @@
 
     /// Whether some agent but `except` has a free slot by its last report.
     #[must_use]
-    pub fn has_free(&self, except: &[SocketAddrV4], now: Instant) -> bool {
+    pub fn has_free_slot(&self, except: &[SocketAddrV4], now: Instant) -> bool {
         self.agents.iter().any(|(address, c)| {
-            let free = c.load.busy_requests + c.placed < c.slots.0;
-            free && c.accepting && Self::is_fresh(c, now) && !except.contains(address)
+            let free = c.load.busy_requests + c.placed_since_report < c.slots.0;
+            free && c.accepting && Self::has_recent_report(c, now) && !except.contains(address)
         })
     }
 }
 
-fn cost(candidate: &Candidate, near: &DataCentre) -> f64 {
+fn cost(candidate: &AgentStatus, near: &DataCentre) -> f64 {
     let slots = f64::from(candidate.slots.0.max(1));
-    let requests = f64::from(candidate.load.busy_requests + candidate.placed);
+    let requests = f64::from(candidate.load.busy_requests + candidate.placed_since_report);
     let flows = f64::from(candidate.load.open_flows) * OPEN_FLOW;
     let way = if candidate.data_centre == *near {
         0.0
--- a/crates/flow/src/process/mod.rs
+++ b/crates/flow/src/process/mod.rs
@@ -1,13 +1,16 @@
 //! What lasts as long as a process.
 
-mod allowance;
+mod agent_pool;
 mod flow_table;
-mod pool;
+mod rate_limiter;
 mod steering;
 
-pub use allowance::Allowance;
+pub use agent_pool::{AgentPool, AgentStatus};
 pub use flow_table::{
     CallerAction, Claim, FlowTable, FlowTableSettings, Load, Origin, UpstreamAction, UpstreamStatus,
 };
-pub use pool::{Candidate, Pool};
-pub use steering::{Dropped, Ended, Question, Release, Steer, Steering, SteeringSettings};
+pub use rate_limiter::RateLimiter;
+pub use steering::{
+    DropReason, FlowQuery, ReleasedDatagram, SearchResults, Steering, SteeringDecision,
+    SteeringSettings,
+};
--- a/crates/flow/src/process/allowance.rs
+++ b/crates/flow/src/process/rate_limiter.rs
@@ -5,18 +5,18 @@
 /// A bound on how often something is done in a second. What is not used within
 /// a second is lost.
 #[derive(Debug)]
-pub struct Allowance {
+pub struct RateLimiter {
     per_second: u32,
     /// The allowance is whole again at this instant; never more than a second
     /// ahead of the last call.
     whole_at: Option<Instant>,
 }
 
-impl Allowance {
+impl RateLimiter {
     /// An allowance that nothing was taken from.
     #[must_use]
     pub fn new(per_second: u32) -> Self {
-        Allowance {
+        RateLimiter {
             per_second,
             whole_at: None,
         }
@@ -24,7 +24,7 @@
 
     /// Takes `count` if that much is left. A `count` above a whole allowance
     /// is given when nothing was taken for a second.
-    pub fn take(&mut self, count: usize, now: Instant) -> bool {
+    pub fn try_acquire(&mut self, count: usize, now: Instant) -> bool {
         let second = Duration::from_secs(1);
         let whole_at = self.whole_at.map_or(now, |at| at.max(now));
         let count = u32::try_from(count).unwrap_or(u32::MAX);
--- a/crates/flow/src/process/steering/mod.rs
+++ b/crates/flow/src/process/steering/mod.rs
@@ -10,62 +10,62 @@
 };
 
 use bytes::Bytes;
-pub use outcome::{Dropped, Ended, Question, Release, Steer};
+pub use outcome::{DropReason, FlowQuery, ReleasedDatagram, SearchResults, SteeringDecision};
 use search::{Search, Tries};
 use types::{DataCentre, RoutingSet, ServiceName};
 
-use super::{Allowance, Origin, Pool};
+use super::{AgentPool, Origin, RateLimiter};
 use crate::{FlowTuple, Segment};
 
 /// Times and bounds of a [`Steering`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SteeringSettings {
     /// Hints kept at most. Beyond that new flows are steered without one.
-    pub hints: usize,
+    pub max_hints: usize,
     /// A hint that was not used for this long is forgotten.
-    pub idle: Duration,
+    pub hint_idle_timeout: Duration,
     /// Time for agents to claim a flow: twice the way to the farthest agent of
     /// a region, and time to answer.
-    pub search: Duration,
+    pub search_timeout: Duration,
     /// Agents that are asked first, because they are the likeliest holders.
     /// Only if none of them claims the flow are others asked, each time as
     /// many as before times `wider`: to ask all for each flow fills a thin link
     /// when there are many agents.
-    pub first: usize,
+    pub initial_fanout: usize,
     /// See `first`.
-    pub wider: usize,
+    pub fanout_factor: usize,
     /// Agents that may be asked in a second by searches that widen. Searches
     /// beyond that end with the likeliest agents: after a loss of all processes
     /// there is one for each open flow, and their questions would fill the link.
-    pub questions: u32,
+    pub max_queries_per_second: u32,
     /// Searches under way at most.
-    pub searches: usize,
+    pub max_searches: usize,
     /// Datagrams of one flow that wait for its holder: a window of the sender.
-    pub parked: usize,
+    pub max_queued_per_flow: usize,
     /// Agents that may hold a flow and are tried within `tries_per`. A flow
     /// that reaches three wrong upstreams in that time counts as broken.
-    pub tries: usize,
+    pub max_tries: usize,
     /// See `tries`.
-    pub tries_per: Duration,
+    pub tries_window: Duration,
     /// Pause after a search that found nothing, before the next one for the
     /// same flow. A caller sends again after 200 ms, then ever more rarely.
-    pub pause: Duration,
+    pub search_backoff: Duration,
 }
 
 impl Default for SteeringSettings {
     fn default() -> Self {
         SteeringSettings {
-            hints: 200_000,
-            idle: Duration::from_mins(1),
-            search: Duration::from_millis(30),
-            first: 3,
-            wider: 3,
-            questions: 20_000,
-            searches: 512,
-            parked: 16,
-            tries: 2,
-            tries_per: Duration::from_millis(2500),
-            pause: Duration::from_millis(300),
+            max_hints: 200_000,
+            hint_idle_timeout: Duration::from_mins(1),
+            search_timeout: Duration::from_millis(30),
+            initial_fanout: 3,
+            fanout_factor: 3,
+            max_queries_per_second: 20_000,
+            max_searches: 512,
+            max_queued_per_flow: 16,
+            max_tries: 2,
+            tries_window: Duration::from_millis(2500),
+            search_backoff: Duration::from_millis(300),
         }
     }
 }
@@ -86,13 +86,13 @@
     settings: SteeringSettings,
     near: DataCentre,
     routes: Option<RoutingSet>,
-    pools: BTreeMap<ServiceName, Pool>,
+    pools: BTreeMap<ServiceName, AgentPool>,
     hints: BTreeMap<FlowTuple, Hint>,
     searches: BTreeMap<FlowTuple, Search>,
     /// Agents that were tried for a flow and may not hold it.
     tried: BTreeMap<FlowTuple, Tries>,
     /// Questions of searches that widen.
-    questions: Allowance,
+    questions: RateLimiter,
     /// All processes are listed until then, if the list was ever complete.
     whole_until: Option<Instant>,
 }
@@ -102,7 +102,7 @@
     #[must_use]
     pub fn new(settings: SteeringSettings, near: DataCentre) -> Self {
         Steering {
-            questions: Allowance::new(settings.questions),
+            questions: RateLimiter::new(settings.max_queries_per_second),
             settings,
             near,
             routes: None,
@@ -126,7 +126,7 @@
     }
 
     /// Notes that all processes are listed, so that no agent is unknown here.
-    pub fn set_whole(&mut self, until: Instant) {
+    pub fn set_directory_complete_until(&mut self, until: Instant) {
         self.whole_until = Some(until);
     }
 
@@ -135,12 +135,12 @@
     }
 
     /// The agents of a service.
-    pub fn pool(&mut self, service: &ServiceName) -> &mut Pool {
+    pub fn pool(&mut self, service: &ServiceName) -> &mut AgentPool {
         self.pools.entry(service.clone()).or_default()
     }
 
     /// The agents of all services.
-    pub fn pools_mut(&mut self) -> impl Iterator<Item = &mut Pool> {
+    pub fn pools_mut(&mut self) -> impl Iterator<Item = &mut AgentPool> {
         self.pools.values_mut()
     }
 
@@ -149,14 +149,18 @@
     /// fabric, which may still reach it.
     #[must_use]
     pub fn can_place(&self, now: Instant) -> bool {
-        self.routes.is_some() && self.pools.values().any(|pool| pool.is_usable(now))
+        self.routes.is_some()
+            && self
+                .pools
+                .values()
+                .any(|pool| pool.has_available_agent(now))
     }
 
     /// Decides about a datagram of a caller.
-    pub fn steer(&mut self, seg: &Segment, payload: &Bytes, now: Instant) -> Steer {
+    pub fn steer(&mut self, seg: &Segment, payload: &Bytes, now: Instant) -> SteeringDecision {
         let key = seg.key_from_caller();
         let Some(routes) = &self.routes else {
-            return Steer::Drop(Dropped::NoRoutes);
+            return SteeringDecision::Drop(DropReason::NoRoutes);
         };
         let Some(rule) = routes.rules.get(&SocketAddr::V4(key.service)) else {
             return self.without_rule(&key, seg);
@@ -169,9 +173,9 @@
         {
             let pool = self.pools.get(&hint.service);
             let agent = pool.and_then(|pool| pool.get(hint.agent));
-            if agent.is_some_and(|a| a.accepting && Pool::is_fresh(a, now)) {
+            if agent.is_some_and(|a| a.accepting && AgentPool::has_recent_report(a, now)) {
                 hint.last = now;
-                return Steer::To {
+                return SteeringDecision::Forward {
                     agent: hint.agent,
                     origin: Origin::Placed,
                     service: hint.service.clone(),
@@ -179,19 +183,19 @@
             }
         }
         let Some(service) = rule.service(key.stable_hash()).cloned() else {
-            return Steer::Drop(Dropped::NoAgent);
+            return SteeringDecision::Drop(DropReason::NoAgent);
         };
         self.place(key, seg, service, now)
     }
 
-    fn without_rule(&mut self, key: &FlowTuple, seg: &Segment) -> Steer {
+    fn without_rule(&mut self, key: &FlowTuple, seg: &Segment) -> SteeringDecision {
         // A flow that is not known here may belong to a set that this balancer
         // has yet to learn: only flows that were steered here are broken off.
         let known = self.hints.remove(key).is_some();
         if !seg.resets && (known || seg.is_opening()) {
-            Steer::Reset
+            SteeringDecision::Reset
         } else {
-            Steer::Drop(Dropped::NoRule)
+            SteeringDecision::Drop(DropReason::NoRule)
         }
     }
 
@@ -201,16 +205,16 @@
         seg: &Segment,
         service: ServiceName,
         now: Instant,
-    ) -> Steer {
+    ) -> SteeringDecision {
         let former = self.hints.get(&key).filter(|h| h.opening == Some(seg.seq));
         let except: Vec<SocketAddrV4> = former.map(|hint| hint.agent).into_iter().collect();
         let Some(pool) = self.pools.get_mut(&service) else {
-            return Steer::Drop(Dropped::NoAgent);
+            return SteeringDecision::Drop(DropReason::NoAgent);
         };
         let hash = key.stable_hash();
         let placed = pool.place(&self.near, hash, &except, now);
         let Some(agent) = placed.or_else(|| pool.place(&self.near, hash, &[], now)) else {
-            return Steer::Drop(Dropped::NoAgent);
+            return SteeringDecision::Drop(DropReason::NoAgent);
         };
         let hint = Hint {
             agent,
@@ -219,7 +223,7 @@
             last: now,
         };
         self.remember(key, hint);
-        Steer::To {
+        SteeringDecision::Forward {
             agent,
             origin: Origin::Placed,
             service,
@@ -227,15 +231,15 @@
     }
 
     fn remember(&mut self, key: FlowTuple, hint: Hint) {
-        if self.hints.len() < self.settings.hints || self.hints.contains_key(&key) {
+        if self.hints.len() < self.settings.max_hints || self.hints.contains_key(&key) {
             self.hints.insert(key, hint);
         }
     }
 
-    fn continue_flow(&mut self, key: FlowTuple, payload: &Bytes, now: Instant) -> Steer {
+    fn continue_flow(&mut self, key: FlowTuple, payload: &Bytes, now: Instant) -> SteeringDecision {
         if let Some(hint) = self.hints.get_mut(&key) {
             hint.last = now;
-            return Steer::To {
+            return SteeringDecision::Forward {
                 agent: hint.agent,
                 origin: Origin::Held,
                 service: hint.service.clone(),
@@ -260,20 +264,20 @@
             .into_iter()
             .filter_map(|service| Some((service, self.pools.get(service)?)))
             .flat_map(|(service, pool)| {
-                let agents = pool.likely(&self.near, hash).into_iter();
+                let agents = pool.by_preference(&self.near, hash).into_iter();
                 agents.map(|agent| (agent, service.clone()))
             })
             .collect()
     }
 
     /// Notes that an agent took a flow, and returns the datagrams that waited.
-    pub fn held(
+    pub fn record_holder(
         &mut self,
         key: FlowTuple,
         agent: SocketAddrV4,
         service: &ServiceName,
         now: Instant,
-    ) -> Vec<Release> {
+    ) -> Vec<ReleasedDatagram> {
         let hint = Hint {
             agent,
             service: service.clone(),
@@ -287,7 +291,7 @@
         parked
             .into_iter()
             .flatten()
-            .map(|payload| Release {
+            .map(|payload| ReleasedDatagram {
                 agent,
                 origin: Origin::Held,
                 service: service.clone(),
@@ -299,17 +303,17 @@
     /// Notes flows that an agent holds, as it tells without being asked, and
     /// returns the datagrams that waited for them. What is known already is
     /// newer.
-    pub fn told(
+    pub fn record_reported_flows(
         &mut self,
         keys: Vec<FlowTuple>,
         agent: SocketAddrV4,
         service: &ServiceName,
         now: Instant,
-    ) -> Vec<Release> {
+    ) -> Vec<ReleasedDatagram> {
         let mut released = Vec::new();
         for key in keys {
             if !self.hints.contains_key(&key) {
-                released.extend(self.held(key, agent, service, now));
+                released.extend(self.record_holder(key, agent, service, now));
             }
         }
         released
@@ -318,14 +322,15 @@
     /// Forgets hints and tries that were not used for long.
     pub fn expire(&mut self, now: Instant) {
         let settings = self.settings;
-        self.hints.retain(|_, hint| now < hint.last + settings.idle);
+        self.hints
+            .retain(|_, hint| now < hint.last + settings.hint_idle_timeout);
         self.tried
-            .retain(|_, tries| now < tries.since + 4 * settings.tries_per);
+            .retain(|_, tries| now < tries.since + 4 * settings.tries_window);
     }
 
     /// Number of hints.
     #[must_use]
-    pub fn hints(&self) -> usize {
+    pub fn hint_count(&self) -> usize {
         self.hints.len()
     }
 }
--- a/crates/flow/src/process/steering/outcome.rs
+++ b/crates/flow/src/process/steering/outcome.rs
@@ -9,9 +9,9 @@
 
 /// What to do with a datagram of a caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Steer {
+pub enum SteeringDecision {
     /// Send it to an agent.
-    To {
+    Forward {
         /// The agent.
         agent: SocketAddrV4,
         /// How the agent is to take it.
@@ -20,18 +20,18 @@
         service: ServiceName,
     },
     /// Ask these agents for the flow; the datagram waits.
-    Ask(Vec<(SocketAddrV4, ServiceName)>),
+    Query(Vec<(SocketAddrV4, ServiceName)>),
     /// The datagram waits for a search that is under way.
-    Parked,
+    Queued,
     /// Break off the flow towards the caller.
     Reset,
     /// Drop it.
-    Drop(Dropped),
+    Drop(DropReason),
 }
 
 /// Why a datagram was dropped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Dropped {
+pub enum DropReason {
     /// No routing set is known yet.
     NoRoutes,
     /// The address has no rule, and the flow is not known here.
@@ -44,23 +44,23 @@
     NotFound,
 }
 
-impl Dropped {
+impl DropReason {
     /// The name in metrics and log lines.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
-            Dropped::NoRoutes => "no_routes",
-            Dropped::NoRule => "no_rule",
-            Dropped::NoAgent => "no_agent",
-            Dropped::Busy => "busy",
-            Dropped::NotFound => "not_found",
+            DropReason::NoRoutes => "no_routes",
+            DropReason::NoRule => "no_rule",
+            DropReason::NoAgent => "no_agent",
+            DropReason::Busy => "busy",
+            DropReason::NotFound => "not_found",
         }
     }
 }
 
 /// A parked datagram that can go on.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Release {
+pub struct ReleasedDatagram {
     /// The agent to send it to.
     pub agent: SocketAddrV4,
     /// How the agent is to take it.
@@ -73,21 +73,21 @@
 
 /// Agents to ask for the flow of a datagram.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Question {
+pub struct FlowQuery {
     /// A datagram of the flow.
     pub payload: Bytes,
     /// The agents.
-    pub others: Vec<(SocketAddrV4, ServiceName)>,
+    pub agents: Vec<(SocketAddrV4, ServiceName)>,
 }
 
 /// What follows from the searches that ended.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Ended {
+pub struct SearchResults {
     /// Datagrams that go on.
-    pub released: Vec<Release>,
+    pub released: Vec<ReleasedDatagram>,
     /// Searches that are widened.
-    pub asked: Vec<Question>,
+    pub queries: Vec<FlowQuery>,
     /// A datagram of each flow that certainly no agent holds: it is to be
     /// broken off, so that its caller need not wait.
-    pub lost: Vec<Bytes>,
+    pub lost_flows: Vec<Bytes>,
 }
--- a/crates/flow/src/process/steering/search.rs
+++ b/crates/flow/src/process/steering/search.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use types::ServiceName;
 
-use super::{Dropped, Ended, Question, Release, Steer, Steering};
+use super::{DropReason, FlowQuery, ReleasedDatagram, SearchResults, Steering, SteeringDecision};
 use crate::{Claim, FlowTuple, Origin};
 
 #[derive(Debug)]
@@ -54,28 +54,33 @@
 }
 impl Steering {
     /// Looks for the holder of a flow, or lets a datagram wait for a search.
-    pub(super) fn search(&mut self, key: FlowTuple, payload: Bytes, now: Instant) -> Steer {
+    pub(super) fn search(
+        &mut self,
+        key: FlowTuple,
+        payload: Bytes,
+        now: Instant,
+    ) -> SteeringDecision {
         if let Some(search) = self.searches.get_mut(&key) {
-            if search.parked.len() >= self.settings.parked {
-                return Steer::Drop(Dropped::Busy);
+            if search.parked.len() >= self.settings.max_queued_per_flow {
+                return SteeringDecision::Drop(DropReason::Busy);
             }
             search.parked.push(payload);
-            return Steer::Parked;
+            return SteeringDecision::Queued;
         }
         if self.tried.get(&key).is_some_and(|t| now < t.pause_until) {
-            return Steer::Drop(Dropped::NotFound);
+            return SteeringDecision::Drop(DropReason::NotFound);
         }
-        if self.searches.len() >= self.settings.searches {
-            return Steer::Drop(Dropped::Busy);
+        if self.searches.len() >= self.settings.max_searches {
+            return SteeringDecision::Drop(DropReason::Busy);
         }
         let mut agents = self.agents_for(&key);
         if agents.is_empty() {
-            return Steer::Drop(Dropped::NoAgent);
+            return SteeringDecision::Drop(DropReason::NoAgent);
         }
-        let others = agents.split_off(agents.len().min(self.settings.first));
+        let others = agents.split_off(agents.len().min(self.settings.initial_fanout));
         let search = Search {
             key,
-            until: now + self.settings.search,
+            until: now + self.settings.search_timeout,
             others,
             asked: agents.len(),
             is_wide: false,
@@ -86,26 +91,26 @@
             confirming: false,
         };
         self.searches.insert(key, search);
-        Steer::Ask(agents)
+        SteeringDecision::Query(agents)
     }
 
     /// Notes an agent's answer to a question for a flow.
-    pub fn claimed(
+    pub fn handle_claim(
         &mut self,
         key: FlowTuple,
         agent: SocketAddrV4,
         claim: Claim,
         now: Instant,
-    ) -> Vec<Release> {
+    ) -> Vec<ReleasedDatagram> {
         let Some(search) = self.searches.get_mut(&key) else {
-            self.claimed_late(key, agent, claim, now);
+            self.handle_late_claim(key, agent, claim, now);
             return Vec::new();
         };
         let Some(service) = search.waiting_for.remove(&agent) else {
             return Vec::new();
         };
         match claim {
-            Claim::Holds => return self.held(key, agent, &service, now),
+            Claim::Holds => return self.record_holder(key, agent, &service, now),
             Claim::Perhaps => drop(search.perhaps.insert(agent, service)),
             Claim::No => {}
         }
@@ -117,26 +122,32 @@
 
     /// Notes an answer that came after its search: the way may take longer than
     /// a search waits.
-    fn claimed_late(&mut self, key: FlowTuple, agent: SocketAddrV4, claim: Claim, now: Instant) {
+    fn handle_late_claim(
+        &mut self,
+        key: FlowTuple,
+        agent: SocketAddrV4,
+        claim: Claim,
+        now: Instant,
+    ) {
         if claim != Claim::Holds || self.hints.contains_key(&key) {
             return;
         }
         let mut pools = self.pools.iter();
         let service = pools.find(|(_, pool)| pool.get(agent).is_some());
         if let Some(service) = service.map(|(service, _)| service.clone()) {
-            self.held(key, agent, &service, now);
+            self.record_holder(key, agent, &service, now);
         }
     }
 
     /// Notes that an agent does not hold a flow that was sent to it, and
     /// searches for the holder with the datagram that came back.
-    pub fn not_held(
+    pub fn handle_not_held(
         &mut self,
         key: FlowTuple,
         agent: SocketAddrV4,
         payload: Bytes,
         now: Instant,
-    ) -> Steer {
+    ) -> SteeringDecision {
         if self.hints.get(&key).is_some_and(|hint| hint.agent == agent) {
             self.hints.remove(&key);
         }
@@ -147,7 +158,7 @@
     /// the next. A flow that all have denied, while all are known, is lost;
     /// otherwise one agent that may hold the flow gets
     /// its first datagram, and the caller sends the rest again.
-    pub fn end_searches(&mut self, now: Instant) -> Ended {
+    pub fn end_searches(&mut self, now: Instant) -> SearchResults {
         let settings = self.settings;
         let due: Vec<FlowTuple> = self
             .searches
@@ -155,7 +166,7 @@
             .filter(|(_, search)| now >= search.until)
             .map(|(key, _)| *key)
             .collect();
-        let mut ended = Ended::default();
+        let mut ended = SearchResults::default();
         for key in due {
             let Some(mut search) = self.searches.remove(&key) else {
                 continue;
@@ -167,18 +178,21 @@
             let others = self.next_to_ask(&mut search, now);
             if let (false, Some(payload)) = (others.is_empty(), search.parked.first().cloned()) {
                 search.waiting_for.extend(others.iter().cloned());
-                search.until = now + settings.search;
+                search.until = now + settings.search_timeout;
                 self.searches.insert(key, search);
-                ended.asked.push(Question { payload, others });
+                ended.queries.push(FlowQuery {
+                    payload,
+                    agents: others,
+                });
                 continue;
             }
             if search.whole && search.is_denied() && self.is_whole(now) {
-                ended.lost.extend(search.parked.into_iter().next());
+                ended.lost_flows.extend(search.parked.into_iter().next());
                 continue;
             }
             let released = self.try_one(key, &search, now);
             if released.is_none() {
-                self.tries(key, now).pause_until = now + settings.pause;
+                self.tries(key, now).pause_until = now + settings.search_backoff;
             }
             ended.released.extend(released);
         }
@@ -195,12 +209,12 @@
             if !search.is_wide {
                 // Half a search costs as much and finds less.
                 let all = self.pools.values().map(|pool| pool.addresses().count());
-                search.is_wide = self.questions.take(all.sum(), now);
+                search.is_wide = self.questions.try_acquire(all.sum(), now);
             }
             if !search.is_wide {
                 return Vec::new();
             }
-            search.asked = (search.asked * self.settings.wider).min(search.others.len());
+            search.asked = (search.asked * self.settings.fanout_factor).min(search.others.len());
             return search.others.drain(..search.asked).collect();
         }
         let lost = search.whole && search.is_denied() && self.is_whole(now);
@@ -228,22 +242,28 @@
     /// Whether another agent may be tried for a flow.
     fn may_try(&self, key: &FlowTuple, now: Instant) -> bool {
         self.tried.get(key).is_none_or(|tries| {
-            tries.agents.len() < self.settings.tries || now >= tries.since + self.settings.tries_per
+            tries.agents.len() < self.settings.max_tries
+                || now >= tries.since + self.settings.tries_window
         })
     }
 
-    fn try_one(&mut self, key: FlowTuple, search: &Search, now: Instant) -> Option<Release> {
+    fn try_one(
+        &mut self,
+        key: FlowTuple,
+        search: &Search,
+        now: Instant,
+    ) -> Option<ReleasedDatagram> {
         let settings = self.settings;
         // An agent of another service may hold a flow, but is not tried for it.
         let likely = self.agents_for(&key);
         let tries = self.tries(key, now);
-        if now >= tries.since + settings.tries_per {
+        if now >= tries.since + settings.tries_window {
             tries.since = now;
             // Those that were tried come last: start over once all had a turn.
             if search.perhaps.keys().all(|a| tries.agents.contains(a)) {
                 tries.agents.clear();
             }
-        } else if tries.agents.len() >= settings.tries {
+        } else if tries.agents.len() >= settings.max_tries {
             return None;
         }
         let mut fresh = likely.into_iter().filter(|(agent, _)| {
@@ -251,7 +271,7 @@
         });
         let (agent, service) = fresh.next()?;
         tries.agents.insert(agent);
-        Some(Release {
+        Some(ReleasedDatagram {
             agent,
             origin: Origin::Tried,
             service,
--- a/crates/flow/tests/common/mod.rs
+++ b/crates/flow/tests/common/mod.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use flow::{
-    Candidate, FlowTable, FlowTableSettings, Load, Segment, Steering, SteeringSettings,
+    AgentStatus, FlowTable, FlowTableSettings, Load, Segment, Steering, SteeringSettings,
     UpstreamStatus,
 };
 use types::{Part, RoutingDelta, RoutingSet, Rule, SetNumber, Slots, UpstreamId};
@@ -22,15 +22,15 @@
 }
 
 /// An agent that takes flows and has just reported that it is idle.
-pub fn agent(now: Instant) -> Candidate {
-    Candidate {
+pub fn agent(now: Instant) -> AgentStatus {
+    AgentStatus {
         id: UpstreamId(1),
         data_centre: NEAR.parse().unwrap(),
         slots: Slots(4),
         accepting: true,
         load: Load::default(),
-        reported: now,
-        placed: 0,
+        reported_at: now,
+        placed_since_report: 0,
     }
 }
 
--- a/crates/flow/tests/hints.rs
+++ b/crates/flow/tests/hints.rs
@@ -6,16 +6,20 @@
 
 use bytes::Bytes;
 use common::{SERVICE, address, data, no_routes, opening, payload, ready};
-use flow::{Claim, Dropped, Origin, Steer, Steering};
+use flow::{Claim, DropReason, Origin, Steering, SteeringDecision};
 
-fn to(steer: &Steer) -> (std::net::SocketAddrV4, Origin) {
+fn to(steer: &SteeringDecision) -> (std::net::SocketAddrV4, Origin) {
     match steer {
-        Steer::To { agent, origin, .. } => (*agent, *origin),
+        SteeringDecision::Forward { agent, origin, .. } => (*agent, *origin),
         other => panic!("{other:?}"),
     }
 }
 
-fn steer(steering: &mut Steering, seg: &flow::Segment, now: std::time::Instant) -> Steer {
+fn steer(
+    steering: &mut Steering,
+    seg: &flow::Segment,
+    now: std::time::Instant,
+) -> SteeringDecision {
     steering.steer(seg, &Bytes::new(), now)
 }
 
@@ -44,7 +48,7 @@
         address(1)
     };
     let pool = steering.pool(&SERVICE.parse().unwrap());
-    pool.get_mut(other).unwrap().reported = later;
+    pool.get_mut(other).unwrap().reported_at = later;
     assert_eq!(to(&steer(&mut steering, &opening(1), later)).0, other);
 }
 
@@ -55,11 +59,14 @@
     let (wrong, _) = to(&steer(&mut steering, &opening(1), now));
     let seg = data(1, 101, 1);
     let key = seg.key_from_caller();
-    let back = steering.not_held(key, wrong, payload("first"), now);
-    assert!(matches!(back, Steer::Ask(_)));
-    assert_eq!(steering.steer(&seg, &payload("second"), now), Steer::Parked);
+    let back = steering.handle_not_held(key, wrong, payload("first"), now);
+    assert!(matches!(back, SteeringDecision::Query(_)));
+    assert_eq!(
+        steering.steer(&seg, &payload("second"), now),
+        SteeringDecision::Queued
+    );
     let holder = address(if wrong == address(3) { 2 } else { 3 });
-    let released = steering.claimed(key, holder, Claim::Holds, now);
+    let released = steering.handle_claim(key, holder, Claim::Holds, now);
     let texts: Vec<&[u8]> = released.iter().map(|r| &r.payload[..]).collect();
     assert_eq!(texts, [b"first".as_slice(), b"second"]);
     assert_eq!(to(&steer(&mut steering, &seg, now)), (holder, Origin::Held));
@@ -76,13 +83,13 @@
     while now < start + Duration::from_millis(2200) {
         steer(&mut steering, &seg, now);
         for n in 1..=5 {
-            steering.claimed(key, address(n), Claim::Perhaps, now);
+            steering.handle_claim(key, address(n), Claim::Perhaps, now);
         }
         let wider = steering.end_searches(now);
         tried += wider.released.len();
         now += Duration::from_millis(100);
         for n in 1..=5 {
-            steering.claimed(key, address(n), Claim::Perhaps, now);
+            steering.handle_claim(key, address(n), Claim::Perhaps, now);
         }
         tried += steering.end_searches(now).released.len();
     }
@@ -95,7 +102,7 @@
     let (mut steering, now) = ready(2);
     let other = "others".parse().unwrap();
     steering.pool(&other).insert(address(9), common::agent(now));
-    let Steer::Ask(agents) = steer(&mut steering, &data(1, 101, 1), now) else {
+    let SteeringDecision::Query(agents) = steer(&mut steering, &data(1, 101, 1), now) else {
         panic!("not asked");
     };
     assert!(agents.iter().all(|(agent, _)| *agent != address(9)));
@@ -108,10 +115,16 @@
     let (mut steering, now) = ready(2);
     steer(&mut steering, &opening(1), now);
     no_routes(&mut steering, 2);
-    assert_eq!(steer(&mut steering, &data(1, 101, 1), now), Steer::Reset);
+    assert_eq!(
+        steer(&mut steering, &data(1, 101, 1), now),
+        SteeringDecision::Reset
+    );
     let unknown = steer(&mut steering, &data(2, 101, 1), now);
-    assert_eq!(unknown, Steer::Drop(Dropped::NoRule));
-    assert_eq!(steer(&mut steering, &opening(3), now), Steer::Reset);
+    assert_eq!(unknown, SteeringDecision::Drop(DropReason::NoRule));
+    assert_eq!(
+        steer(&mut steering, &opening(3), now),
+        SteeringDecision::Reset
+    );
 }
 
 /// Guards against a routing set that goes back.
@@ -131,14 +144,14 @@
 #[test]
 fn a_search_widens_step_by_step() {
     let (mut steering, mut now) = ready(42);
-    let Steer::Ask(first) = steer(&mut steering, &data(1, 101, 1), now) else {
+    let SteeringDecision::Query(first) = steer(&mut steering, &data(1, 101, 1), now) else {
         panic!("not asked");
     };
     let mut asked = vec![first.len()];
     while let Some(deadline) = steering.next_deadline() {
         now = deadline;
         let ended = steering.end_searches(now);
-        asked.extend(ended.asked.iter().map(|question| question.others.len()));
+        asked.extend(ended.queries.iter().map(|question| question.agents.len()));
     }
     assert_eq!(asked, [3, 9, 27, 3]);
 }
@@ -155,7 +168,7 @@
     steering.steer(&waiting, &payload("first"), now);
     let keys = [data(1, 101, 1), data(2, 101, 1), waiting];
     let keys = keys.iter().map(flow::Segment::key_from_caller).collect();
-    let released = steering.told(keys, other, &service, now);
+    let released = steering.record_reported_flows(keys, other, &service, now);
     let texts: Vec<&[u8]> = released.iter().map(|r| &r.payload[..]).collect();
     assert_eq!(texts, [b"first".as_slice()]);
     assert_eq!(to(&steer(&mut steering, &data(1, 101, 1), now)).0, known);
@@ -179,7 +192,7 @@
     let other = "others".parse().unwrap();
     steering.pool(&other).insert(address(9), common::agent(now));
     if answers.whole.0 {
-        steering.set_whole(now + Duration::from_secs(1));
+        steering.set_directory_complete_until(now + Duration::from_secs(1));
     }
     let seg = data(1, 101, 1);
     let key = seg.key_from_caller();
@@ -189,13 +202,15 @@
     for _ in 0..3 {
         for (n, claim) in claims {
             if let Some(claim) = claim {
-                released += steering.claimed(key, address(n), claim, now).len();
+                released += steering.handle_claim(key, address(n), claim, now).len();
             }
         }
         now += Duration::from_millis(40);
-        steering.set_whole(now + Duration::from_millis(if answers.whole.1 { 1000 } else { 0 }));
+        steering.set_directory_complete_until(
+            now + Duration::from_millis(if answers.whole.1 { 1000 } else { 0 }),
+        );
         let ended = steering.end_searches(now);
-        lost += ended.lost.len();
+        lost += ended.lost_flows.len();
         released += ended.released.len();
     }
     (lost > 0, released)
@@ -304,7 +319,7 @@
     for n in [0, 100, 200, 350] {
         let at = now + Duration::from_millis(n);
         let steered = steer(&mut steering, &seg, at);
-        let asks = matches!(steered, Steer::Ask(_));
+        let asks = matches!(steered, SteeringDecision::Query(_));
         assert_eq!(asks, n == 0 || n == 350, "after {n} ms: {steered:?}");
         if asks {
             steering.end_searches(at + Duration::from_millis(31));
@@ -323,8 +338,14 @@
     let ended = now + Duration::from_millis(40);
     steering.end_searches(ended);
     let late = ended + Duration::from_millis(100);
-    assert_eq!(steering.claimed(key, address(1), Claim::Perhaps, late), []);
-    assert_eq!(steering.claimed(key, address(2), Claim::Holds, late), []);
+    assert_eq!(
+        steering.handle_claim(key, address(1), Claim::Perhaps, late),
+        []
+    );
+    assert_eq!(
+        steering.handle_claim(key, address(2), Claim::Holds, late),
+        []
+    );
     let steered = steer(&mut steering, &seg, late);
     assert_eq!(to(&steered), (address(2), Origin::Held));
 }
--- a/crates/flow/tests/placement.rs
+++ b/crates/flow/tests/placement.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use common::{address, agent, caller, data, opening, ready};
-use flow::{Claim, Load, Origin, Pool, Steer};
+use flow::{AgentPool, Claim, Load, Origin, SteeringDecision};
 use types::Slots;
 
 /// Longer than a search waits for answers.
@@ -15,9 +15,9 @@
 /// Number, data centre and requests of agents.
 type Loads = [(u8, &'static str, u32)];
 
-fn pool(loads: &Loads) -> (Pool, std::time::Instant) {
+fn pool(loads: &Loads) -> (AgentPool, std::time::Instant) {
     let now = std::time::Instant::now();
-    let mut pool = Pool::default();
+    let mut pool = AgentPool::default();
     for (n, data_centre, busy) in loads {
         let mut candidate = agent(now);
         candidate.data_centre = data_centre.parse().unwrap();
@@ -80,7 +80,7 @@
 fn an_agent_that_stopped_reporting_is_used_only_if_no_other_is_left() {
     let (mut pool, now) = pool(&[(1, "near", 0), (2, "near", 4)]);
     let later = now + Duration::from_secs(2);
-    pool.get_mut(address(2)).unwrap().reported = later;
+    pool.get_mut(address(2)).unwrap().reported_at = later;
     let near = "near".parse().unwrap();
     assert_eq!(pool.place(&near, 3, &[], later), Some(address(2)));
     assert_eq!(pool.place(&near, 3, &[address(2)], later), Some(address(1)));
@@ -93,23 +93,24 @@
     let mut found = 0;
     for n in 0..100 {
         let (mut before, now) = ready(5);
-        let Steer::To { agent, .. } = before.steer(&opening(n), &Bytes::new(), now) else {
+        let SteeringDecision::Forward { agent, .. } = before.steer(&opening(n), &Bytes::new(), now)
+        else {
             panic!("not placed");
         };
         let (mut after, now) = ready(5);
         assert!(matches!(
             after.steer(&data(n, 101, 1), &Bytes::new(), now),
-            Steer::Ask(_)
+            SteeringDecision::Query(_)
         ));
         for asked in 1..=5 {
             let key = opening(n).key_from_caller();
             assert_eq!(key.caller, caller(n));
-            after.claimed(key, address(asked), Claim::Perhaps, now);
+            after.handle_claim(key, address(asked), Claim::Perhaps, now);
         }
         // The likeliest have all restarted: the others know no better, and are
         // not asked.
         let ended = after.end_searches(now);
-        assert_eq!(ended.asked.len(), 0);
+        assert_eq!(ended.queries.len(), 0);
         let released = ended.released;
         assert_eq!(released.len(), 1);
         assert_eq!(after.end_searches(now + SEARCH).released.len(), 0);
--- a/crates/relay/src/connection/message.rs
+++ b/crates/relay/src/connection/message.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddrV4, time::Instant};
 
 use bytes::Bytes;
-use flow::{Candidate, Claim, FlowTuple, Load, Origin};
+use flow::{AgentStatus, Claim, FlowTuple, Load, Origin};
 use serde::{Deserialize, Serialize};
 use twox_hash::XxHash64;
 use types::{DataCentre, ServiceName, Slots, UpstreamId};
@@ -96,15 +96,15 @@
 impl AgentReport {
     /// The sender, as one that may take new flows.
     #[must_use]
-    pub fn candidate(self, now: Instant) -> Candidate {
-        Candidate {
+    pub fn candidate(self, now: Instant) -> AgentStatus {
+        AgentStatus {
             id: UpstreamId(self.run),
             data_centre: self.data_centre,
             slots: self.slots,
             accepting: self.accepting,
             load: self.load,
-            reported: now,
-            placed: 0,
+            reported_at: now,
+            placed_since_report: 0,
         }
     }
 }
--- a/crates/relay/src/process/agent/mod.rs
+++ b/crates/relay/src/process/agent/mod.rs
@@ -10,8 +10,8 @@
 
 use bytes::Bytes;
 use flow::{
-    CallerAction, FlowTable, FlowTableSettings, FlowTuple, Origin, Pool, Segment, UpstreamAction,
-    UpstreamStatus,
+    AgentPool, CallerAction, FlowTable, FlowTableSettings, FlowTuple, Origin, Segment,
+    UpstreamAction, UpstreamStatus,
 };
 use prometheus::Registry;
 use tokio::{
@@ -74,7 +74,7 @@
     codec: C,
     holder: FlowTable,
     /// The other agents of the service.
-    pool: Pool,
+    pool: AgentPool,
     audience: Audience,
     balancers: BalancerTable,
     outbound: UdpSocket,
@@ -130,7 +130,7 @@
             tag: ServiceTag::of(&cfg.service),
             codec,
             holder: FlowTable::new(cfg.holder, now),
-            pool: Pool::default(),
+            pool: AgentPool::default(),
             audience: Audience::new(now),
             balancers: BalancerTable::default(),
             outbound: bind(cfg.outbound_address)?,
@@ -339,7 +339,7 @@
         declined.push(self.cfg.peer_address);
         let full = self.accepts(now);
         let willing =
-            declined.len() <= MAX_DECLINED && (!full || self.pool.has_free(&declined, now));
+            declined.len() <= MAX_DECLINED && (!full || self.pool.has_free_slot(&declined, now));
         let peer = if willing {
             self.pool
                 .place(&self.cfg.data_centre, key.stable_hash(), &declined, now)
--- a/crates/relay/src/process/agent/neighbours.rs
+++ b/crates/relay/src/process/agent/neighbours.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use directory::{NodeRole, ViewChanges};
-use flow::Pool;
+use flow::AgentPool;
 use types::UpstreamId;
 
 use super::Agent;
@@ -107,7 +107,8 @@
         self.openings.retain(|_, opening| now < opening.at + linger);
         let holder = &self.holder;
         self.tried_by.retain(|key, _| holder.is_tried(key));
-        self.pool.retain(|_, agent| Pool::is_fresh(agent, now));
+        self.pool
+            .retain(|_, agent| AgentPool::has_recent_report(agent, now));
         let flows = self.holder.load(now).open_flows;
         self.metrics.known.set(i64::from(flows));
     }
--- a/crates/relay/src/process/balancer.rs
+++ b/crates/relay/src/process/balancer.rs
@@ -9,7 +9,8 @@
 use bytes::Bytes;
 use directory::{Node, NodeRole, ViewChanges};
 use flow::{
-    Candidate, Claim, Dropped, Load, Origin, Release, Segment, Steer, Steering, SteeringSettings,
+    AgentStatus, Claim, DropReason, Load, Origin, ReleasedDatagram, Segment, Steering,
+    SteeringDecision, SteeringSettings,
 };
 use prometheus::Registry;
 use tokio::{
@@ -96,8 +97,8 @@
             net::bind_udp(address).map_err(|e| Error::Bind(address, e))
         };
         let steering = SteeringSettings {
-            questions: cfg.link_rate.map_or(cfg.steering.questions, |link| {
-                questions(link).min(cfg.steering.questions)
+            max_queries_per_second: cfg.link_rate.map_or(cfg.steering.max_queries_per_second, |link| {
+                questions(link).min(cfg.steering.max_queries_per_second)
             }),
             ..cfg.steering
         };
@@ -158,10 +159,10 @@
         self.carry_out(steer, &seg, payload).await;
     }
 
-    async fn carry_out(&mut self, steer: Steer, seg: &Segment, payload: Bytes) {
+    async fn carry_out(&mut self, steer: SteeringDecision, seg: &Segment, payload: Bytes) {
         let key = seg.key_from_caller();
         match steer {
-            Steer::To {
+            SteeringDecision::Forward {
                 agent,
                 origin,
                 service,
@@ -175,7 +176,7 @@
                 }
                 self.send(agent, origin, &service, payload).await;
             }
-            Steer::Ask(agents) => {
+            SteeringDecision::Query(agents) => {
                 self.metrics.flows.with_label_values(&["searched"]).inc();
                 log::info!(
                     event = "searching", flow:% = key, agents = agents.len();
@@ -183,9 +184,9 @@
                 );
                 self.ask(&payload, agents).await;
             }
-            Steer::Parked => {}
-            Steer::Reset => self.break_off(&payload, "no_rule").await,
-            Steer::Drop(cause) => self.drop_datagram(seg, cause),
+            SteeringDecision::Queued => {}
+            SteeringDecision::Reset => self.break_off(&payload, "no_rule").await,
+            SteeringDecision::Drop(cause) => self.drop_datagram(seg, cause),
         }
     }
 
@@ -217,7 +218,7 @@
         self.steering.routes().map_or(0, |routes| routes.number.0)
     }
 
-    fn drop_datagram(&self, seg: &Segment, cause: Dropped) {
+    fn drop_datagram(&self, seg: &Segment, cause: DropReason) {
         self.metrics
             .dropped
             .with_label_values(&[cause.as_str()])
@@ -267,9 +268,9 @@
         }
     }
 
-    async fn release(&mut self, released: Vec<Release>) {
+    async fn release(&mut self, released: Vec<ReleasedDatagram>) {
         for release in released {
-            let Release {
+            let ReleasedDatagram {
                 agent,
                 origin,
                 service,
@@ -297,19 +298,21 @@
                 };
                 let key = seg.key_from_caller();
                 log::info!(event = "not_held", flow:% = key, agent:% = from; "agent does not hold the flow");
-                let steer = self.steering.not_held(key, from, payload.clone(), now);
+                let steer = self
+                    .steering
+                    .handle_not_held(key, from, payload.clone(), now);
                 self.carry_out(steer, &seg, payload).await;
             }
             Message::Claim { key, claim } => {
                 if claim != Claim::No {
                     log::info!(event = "claim", flow:% = key, agent:% = from, claim:? = claim; "agent answered");
                 }
-                let released = self.steering.claimed(key, from, claim, now);
+                let released = self.steering.handle_claim(key, from, claim, now);
                 self.release(released).await;
             }
             Message::Taken { key, service } => {
                 log::info!(event = "taken", flow:% = key, agent:% = from; "another agent took the flow");
-                let released = self.steering.held(key, from, &service, now);
+                let released = self.steering.record_holder(key, from, &service, now);
                 self.release(released).await;
             }
             Message::Holds { service, keys } => {
@@ -317,7 +320,9 @@
                     event = "told", agent:% = from, service:% = service, flows = keys.len();
                     "agent tells which flows it holds"
                 );
-                let released = self.steering.told(keys, from, &service, now);
+                let released = self
+                    .steering
+                    .record_reported_flows(keys, from, &service, now);
                 self.release(released).await;
             }
             Message::Datagram { .. } | Message::Ask { .. } => {
@@ -351,7 +356,7 @@
     fn update(&mut self, update: ControlUpdate) {
         match update {
             ControlUpdate::Nodes(changes) => self.nodes_changed(changes, Instant::now()),
-            ControlUpdate::NodeListComplete(until) => self.steering.set_whole(until),
+            ControlUpdate::NodeListComplete(until) => self.steering.set_directory_complete_until(until),
             ControlUpdate::Routes(delta) => {
                 let (number, changed) = (delta.number, delta.changed.len());
                 let advanced = self.steering.routes_mut().advance(delta);
@@ -386,15 +391,15 @@
             }
             _ => pool.insert(
                 node.address,
-                Candidate {
+                AgentStatus {
                     id: UpstreamId(node.incarnation),
                     data_centre: node.data_centre.clone(),
                     slots: Slots(1),
                     // It takes flows once it has reported.
                     accepting: false,
                     load: Load::default(),
-                    reported: now,
-                    placed: 0,
+                    reported_at: now,
+                    placed_since_report: 0,
                 },
             ),
         }
@@ -414,14 +419,14 @@
 
     async fn deadline_reached(&mut self, now: Instant) {
         let ended = self.steering.end_searches(now);
-        for question in ended.asked {
+        for question in ended.queries {
             self.metrics
                 .flows
                 .with_label_values(&["searched_wider"])
                 .inc();
-            self.ask(&question.payload, question.others).await;
+            self.ask(&question.payload, question.agents).await;
         }
-        for payload in ended.lost {
+        for payload in ended.lost_flows {
             self.break_off(&payload, "held_by_no_agent").await;
         }
         let released = ended.released;
@@ -442,12 +447,12 @@
         let listed = &self.listed;
         for pool in self.steering.pools_mut() {
             pool.retain(|address, agent| {
-                listed.contains(&address) || now < agent.reported + FORGET
+                listed.contains(&address) || now < agent.reported_at + FORGET
             });
         }
         self.metrics
             .known
-            .set(i64::try_from(self.steering.hints()).unwrap_or(i64::MAX));
+            .set(i64::try_from(self.steering.hint_count()).unwrap_or(i64::MAX));
         self.note_ready();
     }
 }
