--- a/crates/agent/src/process/placement.rs
+++ b/crates/agent/src/process/placement.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, time::Instant};
 
-use route::{Arrival, Decision, Hop, Table, flow_key};
+use route::{Arrival, Decision, Hop, RoutingTable, flow_key};
 use types::{FlowKey, FlowPhase, ServiceId, ServiceState, UpstreamId};
 use wire::{CidCodec, LongKind, QuicHeader, ServiceTag};
 
@@ -25,7 +25,7 @@
     own: UpstreamId,
     /// The service and its address; none while it is not configured.
     service: Option<(ServiceId, SocketAddr)>,
-    table: Table,
+    table: RoutingTable,
     keys: Option<CidCodec>,
     openers: Openers,
     leaving: bool,
@@ -38,7 +38,7 @@
         Placements {
             own,
             service: None,
-            table: Table::default(),
+            table: RoutingTable::default(),
             keys: None,
             openers: Openers::new(now),
             leaving: false,
@@ -48,7 +48,7 @@
     /// Brings a version into force.
     pub fn set(&mut self, service: Option<ServiceState>, keys: Option<CidCodec>) {
         self.keys = keys;
-        self.table = Table::default();
+        self.table = RoutingTable::default();
         let state = service.as_ref();
         self.service = state.map(|state| (state.service.id, state.service.address));
         self.table.apply(service, []);
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! A balancer never decrypts and holds no state for a flow. One task, the
 //! [`Datapath`], owns the sockets and the [`Classifier`], which has the
-//! [`route::Table`] and the keys of connection ids; a [`client::SyncTask`]
+//! [`route::RoutingTable`] and the keys of connection ids; a [`client::SyncTask`]
 //! brings it new versions by message.
 //!
 //! - [`process`] holds the settings, the tasks and the sockets;
--- a/crates/balancer/src/version/mod.rs
+++ b/crates/balancer/src/version/mod.rs
@@ -5,14 +5,14 @@
     net::SocketAddr,
 };
 
-use route::Table;
+use route::RoutingTable;
 use types::{ServiceId, ServiceState};
 use wire::{CidCodec, Update};
 
 /// Decides on datagrams with one version of services, upstreams and keys.
 #[derive(Debug, Default)]
 pub struct Classifier {
-    pub(crate) table: Table,
+    pub(crate) table: RoutingTable,
     /// Keys of connection ids; none before the first version with keys.
     pub(crate) keys: Option<CidCodec>,
     services: BTreeMap<ServiceId, ServiceAddresses>,
--- a/crates/bench/src/bin/route.rs
+++ b/crates/bench/src/bin/route.rs
@@ -9,7 +9,7 @@
 };
 
 use hdrhistogram::Histogram;
-use route::{Decision, Owners, Table, flow_key};
+use route::{BucketOwners, Decision, RoutingTable, flow_key};
 use twox_hash::XxHash64;
 use types::{
     FlowKey, FlowPhase, Member, Revision, Service, ServiceId, ServiceState, Share, UpstreamId,
@@ -49,7 +49,7 @@
 
 /// The owners, spread over `buckets` where they have fewer.
 fn owners(shares: &Shares, buckets: usize) -> Vec<UpstreamId> {
-    let owners: Vec<UpstreamId> = Owners::new(shares).iter().collect();
+    let owners: Vec<UpstreamId> = BucketOwners::new(shares).iter().collect();
     owners.iter().copied().cycle().take(buckets).collect()
 }
 
@@ -140,9 +140,9 @@
             let changes = changes(trial, n);
             names = changes.iter().map(|change| change.0).collect();
             for (row, (_, before, after)) in changes.iter().enumerate() {
-                let buckets = Owners::new(before)
-                    .buckets()
-                    .max(Owners::new(after).buckets());
+                let buckets = BucketOwners::new(before)
+                    .bucket_count()
+                    .max(BucketOwners::new(after).bucket_count());
                 let least = least(&owners(before, buckets), &owners(after, buckets));
                 for (column, (_, place)) in SCHEMES.iter().enumerate() {
                     let (from, to) = (place(before, buckets), place(after, buckets));
@@ -196,7 +196,7 @@
             .map(|trial| {
                 let shares: Shares = (0..n).map(|at| (id(trial, at), Share::FULL)).collect();
                 let start = Instant::now();
-                black_box(Owners::new(&shares));
+                black_box(BucketOwners::new(&shares));
                 start.elapsed().as_secs_f64() * 1e3
             })
             .collect();
@@ -210,12 +210,12 @@
     let flows = || (0..100_000_u64).map(|n| flow_key(ServiceId(1), &n.to_le_bytes()));
     for n in [1, 15, 16, 1024] {
         let of = |n| (0..n).map(|at| (id(0, at), Share::FULL)).collect();
-        let (before, after) = (Owners::new(&of(n)), Owners::new(&of(n + 1)));
-        let owner = |owners: &Owners, flow| owners.owner(ServiceId(1), flow);
+        let (before, after) = (BucketOwners::new(&of(n)), BucketOwners::new(&of(n + 1)));
+        let owner = |owners: &BucketOwners, flow| owners.owner(ServiceId(1), flow);
         let moved = flows()
             .filter(|flow| owner(&before, *flow) != owner(&after, *flow))
             .count();
-        let (from, to) = (before.buckets(), after.buckets());
+        let (from, to) = (before.bucket_count(), after.bucket_count());
         println!(
             "{n} upstreams and one more, {from} to {to} buckets: {moved} of 100000 flows move"
         );
@@ -267,7 +267,7 @@
             .map(|n| state(n, if n < two { 2 } else { 1 }))
             .collect();
         let (before, start) = (resident_kib(), Instant::now());
-        let mut table = Table::default();
+        let mut table = RoutingTable::default();
         table.apply(states.iter().cloned(), []);
         let (time, memory) = (start.elapsed(), resident_kib() - before);
         println!(
@@ -293,7 +293,7 @@
 /// reading the clock.
 const BATCH: u64 = 100;
 
-fn forwards(table: &Table, service: ServiceId, upstream: Option<UpstreamId>) {
+fn forwards(table: &RoutingTable, service: ServiceId, upstream: Option<UpstreamId>) {
     let flow = FlowKey(0x9e37_79b9_7f4a_7c15);
     let decision = table.decide(service, flow, FlowPhase::Opens, upstream);
     assert!(matches!(black_box(decision), Decision::Forward(_)));
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -1,9 +1,9 @@
 //! Decides where each datagram goes.
 //!
-//! A [`Table`] is built from the states of the services and answers two
+//! A [`RoutingTable`] is built from the states of the services and answers two
 //! questions without sockets, clock or randomness: a balancer asks
-//! [`Table::decide`], and an agent that does not hold a flow asks
-//! [`Table::pass_on`]. Two tables built from the same states are equal, in
+//! [`RoutingTable::decide`], and an agent that does not hold a flow asks
+//! [`RoutingTable::pass_on`]. Two tables built from the same states are equal, in
 //! every process and on every platform.
 //!
 //! - [`version`] holds what changes with a version: the table and the
@@ -11,10 +11,10 @@
 //! - [`connection`] holds what belongs to a flow: its key and the decision.
 //!
 //! ```
-//! use route::{Decision, DropReason, Table, flow_key};
+//! use route::{Decision, DropReason, RoutingTable, flow_key};
 //! use types::{FlowPhase, ServiceId};
 //!
-//! let table = Table::default();
+//! let table = RoutingTable::default();
 //! let flow = flow_key(ServiceId(1), b"destination id");
 //! assert_eq!(
 //!     table.decide(ServiceId(1), flow, FlowPhase::Opens, None),
@@ -26,4 +26,4 @@
 pub mod version;
 
 pub use connection::{Arrival, Decision, DropReason, Hop, address_flow_key, flow_key};
-pub use version::{Owners, Table};
+pub use version::{BucketOwners, RoutingTable};
--- a/crates/route/src/version/owners.rs
+++ b/crates/route/src/version/bucket_owners.rs
@@ -15,36 +15,36 @@
 /// Every upstream owns exactly its quota of the buckets, which is its part of
 /// the sum of the shares, rounded by largest remainder.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Owners {
+pub struct BucketOwners {
     shares: ShareList,
     /// Position in `shares` of the owner of each bucket; the length is a power
     /// of two, or 0 when `shares` is empty.
     buckets: Packed,
 }
 
-impl Owners {
+impl BucketOwners {
     /// Places the buckets on the upstreams of `shares`.
     ///
     /// ```
     /// use std::collections::BTreeMap;
-    /// use route::Owners;
+    /// use route::BucketOwners;
     /// use types::{Share, UpstreamId};
     ///
     /// let shares = BTreeMap::from([(UpstreamId(1), Share(300)), (UpstreamId(2), Share(100))]);
-    /// let owners = Owners::new(&shares);
+    /// let owners = BucketOwners::new(&shares);
     /// let of_1 = owners.iter().filter(|owner| *owner == UpstreamId(1)).count();
-    /// assert_eq!(of_1 * 4, owners.buckets() * 3);
+    /// assert_eq!(of_1 * 4, owners.bucket_count() * 3);
     /// ```
     #[must_use]
     pub fn new(shares: &BTreeMap<UpstreamId, Share>) -> Self {
         let positive = shares.iter().filter(|(_, share)| share.0 > 0);
-        Owners::from_list(positive.map(|(id, share)| (*id, *share)).collect())
+        BucketOwners::from_list(positive.map(|(id, share)| (*id, *share)).collect())
     }
 
     pub(crate) fn from_list(shares: ShareList) -> Self {
         let buckets = assign(&shares);
         let buckets = Packed::new(&buckets, shares.len());
-        Owners { shares, buckets }
+        BucketOwners { shares, buckets }
     }
 
     pub(crate) fn shares(&self) -> &[(UpstreamId, Share)] {
@@ -58,7 +58,7 @@
 
     /// Number of buckets; 0 when nobody has a share.
     #[must_use]
-    pub fn buckets(&self) -> usize {
+    pub fn bucket_count(&self) -> usize {
         self.buckets.len()
     }
 
--- a/crates/route/src/version/mod.rs
+++ b/crates/route/src/version/mod.rs
@@ -1,9 +1,9 @@
 //! What changes with a version: the table and the placement of buckets.
 
 mod assign;
-mod owners;
+mod bucket_owners;
 mod packed;
-mod table;
+mod routing_table;
 
-pub use owners::Owners;
-pub use table::Table;
+pub use bucket_owners::BucketOwners;
+pub use routing_table::RoutingTable;
--- a/crates/route/src/version/table.rs
+++ b/crates/route/src/version/routing_table.rs
@@ -9,14 +9,14 @@
 
 use crate::{
     connection::{Arrival, Decision, DropReason, Hop},
-    version::owners::{Owners, ShareList},
+    version::bucket_owners::{BucketOwners, ShareList},
 };
 
 /// Where the datagrams of each service go.
 ///
 /// Equal after any history of updates that ends in the same states.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Table {
+pub struct RoutingTable {
     /// Boxed, because a search reads the keys of many nodes: small nodes stay
     /// in the cache.
     services: BTreeMap<ServiceId, Box<Entry>>,
@@ -36,13 +36,13 @@
     /// order of their ids. A position in the one is a position in the other,
     /// which saves a search and a read of memory that is seldom in the cache.
     members: Box<[Hop]>,
-    /// Owners by the present shares.
-    present: Owners,
-    /// Owners by the former shares; `None` when they are the present ones.
-    former: Option<Owners>,
+    /// BucketOwners by the present shares.
+    present: BucketOwners,
+    /// BucketOwners by the former shares; `None` when they are the present ones.
+    former: Option<BucketOwners>,
 }
 
-impl Table {
+impl RoutingTable {
     /// Replaces the states of the `changed` services and forgets the `removed`
     /// ones.
     ///
@@ -93,7 +93,7 @@
     /// `upstream` is the one that the connection id names, if any. It keeps its
     /// flows whatever its state and share. Without it the datagram goes to the
     /// present owner of the bucket of `flow`, in either phase: an agent that
-    /// does not hold the flow then asks [`Table::pass_on`].
+    /// does not hold the flow then asks [`RoutingTable::pass_on`].
     #[must_use]
     pub fn decide(
         &self,
@@ -173,14 +173,15 @@
             shares.filter(|(_, share)| share.0 > 0).collect()
         };
         let (present, former) = (list(|m| m.share), list(|m| m.former_share));
-        let old: Vec<Owners> = old
+        let old: Vec<BucketOwners> = old
             .into_iter()
             .flat_map(|old| [Some(old.present), old.former])
             .flatten()
             .collect();
         let place = |shares: ShareList| {
             let same = old.iter().find(|owners| owners.shares() == &*shares);
-            same.cloned().unwrap_or_else(|| Owners::from_list(shares))
+            same.cloned()
+                .unwrap_or_else(|| BucketOwners::from_list(shares))
         };
         let (first, rest): (Vec<Hop>, Vec<Hop>) = state
             .members
--- a/crates/route/tests/placement.rs
+++ b/crates/route/tests/placement.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use arbtest::arbtest;
-use route::Owners;
+use route::BucketOwners;
 use types::{Share, UpstreamId};
 
 /// Number of random cases; the case number is the seed.
@@ -12,7 +12,7 @@
 /// Bytes of random input of each case; the low half of an arbtest seed.
 const INPUT_BYTES: u64 = 512;
 
-fn counts(owners: &Owners) -> BTreeMap<UpstreamId, u64> {
+fn counts(owners: &BucketOwners) -> BTreeMap<UpstreamId, u64> {
     owners.iter().fold(BTreeMap::new(), |mut counts, owner| {
         *counts.entry(owner).or_default() += 1;
         counts
@@ -32,15 +32,15 @@
             let shares: BTreeMap<UpstreamId, Share> = (0..u.int_in_range(0..=24)?)
                 .map(|_| Ok((UpstreamId(u.arbitrary()?), Share(u.int_in_range(0..=1024)?))))
                 .collect::<arbtest::arbitrary::Result<_>>()?;
-            let owners = Owners::new(&shares);
+            let owners = BucketOwners::new(&shares);
             let counts = counts(&owners);
             let total: u64 = shares.values().map(|share| u64::from(share.0)).sum();
-            assert_eq!(counts.values().sum::<u64>(), owners.buckets() as u64);
-            assert_eq!(owners.buckets() == 0, total == 0);
+            assert_eq!(counts.values().sum::<u64>(), owners.bucket_count() as u64);
+            assert_eq!(owners.bucket_count() == 0, total == 0);
             let mut remainders = [(0, 0); 2];
             for (id, share) in &shares {
                 let count = counts.get(id).copied().unwrap_or_default();
-                let exact = u64::from(share.0) * owners.buckets() as u64;
+                let exact = u64::from(share.0) * owners.bucket_count() as u64;
                 let (floor, remainder) = (exact / total.max(1), exact % total.max(1));
                 assert!(
                     count == floor || count == floor + 1,
@@ -69,7 +69,10 @@
 /// would place flows differently.
 #[test]
 fn placement_is_fixed() {
-    let owners: Vec<u64> = Owners::new(&equal(0..7)).iter().map(|id| id.0).collect();
+    let owners: Vec<u64> = BucketOwners::new(&equal(0..7))
+        .iter()
+        .map(|id| id.0)
+        .collect();
     assert_eq!(
         owners[..16],
         [1, 2, 4, 3, 5, 4, 2, 5, 6, 0, 2, 2, 4, 6, 1, 6]
@@ -112,7 +115,7 @@
 
 /// Moved buckets over the least number that exact quotas need.
 fn ratio(before: &BTreeMap<UpstreamId, Share>, after: &BTreeMap<UpstreamId, Share>) -> f64 {
-    let (before, after) = (Owners::new(before), Owners::new(after));
+    let (before, after) = (BucketOwners::new(before), BucketOwners::new(after));
     let moved = before
         .iter()
         .zip(after.iter())
--- a/crates/route/tests/table.rs
+++ b/crates/route/tests/routing_table.rs
@@ -4,7 +4,7 @@
 
 use arbtest::arbitrary::{Result, Unstructured};
 use arbtest::arbtest;
-use route::{Arrival, Decision, DropReason, Hop, Table, address_flow_key, flow_key};
+use route::{Arrival, Decision, DropReason, Hop, RoutingTable, address_flow_key, flow_key};
 use types::{
     FlowKey, FlowPhase, Member, Revision, Service, ServiceId, ServiceState, Share, UpstreamId,
     UpstreamState, Version,
@@ -50,8 +50,8 @@
     }
 }
 
-fn table(states: &[ServiceState]) -> Table {
-    let mut table = Table::default();
+fn table(states: &[ServiceState]) -> RoutingTable {
+    let mut table = RoutingTable::default();
     table.apply(states.iter().cloned(), []);
     table
 }
@@ -201,7 +201,7 @@
     for case in 0..CASES {
         arbtest(|u| {
             let mut last = arbitrary_states(u)?;
-            let mut other = Table::default();
+            let mut other = RoutingTable::default();
             for _ in 0..u.int_in_range(0..=3)? {
                 let gone = u.int_in_range(0..=5)?;
                 let mut earlier = arbitrary_states(u)?;
@@ -235,7 +235,7 @@
     let old = state(1, &[(1, 1, 1)]);
     let mut new = state(2, &[(2, 1, 1)]);
     new.service.address = old.service.address;
-    let found = |table: &Table| table.service_by_address(old.service.address);
+    let found = |table: &RoutingTable| table.service_by_address(old.service.address);
     for states in [[old.clone(), new.clone()], [new, old.clone()]] {
         let mut table = table(&states);
         assert_eq!(found(&table), Some(ServiceId(2)));
@@ -243,7 +243,7 @@
         assert_eq!(found(&table), Some(ServiceId(1)));
         table.apply([], [ServiceId(1)]);
         assert_eq!(found(&table), None);
-        assert_eq!(table, Table::default());
+        assert_eq!(table, RoutingTable::default());
     }
 }
 
