--- a/crates/relay/src/process/agent/mod.rs
+++ b/crates/relay/src/process/agent/mod.rs
@@ -189,7 +189,8 @@
         let now = Instant::now();
         let before = self.holder.upstream().copied();
         self.holder.set_upstream(update.upstream, now);
-        let state = |upstream: Option<UpstreamStatus>| upstream.map(|u| (u.incarnation, u.accepting));
+        let state =
+            |upstream: Option<UpstreamStatus>| upstream.map(|u| (u.incarnation, u.accepting));
         if state(before) != state(update.upstream) {
             log::info!(
                 event = "upstream",
--- a/crates/relay/src/process/balancer.rs
+++ b/crates/relay/src/process/balancer.rs
@@ -97,9 +97,11 @@
             net::bind_udp(address).map_err(|e| Error::Bind(address, e))
         };
         let steering = SteeringSettings {
-            max_queries_per_second: cfg.link_rate.map_or(cfg.steering.max_queries_per_second, |link| {
-                questions(link).min(cfg.steering.max_queries_per_second)
-            }),
+            max_queries_per_second: cfg
+                .link_rate
+                .map_or(cfg.steering.max_queries_per_second, |link| {
+                    questions(link).min(cfg.steering.max_queries_per_second)
+                }),
             ..cfg.steering
         };
         Ok(Balancer {
@@ -356,7 +358,9 @@
     fn update(&mut self, update: ControlUpdate) {
         match update {
             ControlUpdate::Nodes(changes) => self.nodes_changed(changes, Instant::now()),
-            ControlUpdate::NodeListComplete(until) => self.steering.set_directory_complete_until(until),
+            ControlUpdate::NodeListComplete(until) => {
+                self.steering.set_directory_complete_until(until)
+            }
             ControlUpdate::Routes(delta) => {
                 let (number, changed) = (delta.number, delta.changed.len());
                 let advanced = self.steering.routes_mut().advance(delta);
--- a/crates/relay/tests/handover.rs
+++ b/crates/relay/tests/handover.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddrV4;
 
-use directory::{ViewChanges, Node};
+use directory::{Node, ViewChanges};
 use relay::{BalancerTable, Handover};
 
 fn balancer(n: u8, run: u64, data_centre: &str, leaving: bool) -> Node {
