--- a/crates/relay/src/connection/message.rs
+++ b/crates/relay/src/connection/message.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddrV4, time::Instant};
 
 use bytes::Bytes;
-use flow::{Candidate, Claim, Key, Load, Origin};
+use flow::{AgentStatus, Claim, FlowTuple, Load, Origin};
 use serde::{Deserialize, Serialize};
 use twox_hash::XxHash64;
 use types::{DataCentre, ServiceName, Slots, UpstreamId};
@@ -53,14 +53,14 @@
     /// Answers [`Message::Ask`].
     Claim {
         /// The flow.
-        key: Key,
+        key: FlowTuple,
         /// The answer.
         claim: Claim,
     },
     /// The sender has taken a flow that was not placed at it.
     Taken {
         /// The flow.
-        key: Key,
+        key: FlowTuple,
         /// The sender's service.
         service: ServiceName,
     },
@@ -72,7 +72,7 @@
         /// The sender's service.
         service: ServiceName,
         /// The flows.
-        keys: Vec<Key>,
+        keys: Vec<FlowTuple>,
     },
 }
 
@@ -96,15 +96,15 @@
 impl AgentReport {
     /// The sender, as one that may take new flows.
     #[must_use]
-    pub fn candidate(self, now: Instant) -> Candidate {
-        Candidate {
+    pub fn candidate(self, now: Instant) -> AgentStatus {
+        AgentStatus {
             id: UpstreamId(self.run),
             data_centre: self.data_centre,
             slots: self.slots,
             accepting: self.accepting,
             load: self.load,
-            reported: now,
-            placed: 0,
+            reported_at: now,
+            placed_since_report: 0,
         }
     }
 }
--- a/crates/relay/src/process/agent/neighbours.rs
+++ b/crates/relay/src/process/agent/neighbours.rs
@@ -2,8 +2,8 @@
 
 use std::time::{Duration, Instant};
 
-use directory::{Changes, Part};
-use flow::Pool;
+use directory::{NodeRole, ViewChanges};
+use flow::AgentPool;
 use types::UpstreamId;
 
 use super::Agent;
@@ -28,7 +28,7 @@
         if listeners.is_empty() {
             return;
         }
-        self.metrics.busy.set(i64::from(load.busy));
+        self.metrics.busy.set(i64::from(load.busy_requests));
         let report = Message::Report(AgentReport {
             run: self.cfg.run,
             data_centre: self.cfg.data_centre.clone(),
@@ -43,7 +43,7 @@
     }
 
     /// Takes over what the directory says of balancers and other agents.
-    pub(super) async fn nodes_changed(&mut self, changes: Changes) {
+    pub(super) async fn nodes_changed(&mut self, changes: ViewChanges) {
         for handover in self.balancers.handovers(&changes) {
             self.hand_over(&handover).await;
         }
@@ -52,10 +52,10 @@
             self.pool.remove(node.address);
         }
         for node in changes.changed {
-            let listens = match &node.part {
-                Part::Balancer => true,
-                Part::Agent(service) => *service == self.cfg.service,
-                Part::Control { .. } | Part::Observer => false,
+            let listens = match &node.role {
+                NodeRole::Balancer => true,
+                NodeRole::Agent(service) => *service == self.cfg.service,
+                NodeRole::Control { .. } | NodeRole::Observer => false,
             };
             if !listens || node.address == self.cfg.peer_address {
                 continue;
@@ -64,7 +64,7 @@
             self.audience.insert(node.address, near);
             let leaving = node.leaving;
             if let Some(known) = self.pool.get_mut(node.address) {
-                known.accepting &= !leaving || known.id != UpstreamId(node.run);
+                known.accepting &= !leaving || known.id != UpstreamId(node.incarnation);
             }
         }
     }
@@ -103,12 +103,13 @@
         }
         self.expire_at = now + EXPIRE;
         self.holder.expire(now);
-        let linger = self.cfg.holder.linger;
+        let linger = self.cfg.holder.linger_timeout;
         self.openings.retain(|_, opening| now < opening.at + linger);
         let holder = &self.holder;
         self.tried_by.retain(|key, _| holder.is_tried(key));
-        self.pool.retain(|_, agent| Pool::is_fresh(agent, now));
-        let flows = self.holder.load(now).flows;
+        self.pool
+            .retain(|_, agent| AgentPool::has_recent_report(agent, now));
+        let flows = self.holder.load(now).open_flows;
         self.metrics.known.set(i64::from(flows));
     }
 }
--- a/crates/relay/src/process/sync.rs
+++ b/crates/relay/src/process/sync.rs
@@ -7,7 +7,7 @@
 };
 
 use bytes::Bytes;
-use directory::{Changes, Hello, Node, ROUTES_PATH, Reply, Spoken, View};
+use directory::{ControlMessage, Hello, HelloReply, Node, ROUTES_PATH, View, ViewChanges};
 use http::{Method, StatusCode};
 use tokio::{
     net::UdpSocket,
@@ -57,7 +57,7 @@
 #[derive(Debug)]
 pub enum ControlUpdate {
     /// Nodes that have come, changed or gone.
-    Nodes(Changes),
+    Nodes(ViewChanges),
     /// A newer routing set.
     Routes(RoutingDelta),
     /// All processes are listed, until then.
@@ -170,9 +170,9 @@
 
     async fn hello(&mut self, now: Instant) {
         let gone = self.view.expire(now);
-        self.tell(Changes {
+        self.tell(ViewChanges {
             removed: gone,
-            ..Changes::default()
+            ..ViewChanges::default()
         })
         .await;
         if let Some(host) = self.host
@@ -186,10 +186,10 @@
         let hosts = self
             .host
             .map_or_else(|| self.candidates(), |host| vec![host]);
-        let hello = Spoken::Hello(Hello {
+        let hello = ControlMessage::Hello(Hello {
             node: self.cfg.node.clone(),
             reply_to: self.cfg.reply_to,
-            mark: self.host.map(|_| self.view.mark()),
+            version: self.host.map(|_| self.view.version()),
         });
         match wire::encode(&hello) {
             Ok(datagram) => {
@@ -223,7 +223,7 @@
 
     async fn receive(&mut self, datagram: &[u8], from: SocketAddrV4) {
         let now = Instant::now();
-        let reply: Reply = match wire::decode(datagram) {
+        let reply: HelloReply = match wire::decode(datagram) {
             Ok(reply) => reply,
             Err(e) => {
                 log::debug!(event = "bad_reply", from:% = from, error:% = e; "datagram is no reply");
@@ -231,10 +231,10 @@
             }
         };
         if self.host.is_none() {
-            let holds_routes = reply.current || reply.routes > SetNumber(0);
+            let holds_routes = reply.current || reply.routing_set > SetNumber(0);
             if !holds_routes && now < self.seeking_since + PATIENCE {
                 // It may know where others are.
-                for host in reply.hosts {
+                for host in reply.control_hosts {
                     if self.introduced.len() < INTRODUCED && self.introduced.insert(host) {
                         self.hello_at = now;
                     }
@@ -251,7 +251,7 @@
             return;
         }
         self.heard = now;
-        if let Some(news) = reply.news {
+        if let Some(news) = reply.delta {
             let changes = self.view.apply(news, now);
             self.tell(changes).await;
         }
@@ -259,7 +259,7 @@
             self.current_at = now;
         }
         // News of the list may have been lost on its way here.
-        if reply.whole && self.view.mark() == reply.mark {
+        if reply.complete && self.view.version() == reply.version {
             // The receiver ends only with the process.
             let _ = self
                 .updates
@@ -267,7 +267,7 @@
                 .await;
         }
         self.prefer_current(now);
-        if self.cfg.needs_routing_set && reply.routes > self.have && !self.fetching {
+        if self.cfg.needs_routing_set && reply.routing_set > self.have && !self.fetching {
             self.fetch(from);
         }
     }
@@ -338,8 +338,8 @@
         self.hello_at = Instant::now();
     }
 
-    async fn tell(&mut self, changes: Changes) {
-        if changes != Changes::default() {
+    async fn tell(&mut self, changes: ViewChanges) {
+        if changes != ViewChanges::default() {
             // The receiver ends only with the process.
             let _ = self.updates.send(ControlUpdate::Nodes(changes)).await;
         }
--- a/crates/replica/tests/hello.rs
+++ b/crates/replica/tests/hello.rs
@@ -7,7 +7,7 @@
 };
 
 use actix_rt::{System, time::timeout};
-use directory::{Hello, Mark, Node, Reply, Spoken};
+use directory::{ControlMessage, DirectoryVersion, Hello, HelloReply, Node};
 use prometheus::Registry;
 use replica::{Settings, observe};
 use tokio::{net::UdpSocket, sync::watch};
@@ -18,7 +18,7 @@
 /// Time for an answer on the loopback.
 const LIMIT: Duration = Duration::from_secs(5);
 
-async fn receive(socket: &UdpSocket) -> Reply {
+async fn receive(socket: &UdpSocket) -> HelloReply {
     let mut buf = vec![0; 64 * 1024];
     let len = timeout(LIMIT, socket.recv(&mut buf))
         .await
@@ -51,10 +51,10 @@
                 address: SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, n), 7000),
                 ..Node::example("10.0.0.1:7000")
             };
-            let hello = Spoken::Hello(Hello {
+            let hello = ControlMessage::Hello(Hello {
                 node,
                 reply_to,
-                mark,
+                version: mark,
             });
             let datagram = wire::encode(&hello).unwrap();
             socket.send_to(&datagram, host).await.unwrap();
@@ -62,20 +62,23 @@
         };
         for n in 1..=NODES {
             let reply = hello(n, None).await;
-            assert_eq!(reply.news, None, "node {n}");
-            assert!(!reply.whole);
+            assert_eq!(reply.delta, None, "node {n}");
+            assert!(!reply.complete);
         }
         // One that has chosen this host gets the list, in pieces.
-        let mut known = hello(1, Some(Mark::default())).await.news.unwrap();
+        let mut known = hello(1, Some(DirectoryVersion::default()))
+            .await
+            .delta
+            .unwrap();
         let mut count = known.changed.len();
         // The host lists itself too.
         while count < usize::from(NODES) + 1 {
             let reply = receive(&socket).await;
-            let news = reply.news.unwrap();
+            let news = reply.delta.unwrap();
             assert_eq!(news.from, known.to);
             count += news.changed.len();
             known = news;
-            assert_eq!(reply.mark.seq, u64::from(NODES) + 1);
+            assert_eq!(reply.version.seq, u64::from(NODES) + 1);
         }
         assert_eq!(known.to.seq, u64::from(NODES) + 1);
     });
