--- a/crates/admit/src/lib.rs
+++ b/crates/admit/src/lib.rs
@@ -8,7 +8,7 @@
 //! - [`process`]: [`Admission`], [`Settings`] and [`RetryBudget`];
 //! - [`version`]: what a version of the configuration or membership sets, the
 //!   slots of each class of work and the peers;
-//! - [`request`]: the decisions, and [`verdict`], which says how a failed
+//! - [`request`]: the decisions, and [`decide_retry`], which says how a failed
 //!   attempt ends without ever running a request twice.
 //!
 //! Invariants: requests in progress plus reservations never exceed the slots
@@ -18,7 +18,7 @@
 //!
 //! ```
 //! use std::{collections::BTreeMap, time::Instant};
-//! use admit::{Admission, Decision, Outcome, RequestInfo, Settings, Wake};
+//! use admit::{Admission, Decision, RequestOutcome, RequestInfo, Settings, DeferredDecision};
 //! use types::{ClassName, RequestId, Slots, Target};
 //!
 //! let now = Instant::now();
@@ -31,8 +31,8 @@
 //! assert_eq!(admission.arrive(now, first), Decision::Run);
 //! assert!(matches!(admission.arrive(now, second), Decision::Queue { .. }));
 //! assert_eq!(
-//!     admission.finish(now, RequestId(1), Outcome::Completed),
-//!     [Wake { id: RequestId(2), decision: Decision::Run }],
+//!     admission.finish(now, RequestId(1), RequestOutcome::Completed),
+//!     [DeferredDecision { id: RequestId(2), decision: Decision::Run }],
 //! );
 //! ```
 
@@ -42,7 +42,7 @@
 
 pub use process::{Admission, QueueOrder, RetryBudget, Settings};
 pub use request::{
-    Attempt, Claim, Decision, Failure, Offer, Outcome, PeerAnswer, Progress, Reason, RequestInfo,
-    Reserve, Verdict, Wake, verdict,
+    Attempt, ClaimAnswer, Decision, DeferredDecision, Failure, Offer, PeerAnswer, Progress,
+    RefusalReason, RequestInfo, RequestOutcome, ReservationAnswer, RetryDecision, decide_retry,
 };
-pub use version::Report;
+pub use version::LoadReport;
--- a/crates/admit/src/process/admission.rs
+++ b/crates/admit/src/process/admission.rs
@@ -11,7 +11,8 @@
 };
 
 use crate::{
-    Decision, Outcome, PeerAnswer, Reason, Report, RequestInfo, Settings, Wake,
+    Decision, DeferredDecision, LoadReport, PeerAnswer, RefusalReason, RequestInfo, RequestOutcome,
+    Settings,
     process::health::Health,
     request::state::{Reservation, Running, State},
     version::{Class, Peers},
@@ -67,7 +68,7 @@
         &mut self,
         now: Instant,
         targets: &BTreeMap<ClassName, Target>,
-    ) -> Vec<Wake> {
+    ) -> Vec<DeferredDecision> {
         let largest = targets.values().map(|target| target.connections.0).max();
         self.max_connections = largest.unwrap_or(0).min(self.settings.max_connections);
         for class in self.classes.values_mut() {
@@ -85,7 +86,7 @@
             if targets.contains_key(&name) {
                 wakes.extend(self.start_queued(now, &name));
             } else {
-                wakes.extend(self.refuse_waiting(&name, Reason::UnknownClass));
+                wakes.extend(self.refuse_waiting(&name, RefusalReason::UnknownClass));
                 self.forget_if_gone(&name);
             }
         }
@@ -93,14 +94,14 @@
     }
 
     /// Sets whether the upstream leaves. Queued requests are then handed off.
-    pub fn set_leaving(&mut self, now: Instant, leaving: bool) -> Vec<Wake> {
+    pub fn set_leaving(&mut self, now: Instant, leaving: bool) -> Vec<DeferredDecision> {
         self.leaving = leaving;
         self.serving_changed(now)
     }
 
     /// Notes that a connection to the upstream could not be opened; enough of
     /// them in a row make the upstream `Down`.
-    pub fn connect_failed(&mut self, now: Instant) -> Vec<Wake> {
+    pub fn connect_failed(&mut self, now: Instant) -> Vec<DeferredDecision> {
         if self.health.failed(now, &self.settings) {
             return self.serving_changed(now);
         }
@@ -108,7 +109,7 @@
     }
 
     /// Notes that a connection to the upstream was opened; ends `Down`.
-    pub fn connect_succeeded(&mut self, now: Instant) -> Vec<Wake> {
+    pub fn connect_succeeded(&mut self, now: Instant) -> Vec<DeferredDecision> {
         let was_down = self.health.is_down();
         self.health.succeeded();
         if was_down {
@@ -136,7 +137,12 @@
     /// Notes what the upstream says of a class. It lowers the slots until it
     /// is replaced or `report_limit` passes, and never raises them over the
     /// target.
-    pub fn note_report(&mut self, now: Instant, class: &ClassName, report: Report) -> Vec<Wake> {
+    pub fn note_report(
+        &mut self,
+        now: Instant,
+        class: &ClassName,
+        report: LoadReport,
+    ) -> Vec<DeferredDecision> {
         if let Some(known) = self.classes.get_mut(class) {
             known.note_report(now, report, &self.settings);
         }
@@ -166,7 +172,12 @@
     }
 
     /// Notes the loads of a peer. A queued request may be woken to ask it.
-    pub fn note_peer_load(&mut self, now: Instant, peer: UpstreamId, loads: &Loads) -> Vec<Wake> {
+    pub fn note_peer_load(
+        &mut self,
+        now: Instant,
+        peer: UpstreamId,
+        loads: &Loads,
+    ) -> Vec<DeferredDecision> {
         self.peers.note_loads(peer, loads);
         let free = loads.iter().filter(|(_, load)| load.free().0 > 0);
         free.filter_map(|(class, _)| self.ask_again(now, class))
@@ -189,14 +200,14 @@
     pub fn arrive(&mut self, now: Instant, request: RequestInfo) -> Decision {
         let serving = self.is_serving();
         if self.requests.contains_key(&request.id) {
-            return Decision::Refuse(Reason::DuplicateId);
+            return Decision::Refuse(RefusalReason::DuplicateId);
         }
         if request.deadline.is_some_and(|at| at <= now) {
-            return Decision::Refuse(Reason::Deadline);
+            return Decision::Refuse(RefusalReason::Deadline);
         }
         let class = self.classes.get(&request.class);
         let Some(class) = class.filter(|class| class.has_target()) else {
-            return Decision::Refuse(Reason::UnknownClass);
+            return Decision::Refuse(RefusalReason::UnknownClass);
         };
         if serving && !request.elsewhere && class.has_free_slot() {
             self.run(now, request.id, request.class);
@@ -206,9 +217,9 @@
             return self.wait(now, request);
         }
         Decision::Refuse(if serving {
-            Reason::Full
+            RefusalReason::NoFreeSlot
         } else {
-            Reason::NotServing
+            RefusalReason::NotServing
         })
     }
 
@@ -232,7 +243,7 @@
             (PeerAnswer::Granted, Some(class)) => {
                 self.peers.note_granted(peer, &class);
                 self.stop_waiting(id);
-                Some(Decision::Pass { peer })
+                Some(Decision::Forward { peer })
             }
             (PeerAnswer::Granted, None) => Some(Decision::Release { peer }),
             (PeerAnswer::Refused(loads), awaited) => {
@@ -250,18 +261,23 @@
     }
 
     /// Releases the slot of a request that ran here.
-    pub fn finish(&mut self, now: Instant, id: RequestId, outcome: Outcome) -> Vec<Wake> {
+    pub fn finish(
+        &mut self,
+        now: Instant,
+        id: RequestId,
+        outcome: RequestOutcome,
+    ) -> Vec<DeferredDecision> {
         let Some(State::Running(running)) = self.requests.get(&id) else {
             return Vec::new();
         };
         let running = running.clone();
         if let Some(class) = self.classes.get_mut(&running.class) {
             match outcome {
-                Outcome::Completed => {
+                RequestOutcome::Completed => {
                     class.note_service_time(now.saturating_duration_since(running.since));
                 }
-                Outcome::Shed => class.note_shed(now, &self.settings),
-                Outcome::Failed | Outcome::NotStarted => {}
+                RequestOutcome::Shed => class.note_shed(now, &self.settings),
+                RequestOutcome::Failed | RequestOutcome::NotStarted => {}
             }
         }
         self.requests.remove(&id);
@@ -271,7 +287,7 @@
     /// Forgets a request that the caller cancelled, whether it waits or runs.
     /// For one that runs, call it when the connection to the upstream is
     /// closed.
-    pub fn cancel(&mut self, now: Instant, id: RequestId) -> Vec<Wake> {
+    pub fn cancel(&mut self, now: Instant, id: RequestId) -> Vec<DeferredDecision> {
         match self.requests.get(&id) {
             Some(State::Running(running)) => {
                 let class = running.class.clone();
@@ -287,7 +303,7 @@
     }
 
     /// Ends what has passed its deadline and asks peers again.
-    pub fn tick(&mut self, now: Instant) -> Vec<Wake> {
+    pub fn tick(&mut self, now: Instant) -> Vec<DeferredDecision> {
         let mut wakes = self.refuse_overdue(now);
         let lapsed = self.reservations.iter().filter(|(_, r)| r.expires <= now);
         let lapsed: Vec<ReservationId> = lapsed.map(|(id, _)| *id).collect();
--- a/crates/admit/src/request/decision.rs
+++ b/crates/admit/src/request/decision.rs
@@ -44,14 +44,14 @@
     Run,
     /// Ask this peer for a reservation and report the answer with
     /// [`peer_answer`](crate::Admission::peer_answer). The request may
-    /// meanwhile get another decision by a [`Wake`].
-    HandOff {
+    /// meanwhile get another decision by a [`DeferredDecision`].
+    AskPeer {
         /// Peer to ask.
         peer: UpstreamId,
     },
     /// The peer holds a slot: send the request there. The request is
     /// forgotten here. Final.
-    Pass {
+    Forward {
         /// Peer that granted the reservation.
         peer: UpstreamId,
     },
@@ -61,13 +61,13 @@
         /// Peer that granted the reservation.
         peer: UpstreamId,
     },
-    /// Keep it; a [`Wake`] with another decision comes by `until`.
+    /// Keep it; a [`DeferredDecision`] with another decision comes by `until`.
     Queue {
         /// Instant by which the request has got its final decision.
         until: Instant,
     },
     /// Refuse it as not run. Final.
-    Refuse(Reason),
+    Refuse(RefusalReason),
 }
 
 impl Decision {
@@ -76,14 +76,14 @@
     pub fn is_final(&self) -> bool {
         matches!(
             self,
-            Decision::Run | Decision::Pass { .. } | Decision::Refuse(_)
+            Decision::Run | Decision::Forward { .. } | Decision::Refuse(_)
         )
     }
 }
 
 /// Why a request was refused; it was not run in any of these cases.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
-pub enum Reason {
+pub enum RefusalReason {
     /// No target names the class.
     #[error("the class of work has no target")]
     UnknownClass,
@@ -98,7 +98,7 @@
     Deadline,
     /// A handed-off request found no free slot.
     #[error("no slot is free for a request that was handed off")]
-    Full,
+    NoFreeSlot,
     /// The upstream takes no new work and no peer took the request.
     #[error("the upstream takes no new work")]
     NotServing,
@@ -109,7 +109,7 @@
 
 /// A decision about a request that was waiting.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Wake {
+pub struct DeferredDecision {
     /// The request.
     pub id: RequestId,
     /// What to do with it.
@@ -129,7 +129,7 @@
 
 /// Answer to a peer that asks for a reservation.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Reserve {
+pub enum ReservationAnswer {
     /// A slot is held until this instant.
     Granted {
         /// When the reservation lapses.
@@ -154,7 +154,7 @@
 
 /// Answer to a peer that sends a request against a reservation.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Claim {
+pub enum ClaimAnswer {
     /// The request takes the reserved slot: send it to the upstream.
     Run,
     /// The reservation is unknown or has lapsed, or the upstream is down: the
@@ -164,7 +164,7 @@
 
 /// How a request that ran here ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Outcome {
+pub enum RequestOutcome {
     /// The whole answer came; its time is a sample of the service time.
     Completed,
     /// The upstream answered that it sheds load.
--- a/crates/admit/src/request/mod.rs
+++ b/crates/admit/src/request/mod.rs
@@ -7,6 +7,7 @@
 mod waiting;
 
 pub use decision::{
-    Claim, Decision, Offer, Outcome, PeerAnswer, Reason, RequestInfo, Reserve, Wake,
+    ClaimAnswer, Decision, DeferredDecision, Offer, PeerAnswer, RefusalReason, RequestInfo,
+    RequestOutcome, ReservationAnswer,
 };
-pub use outcome::{Attempt, Failure, Progress, Verdict, verdict};
+pub use outcome::{Attempt, Failure, Progress, RetryDecision, decide_retry};
--- a/crates/admit/src/request/outcome.rs
+++ b/crates/admit/src/request/outcome.rs
@@ -19,7 +19,7 @@
     /// The whole answer has gone to the caller.
     Complete,
     /// The answer broke off after its head.
-    Failed,
+    Truncated,
 }
 
 /// Why an attempt came to an end.
@@ -54,7 +54,7 @@
 
 /// What the caller is told, or that the request is tried again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum RetryDecision {
     /// Try again elsewhere; a token of the retry budget was taken.
     Retry,
     /// Tell the caller that the request was not run.
@@ -77,24 +77,26 @@
 /// the upstream acted before it answered, and a repeat would add load to a
 /// service that asks for less.
 #[must_use]
-pub fn verdict(now: Instant, attempt: &Attempt, budget: &mut RetryBudget) -> Verdict {
+pub fn decide_retry(now: Instant, attempt: &Attempt, budget: &mut RetryBudget) -> RetryDecision {
     let in_time = attempt.deadline.is_none_or(|at| now < at);
     let may_retry = match attempt.progress {
         Progress::NotStarted => true,
         Progress::Started => attempt.idempotent,
-        Progress::Answered | Progress::Complete | Progress::Failed => false,
+        Progress::Answered | Progress::Complete | Progress::Truncated => false,
     };
     match (attempt.progress, attempt.failure) {
-        (Progress::Complete, _) | (_, Failure::Cancelled) => Verdict::Done,
-        (Progress::Failed, _) => Verdict::Reset,
-        (_, Failure::Shed) if attempt.progress != Progress::NotStarted => Verdict::PassThrough,
-        (Progress::Answered, _) => Verdict::Reset,
+        (Progress::Complete, _) | (_, Failure::Cancelled) => RetryDecision::Done,
+        (Progress::Truncated, _) => RetryDecision::Reset,
+        (_, Failure::Shed) if attempt.progress != Progress::NotStarted => {
+            RetryDecision::PassThrough
+        }
+        (Progress::Answered, _) => RetryDecision::Reset,
         (_, Failure::Connect | Failure::PeerRefused | Failure::Broken | Failure::Shed)
             if may_retry && in_time && budget.take() =>
         {
-            Verdict::Retry
+            RetryDecision::Retry
         }
-        (Progress::NotStarted, _) => Verdict::NotRun,
-        (Progress::Started, _) => Verdict::Unknown,
+        (Progress::NotStarted, _) => RetryDecision::NotRun,
+        (Progress::Started, _) => RetryDecision::Unknown,
     }
 }
--- a/crates/admit/src/request/reserve.rs
+++ b/crates/admit/src/request/reserve.rs
@@ -6,7 +6,7 @@
 use types::{ClassName, RequestId, ReservationId, UpstreamId};
 
 use super::state::Reservation;
-use crate::{Admission, Claim, Decision, Offer, Reserve, Wake};
+use crate::{Admission, ClaimAnswer, Decision, DeferredDecision, Offer, ReservationAnswer};
 
 impl Admission {
     /// Holds a slot for a request of the peer `from` until `deadline`, at most
@@ -19,9 +19,9 @@
         from: UpstreamId,
         class: &ClassName,
         deadline: Instant,
-    ) -> Reserve {
+    ) -> ReservationAnswer {
         if let Some(held) = self.reservations.get(&id) {
-            return Reserve::Granted {
+            return ReservationAnswer::Granted {
                 expires: held.expires,
             };
         }
@@ -34,13 +34,13 @@
                 known.reserved += 1;
                 let class = class.clone();
                 self.reservations.insert(id, Reservation { class, expires });
-                Reserve::Granted { expires }
+                ReservationAnswer::Granted { expires }
             }
             Some(known) if serving => {
                 known.note_asked(from, now + self.settings.offer_within);
-                Reserve::Refused(self.loads())
+                ReservationAnswer::Refused(self.loads())
             }
-            _ => Reserve::Refused(self.loads()),
+            _ => ReservationAnswer::Refused(self.loads()),
         }
     }
 
@@ -70,23 +70,23 @@
 
     /// Notes that `peer` offers a slot. Returns the queued request that is
     /// passed to it; `None` if the offer is to be released.
-    pub fn offered(&mut self, peer: UpstreamId, class: &ClassName) -> Option<Wake> {
+    pub fn offered(&mut self, peer: UpstreamId, class: &ClassName) -> Option<DeferredDecision> {
         let id = self.classes.get(class)?.queued().next()?;
         self.peers.note_granted(peer, class);
         self.stop_waiting(id);
-        let decision = Decision::Pass { peer };
-        Some(Wake { id, decision })
+        let decision = Decision::Forward { peer };
+        Some(DeferredDecision { id, decision })
     }
 
     /// Turns a reservation into the request `request` that runs here. An
     /// upstream that began to leave still takes it; one that is down does not.
-    pub fn claim(&mut self, now: Instant, id: ReservationId, request: RequestId) -> Claim {
+    pub fn claim(&mut self, now: Instant, id: ReservationId, request: RequestId) -> ClaimAnswer {
         let valid = self
             .reservations
             .get(&id)
             .is_some_and(|held| now < held.expires);
         if !valid || self.health.is_down() || self.requests.contains_key(&request) {
-            return Claim::Lapsed;
+            return ClaimAnswer::Lapsed;
         }
         if let Some(held) = self.reservations.remove(&id) {
             if let Some(class) = self.classes.get_mut(&held.class) {
@@ -94,11 +94,11 @@
             }
             self.run(now, request, held.class);
         }
-        Claim::Run
+        ClaimAnswer::Run
     }
 
     /// Gives back a reservation that the peer does not need.
-    pub fn release(&mut self, now: Instant, id: ReservationId) -> Vec<Wake> {
+    pub fn release(&mut self, now: Instant, id: ReservationId) -> Vec<DeferredDecision> {
         let Some(held) = self.reservations.remove(&id) else {
             return Vec::new();
         };
--- a/crates/admit/src/request/waiting.rs
+++ b/crates/admit/src/request/waiting.rs
@@ -6,14 +6,14 @@
 use types::{ClassName, RequestId};
 
 use super::state::{State, Waiting};
-use crate::{Admission, Decision, Reason, RequestInfo, Wake};
+use crate::{Admission, Decision, DeferredDecision, RefusalReason, RequestInfo};
 
 impl Admission {
     /// Queues a request, or lets it ask peers when the queue has no room or
     /// would keep it for too long.
     pub(crate) fn wait(&mut self, now: Instant, request: RequestInfo) -> Decision {
         if !self.may_ask() && (self.leaving || request.elsewhere) {
-            return Decision::Refuse(Reason::NotServing);
+            return Decision::Refuse(RefusalReason::NotServing);
         }
         let limit = now + self.settings.queue_limit;
         let until = request.deadline.map_or(limit, |at| at.min(limit));
@@ -35,7 +35,7 @@
         let refusal = self.enqueue(now, request.id).err();
         if refusal.is_some() && self.too_many_asking(request.id) {
             self.stop_waiting(request.id);
-            return Decision::Refuse(Reason::QueueFull);
+            return Decision::Refuse(RefusalReason::QueueFull);
         }
         self.ask_next(now, request.id)
     }
@@ -49,25 +49,25 @@
     }
 
     /// Gives a waiting request a place in the queue, unless it has one.
-    pub(crate) fn enqueue(&mut self, now: Instant, id: RequestId) -> Result<(), Reason> {
+    pub(crate) fn enqueue(&mut self, now: Instant, id: RequestId) -> Result<(), RefusalReason> {
         let Some(State::Waiting(waiting)) = self.requests.get_mut(&id) else {
             return Ok(());
         };
         let Some(class) = self.classes.get_mut(&waiting.class) else {
-            return Err(Reason::UnknownClass);
+            return Err(RefusalReason::UnknownClass);
         };
         if waiting.place.is_some() {
             return Ok(());
         }
         if waiting.elsewhere {
-            return Err(Reason::NotServing);
+            return Err(RefusalReason::NotServing);
         }
         if !class.has_queue_room(&self.settings) {
-            return Err(Reason::QueueFull);
+            return Err(RefusalReason::QueueFull);
         }
         let wait = class.expected_wait(&self.settings);
         if !class.can_meet(now, wait, waiting.deadline) {
-            return Err(Reason::Deadline);
+            return Err(RefusalReason::Deadline);
         }
         class.asking -= 1;
         waiting.place = Some(class.enqueue(now, id));
@@ -79,14 +79,14 @@
     pub(crate) fn ask_next(&mut self, now: Instant, id: RequestId) -> Decision {
         let may_ask = self.may_ask();
         let Some(State::Waiting(waiting)) = self.requests.get_mut(&id) else {
-            return Decision::Refuse(Reason::QueueTimeout);
+            return Decision::Refuse(RefusalReason::QueueTimeout);
         };
         if may_ask && !waiting.round_over {
             let class = &waiting.class;
             if let Some(peer) = self.peers.choose(now, class, &waiting.tried, &mut self.rng) {
                 waiting.asked = Some(peer);
                 waiting.tried.push(peer);
-                return Decision::HandOff { peer };
+                return Decision::AskPeer { peer };
             }
         }
         waiting.round_over = true;
@@ -102,7 +102,7 @@
     }
 
     /// Lets the oldest queued request that awaits no answer ask one peer.
-    pub(crate) fn ask_again(&mut self, now: Instant, name: &ClassName) -> Option<Wake> {
+    pub(crate) fn ask_again(&mut self, now: Instant, name: &ClassName) -> Option<DeferredDecision> {
         let pause = self.settings.ask_again.filter(|_| self.may_ask())?;
         let class = self.classes.get_mut(name)?;
         class.ask_at = now + pause.mul_f64(self.rng.random_range(0.75..1.25));
@@ -112,8 +112,8 @@
         if let Some(State::Waiting(waiting)) = self.requests.get_mut(&id) {
             waiting.asked = Some(peer);
         }
-        let decision = Decision::HandOff { peer };
-        Some(Wake { id, decision })
+        let decision = Decision::AskPeer { peer };
+        Some(DeferredDecision { id, decision })
     }
 
     /// Removes a waiting request from every index.
@@ -131,7 +131,7 @@
         Some(waiting)
     }
 
-    pub(crate) fn free_slot(&mut self, now: Instant, name: &ClassName) -> Vec<Wake> {
+    pub(crate) fn free_slot(&mut self, now: Instant, name: &ClassName) -> Vec<DeferredDecision> {
         if let Some(class) = self.classes.get_mut(name) {
             class.in_flight -= 1;
         }
@@ -142,7 +142,7 @@
 
     /// Gives free slots to queued requests, and refuses those whose deadline
     /// can no longer be met.
-    pub(crate) fn start_queued(&mut self, now: Instant, name: &ClassName) -> Vec<Wake> {
+    pub(crate) fn start_queued(&mut self, now: Instant, name: &ClassName) -> Vec<DeferredDecision> {
         let mut wakes = Vec::new();
         while let Some(id) = self.next_to_start(now, name) {
             let deadline = self.stop_waiting(id).and_then(|waiting| waiting.deadline);
@@ -152,9 +152,9 @@
                 self.run(now, id, name.clone());
                 Decision::Run
             } else {
-                Decision::Refuse(Reason::Deadline)
+                Decision::Refuse(RefusalReason::Deadline)
             };
-            wakes.push(Wake { id, decision });
+            wakes.push(DeferredDecision { id, decision });
         }
         wakes
     }
@@ -165,7 +165,7 @@
         class.next_queued(now, &self.settings).filter(|_| may_start)
     }
 
-    pub(crate) fn refuse_overdue(&mut self, now: Instant) -> Vec<Wake> {
+    pub(crate) fn refuse_overdue(&mut self, now: Instant) -> Vec<DeferredDecision> {
         let mut wakes = Vec::new();
         while let Some((until, id)) = self.timeouts.first().copied() {
             if until > now {
@@ -173,25 +173,31 @@
             }
             let deadline = self.stop_waiting(id).and_then(|waiting| waiting.deadline);
             let reason = if deadline.is_some_and(|at| at <= now) {
-                Reason::Deadline
+                RefusalReason::Deadline
             } else if self.is_serving() {
-                Reason::QueueTimeout
+                RefusalReason::QueueTimeout
             } else {
-                Reason::NotServing
+                RefusalReason::NotServing
             };
             let decision = Decision::Refuse(reason);
-            wakes.push(Wake { id, decision });
+            wakes.push(DeferredDecision { id, decision });
         }
         wakes
     }
 
-    pub(crate) fn refuse_waiting(&mut self, name: &ClassName, reason: Reason) -> Vec<Wake> {
+    pub(crate) fn refuse_waiting(
+        &mut self,
+        name: &ClassName,
+        reason: RefusalReason,
+    ) -> Vec<DeferredDecision> {
         let decision = Decision::Refuse(reason);
         let ids = self.waiting_of(name);
         for &id in &ids {
             self.stop_waiting(id);
         }
-        ids.into_iter().map(|id| Wake { id, decision }).collect()
+        ids.into_iter()
+            .map(|id| DeferredDecision { id, decision })
+            .collect()
     }
 
     pub(crate) fn waiting_of(&self, name: &ClassName) -> Vec<RequestId> {
@@ -202,7 +208,7 @@
 
     /// Starts queued requests when the upstream takes new work again, and lets
     /// them ask peers when it no longer does.
-    pub(crate) fn serving_changed(&mut self, now: Instant) -> Vec<Wake> {
+    pub(crate) fn serving_changed(&mut self, now: Instant) -> Vec<DeferredDecision> {
         let names: Vec<ClassName> = self.classes.keys().cloned().collect();
         let mut wakes = Vec::new();
         for name in names {
@@ -215,7 +221,11 @@
         wakes
     }
 
-    pub(crate) fn hand_off_queued(&mut self, now: Instant, name: &ClassName) -> Vec<Wake> {
+    pub(crate) fn hand_off_queued(
+        &mut self,
+        now: Instant,
+        name: &ClassName,
+    ) -> Vec<DeferredDecision> {
         let mut wakes = Vec::new();
         for id in self.waiting_of(name) {
             let Some(State::Waiting(waiting)) = self.requests.get_mut(&id) else {
@@ -227,7 +237,7 @@
             }
             let decision = self.ask_next(now, id);
             if !matches!(decision, Decision::Queue { .. }) {
-                wakes.push(Wake { id, decision });
+                wakes.push(DeferredDecision { id, decision });
             }
         }
         wakes
--- a/crates/admit/src/version/class.rs
+++ b/crates/admit/src/version/class.rs
@@ -7,7 +7,7 @@
 
 use types::{ClassLoad, RequestId, Slots, UpstreamId};
 
-use crate::{QueueOrder, Report, Settings};
+use crate::{LoadReport, QueueOrder, Settings};
 
 /// Weight of a new sample in the mean service time is one in this many.
 const SAMPLE_WEIGHT: u32 = 8;
@@ -93,7 +93,7 @@
     }
 
     /// Takes a report over unless it says less than the agent itself sees.
-    pub(crate) fn note_report(&mut self, now: Instant, report: Report, settings: &Settings) {
+    pub(crate) fn note_report(&mut self, now: Instant, report: LoadReport, settings: &Settings) {
         if report.in_flight.0 >= self.in_flight {
             self.limit = Some((report.slots.0, now + settings.report_limit));
         }
--- a/crates/admit/src/version/mod.rs
+++ b/crates/admit/src/version/mod.rs
@@ -6,4 +6,4 @@
 
 pub(crate) use class::Class;
 pub(crate) use peers::Peers;
-pub use report::Report;
+pub use report::LoadReport;
--- a/crates/admit/src/version/report.rs
+++ b/crates/admit/src/version/report.rs
@@ -4,7 +4,7 @@
 
 /// What an upstream reports of a class of work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Report {
+pub struct LoadReport {
     /// Slots that the upstream offers.
     pub slots: Slots,
     /// Requests that the upstream says it has in progress. A report with fewer
--- a/crates/admit/tests/admission.rs
+++ b/crates/admit/tests/admission.rs
@@ -6,8 +6,8 @@
 };
 
 use admit::{
-    Admission, Claim, Decision, Outcome, PeerAnswer, QueueOrder, Reason, Report, RequestInfo,
-    Reserve, Settings, Wake,
+    Admission, ClaimAnswer, Decision, DeferredDecision, LoadReport, PeerAnswer, QueueOrder,
+    RefusalReason, RequestInfo, RequestOutcome, ReservationAnswer, Settings,
 };
 use types::{
     ClassLoad, ClassName, Connections, Loads, RequestId, ReservationId, Slots, Target, UpstreamId,
@@ -72,16 +72,16 @@
     PeerAnswer::Refused(loads(1, 1))
 }
 
-fn wake(n: u64, decision: Decision) -> Wake {
+fn wake(n: u64, decision: Decision) -> DeferredDecision {
     let id = RequestId(n);
-    Wake { id, decision }
+    DeferredDecision { id, decision }
 }
 
-fn run(n: u64) -> Wake {
+fn run(n: u64) -> DeferredDecision {
     wake(n, Decision::Run)
 }
 
-fn refuse(n: u64, reason: Reason) -> Wake {
+fn refuse(n: u64, reason: RefusalReason) -> DeferredDecision {
     wake(n, Decision::Refuse(reason))
 }
 
@@ -98,7 +98,7 @@
     assert_eq!(a.arrive(now, request(1)), Decision::Run);
     let mut decision = Some(a.arrive(now, request(2)));
     for peer in [third, SECOND, FIRST] {
-        assert_eq!(decision, Some(Decision::HandOff { peer }));
+        assert_eq!(decision, Some(Decision::AskPeer { peer }));
         decision = a.peer_answer(now, RequestId(2), peer, refused());
     }
     let until = now + Settings::default().queue_limit;
@@ -113,7 +113,7 @@
     let mut a = busy(now, &peers);
     let mut decision = Some(a.arrive(now, request(2)));
     let mut asked = Vec::new();
-    while let Some(Decision::HandOff { peer }) = decision {
+    while let Some(Decision::AskPeer { peer }) = decision {
         assert!(!asked.contains(&peer));
         asked.push(peer);
         decision = a.peer_answer(now, RequestId(2), peer, PeerAnswer::Unreachable);
@@ -127,8 +127,11 @@
     let now = Instant::now();
     let mut a = busy(now, &[(FIRST, "b")]);
     let peer = FIRST;
-    assert_eq!(a.arrive(now, request(2)), Decision::HandOff { peer });
-    assert_eq!(a.finish(now, RequestId(1), Outcome::Completed), [run(2)]);
+    assert_eq!(a.arrive(now, request(2)), Decision::AskPeer { peer });
+    assert_eq!(
+        a.finish(now, RequestId(1), RequestOutcome::Completed),
+        [run(2)]
+    );
     let late = a.peer_answer(now, RequestId(2), peer, PeerAnswer::Granted);
     assert_eq!(late, Some(Decision::Release { peer }));
     assert_eq!(a.peer_answer(now, RequestId(2), peer, refused()), None);
@@ -145,9 +148,12 @@
         ..request(n)
     };
     assert_eq!(a.arrive(now, handed_off(1)), Decision::Run);
-    assert_eq!(a.arrive(now, handed_off(2)), Decision::Refuse(Reason::Full));
+    assert_eq!(
+        a.arrive(now, handed_off(2)),
+        Decision::Refuse(RefusalReason::NoFreeSlot)
+    );
     a.set_leaving(now, true);
-    let refusal = Decision::Refuse(Reason::NotServing);
+    let refusal = Decision::Refuse(RefusalReason::NotServing);
     assert_eq!(a.arrive(now, handed_off(3)), refusal);
 }
 
@@ -156,7 +162,7 @@
 fn an_id_in_use_is_refused() {
     let now = Instant::now();
     let mut a = admission(now, 2, &[]);
-    let refusal = Decision::Refuse(Reason::DuplicateId);
+    let refusal = Decision::Refuse(RefusalReason::DuplicateId);
     assert_eq!(a.arrive(now, request(1)), Decision::Run);
     assert_eq!(a.arrive(now, request(1)), refusal);
 }
@@ -171,8 +177,8 @@
         ..request(1)
     };
     let peer = FIRST;
-    assert_eq!(a.arrive(now, elsewhere), Decision::HandOff { peer });
-    let refusal = Some(Decision::Refuse(Reason::NotServing));
+    assert_eq!(a.arrive(now, elsewhere), Decision::AskPeer { peer });
+    let refusal = Some(Decision::Refuse(RefusalReason::NotServing));
     assert_eq!(a.peer_answer(now, RequestId(1), peer, refused()), refusal);
 }
 
@@ -190,10 +196,10 @@
     for n in 2..=3 {
         assert_eq!(a.arrive(now, request(n)), Decision::Queue { until });
     }
-    let full = Decision::Refuse(Reason::QueueFull);
+    let full = Decision::Refuse(RefusalReason::QueueFull);
     assert_eq!(a.arrive(now, request(4)), full);
     assert_eq!(a.next_deadline(), Some(until));
-    let timeouts = [2, 3].map(|n| refuse(n, Reason::QueueTimeout));
+    let timeouts = [2, 3].map(|n| refuse(n, RefusalReason::QueueTimeout));
     assert_eq!(a.tick(until), timeouts);
 }
 
@@ -202,21 +208,21 @@
 fn a_deadline_that_cannot_be_met_is_refused_early() {
     let now = Instant::now();
     let mut a = busy(now, &[]);
-    a.finish(now + ms(100), RequestId(1), Outcome::Completed);
+    a.finish(now + ms(100), RequestId(1), RequestOutcome::Completed);
     let now = now + ms(100);
     let due = |n, at| RequestInfo {
         deadline: Some(at),
         ..request(n)
     };
-    let refusal = Decision::Refuse(Reason::Deadline);
+    let refusal = Decision::Refuse(RefusalReason::Deadline);
     assert_eq!(a.arrive(now, due(2, now)), refusal);
     a.arrive(now, request(3));
     // A wait of 100 ms and half of a service time of 100 ms do not fit.
     assert_eq!(a.arrive(now, due(4, now + ms(140))), refusal);
     let until = now + ms(160);
     assert_eq!(a.arrive(now, due(5, until)), Decision::Queue { until });
-    let finished = a.finish(now + ms(130), RequestId(3), Outcome::Failed);
-    assert_eq!(finished, [refuse(5, Reason::Deadline)]);
+    let finished = a.finish(now + ms(130), RequestId(3), RequestOutcome::Failed);
+    assert_eq!(finished, [refuse(5, RefusalReason::Deadline)]);
 }
 
 /// Guards against an order of the queue other than the one that is set.
@@ -238,7 +244,7 @@
         for n in 1..=3 {
             a.arrive(now, request(n));
         }
-        let wakes = a.finish(now + wait, RequestId(1), Outcome::Completed);
+        let wakes = a.finish(now + wait, RequestId(1), RequestOutcome::Completed);
         assert_eq!(wakes, [run(next)], "{queue_order:?}");
     }
 }
@@ -250,17 +256,17 @@
     let now = Instant::now();
     let mut a = admission(now, 1, &[]);
     let expires = now + ms(50);
-    let granted = Reserve::Granted { expires };
+    let granted = ReservationAnswer::Granted { expires };
     let id = ReservationId(9);
     for _ in 0..2 {
         assert_eq!(a.reserve(now, id, FIRST, &class(), expires), granted);
     }
     let other = a.reserve(now, ReservationId(8), FIRST, &class(), expires);
-    assert_eq!(other, Reserve::Refused(loads(1, 1)));
+    assert_eq!(other, ReservationAnswer::Refused(loads(1, 1)));
     assert!(matches!(a.arrive(now, request(1)), Decision::Queue { .. }));
-    assert_eq!(a.claim(expires, id, RequestId(2)), Claim::Lapsed);
+    assert_eq!(a.claim(expires, id, RequestId(2)), ClaimAnswer::Lapsed);
     assert_eq!(a.tick(expires), [run(1)]);
-    assert_eq!(a.claim(expires, id, RequestId(2)), Claim::Lapsed);
+    assert_eq!(a.claim(expires, id, RequestId(2)), ClaimAnswer::Lapsed);
 }
 
 /// Guards against a reserved slot that is counted twice or given away.
@@ -270,10 +276,13 @@
     let mut a = admission(now, 1, &[]);
     a.reserve(now, ReservationId(9), FIRST, &class(), now + ms(50));
     a.set_leaving(now, true);
-    assert_eq!(a.claim(now, ReservationId(9), RequestId(1)), Claim::Run);
+    assert_eq!(
+        a.claim(now, ReservationId(9), RequestId(1)),
+        ClaimAnswer::Run
+    );
     a.set_leaving(now, false);
     assert_eq!(a.loads(), loads(1, 1));
-    a.finish(now, RequestId(1), Outcome::Completed);
+    a.finish(now, RequestId(1), RequestOutcome::Completed);
     assert_eq!(a.loads(), loads(1, 0));
 }
 
@@ -285,15 +294,15 @@
     let mut a = busy(now, &[]);
     a.reserve(now, ReservationId(9), FIRST, &class(), now + ms(50));
     a.arrive(now, request(2));
-    a.finish(now, RequestId(1), Outcome::Completed);
+    a.finish(now, RequestId(1), RequestOutcome::Completed);
     assert_eq!(a.take_offers(now), []);
-    a.finish(now, RequestId(2), Outcome::Completed);
+    a.finish(now, RequestId(2), RequestOutcome::Completed);
     let offers = a.take_offers(now);
     assert_eq!(offers.len(), 1);
     assert_eq!(offers[0].peer, FIRST);
     assert_eq!(a.loads(), loads(1, 1));
-    assert_eq!(a.claim(now, offers[0].id, RequestId(3)), Claim::Run);
-    a.finish(now, RequestId(3), Outcome::Completed);
+    assert_eq!(a.claim(now, offers[0].id, RequestId(3)), ClaimAnswer::Run);
+    a.finish(now, RequestId(3), RequestOutcome::Completed);
     assert_eq!(a.take_offers(now), []);
 }
 
@@ -304,7 +313,7 @@
     let mut a = busy(now, &[]);
     a.reserve(now, ReservationId(9), FIRST, &class(), now + ms(500));
     let late = now + Settings::default().offer_within;
-    a.finish(late, RequestId(1), Outcome::Completed);
+    a.finish(late, RequestId(1), RequestOutcome::Completed);
     assert_eq!(a.take_offers(late), []);
 }
 
@@ -315,10 +324,10 @@
     let mut a = busy(now, &[(FIRST, "a"), (SECOND, "b")]);
     a.reserve(now, ReservationId(9), FIRST, &class(), now + ms(50));
     let peer = SECOND;
-    assert_eq!(a.arrive(now, request(2)), Decision::HandOff { peer });
+    assert_eq!(a.arrive(now, request(2)), Decision::AskPeer { peer });
     let later = now + Settings::default().full_peer_pause;
     let peer = FIRST;
-    assert_eq!(a.arrive(later, request(3)), Decision::HandOff { peer });
+    assert_eq!(a.arrive(later, request(3)), Decision::AskPeer { peer });
 }
 
 /// Guards against an offer that takes no request or more than one.
@@ -327,7 +336,7 @@
     let now = Instant::now();
     let mut a = busy(now, &[]);
     a.arrive(now, request(2));
-    let passed = wake(2, Decision::Pass { peer: FIRST });
+    let passed = wake(2, Decision::Forward { peer: FIRST });
     assert_eq!(a.offered(FIRST, &class()), Some(passed));
     assert_eq!(a.offered(FIRST, &class()), None);
 }
@@ -341,16 +350,16 @@
     a.arrive(now, request(2));
     a.peer_answer(now, RequestId(2), FIRST, refused());
     let now = now + ms(100);
-    let decision = Decision::HandOff { peer: FIRST };
+    let decision = Decision::AskPeer { peer: FIRST };
     assert_eq!(a.set_leaving(now, true), [wake(2, decision)]);
     assert_eq!(a.state(), UpstreamState::Leaving);
     assert_eq!(a.arrive(now, request(3)), decision);
     assert!(!a.may_accept_connection());
     assert_eq!(a.loads()[&class()].free(), Slots(0));
     let reserved = a.reserve(now, ReservationId(9), FIRST, &class(), now + ms(50));
-    assert!(matches!(reserved, Reserve::Refused(_)));
+    assert!(matches!(reserved, ReservationAnswer::Refused(_)));
     assert_eq!(a.loads()[&class()].in_flight, Slots(1));
-    assert_eq!(a.finish(now, RequestId(1), Outcome::Completed), []);
+    assert_eq!(a.finish(now, RequestId(1), RequestOutcome::Completed), []);
 }
 
 /// Guards against work for an upstream that refuses connections, and against
@@ -391,15 +400,18 @@
     assert_eq!(a.set_targets(now, &targets(1)), []);
     assert_eq!(a.loads()[&class()].in_flight, Slots(3));
     for n in 1..=2 {
-        assert_eq!(a.finish(now, RequestId(n), Outcome::Completed), []);
+        assert_eq!(a.finish(now, RequestId(n), RequestOutcome::Completed), []);
     }
-    assert_eq!(a.finish(now, RequestId(3), Outcome::Completed), [run(4)]);
+    assert_eq!(
+        a.finish(now, RequestId(3), RequestOutcome::Completed),
+        [run(4)]
+    );
     assert!(matches!(a.arrive(now, request(5)), Decision::Queue { .. }));
     assert_eq!(a.set_targets(now, &targets(2)), [run(5)]);
     a.arrive(now, request(6));
     let removed = a.set_targets(now, &BTreeMap::new());
-    assert_eq!(removed, [refuse(6, Reason::UnknownClass)]);
-    let unknown = Decision::Refuse(Reason::UnknownClass);
+    assert_eq!(removed, [refuse(6, RefusalReason::UnknownClass)]);
+    let unknown = Decision::Refuse(RefusalReason::UnknownClass);
     assert_eq!(a.arrive(now, request(7)), unknown);
 }
 
@@ -409,7 +421,7 @@
 fn a_report_only_lowers_and_is_dropped_when_old() {
     let now = Instant::now();
     let limit = Settings::default().report_limit;
-    let report = |slots, in_flight| Report {
+    let report = |slots, in_flight| LoadReport {
         slots: Slots(slots),
         in_flight: Slots(in_flight),
     };
@@ -437,7 +449,7 @@
     for n in 1..=4 {
         a.arrive(now, request(n));
     }
-    a.finish(now, RequestId(1), Outcome::Shed);
+    a.finish(now, RequestId(1), RequestOutcome::Shed);
     assert_eq!(a.loads()[&class()].slots, Slots(3));
     a.tick(now + Settings::default().report_limit);
     assert_eq!(a.loads()[&class()].slots, Slots(4));
--- a/crates/admit/tests/invariants.rs
+++ b/crates/admit/tests/invariants.rs
@@ -6,8 +6,8 @@
 };
 
 use admit::{
-    Admission, Claim, Decision, Outcome, PeerAnswer, QueueOrder, Report, RequestInfo, Reserve,
-    Settings, Wake,
+    Admission, ClaimAnswer, Decision, DeferredDecision, LoadReport, PeerAnswer, QueueOrder,
+    RequestInfo, RequestOutcome, ReservationAnswer, Settings,
 };
 use arbtest::{
     arbitrary::{Result, Unstructured},
@@ -74,7 +74,7 @@
         agent
     }
 
-    fn set_slots(&mut self, slots: u32) -> Vec<Wake> {
+    fn set_slots(&mut self, slots: u32) -> Vec<DeferredDecision> {
         self.slots = slots;
         let target = Target {
             carry: Slots(slots),
@@ -84,7 +84,7 @@
         self.admission.set_targets(self.now, &targets)
     }
 
-    fn obey(&mut self, wakes: Vec<Wake>) {
+    fn obey(&mut self, wakes: Vec<DeferredDecision>) {
         for wake in wakes {
             self.decide(wake.id, wake.decision);
         }
@@ -101,14 +101,14 @@
                 assert!(deadline.is_none_or(|at| self.now < at), "too late");
                 assert!(self.running.insert(id));
             }
-            Decision::HandOff { peer } => self.questions.push((id, peer)),
+            Decision::AskPeer { peer } => self.questions.push((id, peer)),
             Decision::Queue { until: at } => assert!(at <= until),
             Decision::Release { .. } => panic!("release of a slot of a waiting request"),
-            Decision::Pass { .. } | Decision::Refuse(_) => {}
+            Decision::Forward { .. } | Decision::Refuse(_) => {}
         }
     }
 
-    fn arrive(&mut self, u: &mut Unstructured<'_>) -> Result<Vec<Wake>> {
+    fn arrive(&mut self, u: &mut Unstructured<'_>) -> Result<Vec<DeferredDecision>> {
         self.next_id += 1;
         let id = RequestId(self.next_id);
         let allowed = u.int_in_range(0..=400)?;
@@ -123,10 +123,10 @@
         let handed_off = info.handed_off;
         let decision = self.admission.arrive(self.now, info);
         assert!(!handed_off || decision.is_final(), "handed on");
-        Ok(vec![Wake { id, decision }])
+        Ok(vec![DeferredDecision { id, decision }])
     }
 
-    fn answer(&mut self, u: &mut Unstructured<'_>) -> Result<Vec<Wake>> {
+    fn answer(&mut self, u: &mut Unstructured<'_>) -> Result<Vec<DeferredDecision>> {
         if self.questions.is_empty() {
             return Ok(Vec::new());
         }
@@ -143,13 +143,13 @@
         let decision = self.admission.peer_answer(self.now, id, peer, answer);
         if self.waiting.contains_key(&id) {
             let decision = decision.expect("the request waits for this answer");
-            return Ok(vec![Wake { id, decision }]);
+            return Ok(vec![DeferredDecision { id, decision }]);
         }
         assert_eq!(decision, granted.then_some(Decision::Release { peer }));
         Ok(Vec::new())
     }
 
-    fn end(&mut self, u: &mut Unstructured<'_>) -> Result<Vec<Wake>> {
+    fn end(&mut self, u: &mut Unstructured<'_>) -> Result<Vec<DeferredDecision>> {
         let ids: Vec<RequestId> = self.running.iter().copied().collect();
         if ids.is_empty() {
             return Ok(Vec::new());
@@ -159,12 +159,16 @@
         if u.ratio(1, 4)? {
             return Ok(self.admission.cancel(self.now, id));
         }
-        let outcomes = [Outcome::Completed, Outcome::Failed, Outcome::Shed];
+        let outcomes = [
+            RequestOutcome::Completed,
+            RequestOutcome::Failed,
+            RequestOutcome::Shed,
+        ];
         let outcome = *u.choose(&outcomes)?;
         Ok(self.admission.finish(self.now, id, outcome))
     }
 
-    fn serve_peer(&mut self, u: &mut Unstructured<'_>) -> Result<Vec<Wake>> {
+    fn serve_peer(&mut self, u: &mut Unstructured<'_>) -> Result<Vec<DeferredDecision>> {
         self.next_id += 1;
         let until = self.now + ms(u.int_in_range(1..=100)?);
         let id = ReservationId(self.next_id);
@@ -172,7 +176,7 @@
         let known = self.reservations.pop();
         match (u.int_in_range(0..=2)?, known) {
             (0, Some(known)) => {
-                if self.admission.claim(self.now, known, request) == Claim::Run {
+                if self.admission.claim(self.now, known, request) == ClaimAnswer::Run {
                     self.running.insert(request);
                 }
             }
@@ -181,7 +185,7 @@
                 self.reservations.extend(known);
                 let peer = UpstreamId(u.int_in_range(1..=3)?);
                 let answer = self.admission.reserve(self.now, id, peer, &class(), until);
-                if matches!(answer, Reserve::Granted { .. }) {
+                if matches!(answer, ReservationAnswer::Granted { .. }) {
                     self.reservations.push(id);
                 }
             }
@@ -201,7 +205,7 @@
             13 if u.ratio(1, 4)? => self.admission.connect_succeeded(self.now),
             13 => self.admission.connect_failed(self.now),
             14 => {
-                let report = Report {
+                let report = LoadReport {
                     slots: Slots(u.int_in_range(0..=6)?),
                     in_flight: Slots(u.int_in_range(0..=6)?),
                 };
--- a/crates/admit/tests/outcome.rs
+++ b/crates/admit/tests/outcome.rs
@@ -2,9 +2,9 @@
 
 use std::time::{Duration, Instant};
 
-use admit::{Attempt, Failure, Progress, RetryBudget, Verdict, verdict};
+use admit::{Attempt, Failure, Progress, RetryBudget, RetryDecision, decide_retry};
 
-use Verdict::{Done, NotRun, PassThrough, Reset, Retry, Unknown};
+use RetryDecision::{Done, NotRun, PassThrough, Reset, Retry, Unknown};
 
 const FAILURES: [Failure; 6] = [
     Failure::Connect,
@@ -15,9 +15,9 @@
     Failure::Shed,
 ];
 
-/// Verdicts in the order of `FAILURES`, with budget and time left: once for
+/// Decisions in the order of `FAILURES`, with budget and time left: once for
 /// idempotent methods and once for the others.
-const TABLE: [(Progress, [Verdict; 6], [Verdict; 6]); 5] = [
+const TABLE: [(Progress, [RetryDecision; 6], [RetryDecision; 6]); 5] = [
     (
         Progress::NotStarted,
         [Retry, Retry, Retry, NotRun, Done, Retry],
@@ -35,7 +35,7 @@
     ),
     (Progress::Complete, [Done; 6], [Done; 6]),
     (
-        Progress::Failed,
+        Progress::Truncated,
         [Reset, Reset, Reset, Reset, Done, Reset],
         [Reset, Reset, Reset, Reset, Done, Reset],
     ),
@@ -47,9 +47,9 @@
     budget
 }
 
-/// What is left of a verdict when no retry is possible.
-fn without_retry(verdict: Verdict, progress: Progress) -> Verdict {
-    match (verdict, progress) {
+/// Replaces `Retry` by the decision made when no retry is possible.
+fn without_retry(decision: RetryDecision, progress: Progress) -> RetryDecision {
+    match (decision, progress) {
         (Retry, Progress::NotStarted) => NotRun,
         (Retry, _) => Unknown,
         (other, _) => other,
@@ -60,7 +60,7 @@
 /// run" after the first byte went out: every progress, failure and method,
 /// with and without budget and time.
 #[test]
-fn every_progress_and_failure_has_its_verdict() {
+fn every_progress_and_failure_has_its_decision() {
     let now = Instant::now();
     let later = now + Duration::from_millis(1);
     for (progress, idempotent_row, other_row) in TABLE {
@@ -80,7 +80,7 @@
                         idempotent,
                         deadline,
                     };
-                    let got = verdict(now, &attempt, &mut budget);
+                    let got = decide_retry(now, &attempt, &mut budget);
                     assert_eq!(got, expected, "{attempt:?}");
                 }
             }
@@ -123,6 +123,6 @@
         idempotent: false,
         deadline: None,
     };
-    assert_eq!(verdict(now, &attempt, &mut budget), Unknown);
+    assert_eq!(decide_retry(now, &attempt, &mut budget), Unknown);
     assert_eq!(budget, RetryBudget::new());
 }
--- a/crates/agent/src/process/admission.rs
+++ b/crates/agent/src/process/admission.rs
@@ -7,8 +7,8 @@
 };
 
 use admit::{
-    Admission, Decision, Offer, PeerAnswer, Reason, RequestInfo, Reserve, RetryBudget, Wake,
-    verdict,
+    Admission, Decision, DeferredDecision, Offer, PeerAnswer, RefusalReason, RequestInfo,
+    ReservationAnswer, RetryBudget, decide_retry,
 };
 use client::Http;
 use rand::Rng;
@@ -128,7 +128,7 @@
                 self.wake(wakes);
             }
             C::Judge(attempt, tx) => {
-                let _ = tx.send(verdict(now, &attempt, &mut self.budget));
+                let _ = tx.send(decide_retry(now, &attempt, &mut self.budget));
             }
             C::Reserve(req, tx) => {
                 let _ = tx.send(self.reserve(now, &req));
@@ -185,8 +185,8 @@
         self.decide(id, decision, None);
     }
 
-    fn wake(&mut self, wakes: Vec<Wake>) {
-        for Wake { id, decision } in wakes {
+    fn wake(&mut self, wakes: Vec<DeferredDecision>) {
+        for DeferredDecision { id, decision } in wakes {
             self.decide(id, decision, None);
         }
     }
@@ -197,11 +197,11 @@
         match (decision, reservation) {
             (Decision::Run, _) => self.grant(id, Grant::Run),
             (Decision::Refuse(reason), _) => self.grant(id, Grant::Refuse(reason)),
-            (Decision::HandOff { peer }, _) => self.ask_peer(id, peer),
-            (Decision::Pass { peer }, Some(reservation)) => self.pass(id, peer, reservation),
+            (Decision::AskPeer { peer }, _) => self.ask_peer(id, peer),
+            (Decision::Forward { peer }, Some(reservation)) => self.pass(id, peer, reservation),
             (Decision::Release { peer }, Some(reservation)) => self.release(peer, reservation),
             // A peer's slot is only ever given or returned on its answer.
-            (Decision::Pass { .. } | Decision::Release { .. }, None)
+            (Decision::Forward { .. } | Decision::Release { .. }, None)
             | (Decision::Queue { .. }, _) => {}
         }
     }
@@ -229,7 +229,7 @@
                 peer: peer.clone(),
                 reservation,
             },
-            None => Grant::Refuse(Reason::NotServing),
+            None => Grant::Refuse(RefusalReason::NotServing),
         };
         self.grant(id, grant);
     }
@@ -291,7 +291,7 @@
             return;
         }
         match self.admission.offered(offer.from, &offer.class) {
-            Some(Wake { id, decision }) => self.decide(id, decision, Some(offer.id)),
+            Some(DeferredDecision { id, decision }) => self.decide(id, decision, Some(offer.id)),
             None => self.release(offer.from, offer.id),
         }
     }
@@ -336,8 +336,8 @@
             .admission
             .reserve(now, req.id, req.from, &req.class, deadline)
         {
-            Reserve::Granted { .. } => ReserveReply::Granted,
-            Reserve::Refused(loads) => ReserveReply::Refused { loads },
+            ReservationAnswer::Granted { .. } => ReserveReply::Granted,
+            ReservationAnswer::Refused(loads) => ReserveReply::Refused { loads },
         }
     }
 
--- a/crates/agent/src/process/commands.rs
+++ b/crates/agent/src/process/commands.rs
@@ -2,7 +2,10 @@
 
 use std::collections::BTreeMap;
 
-use admit::{Attempt, Claim, Outcome, PeerAnswer, Reason, Report, RequestInfo, Verdict};
+use admit::{
+    Attempt, ClaimAnswer, LoadReport, PeerAnswer, RefusalReason, RequestInfo, RequestOutcome,
+    RetryDecision,
+};
 use tokio::sync::{mpsc, oneshot};
 use types::{
     ClassName, Connections, Loads, RequestId, ReservationId, ServiceId, Target, UpstreamId,
@@ -27,7 +30,7 @@
         reservation: ReservationId,
     },
     /// Refuse it as not run.
-    Refuse(Reason),
+    Refuse(RefusalReason),
 }
 
 /// What a version tells the task.
@@ -60,15 +63,15 @@
     /// A request arrived; the grant is its only answer.
     Arrive(RequestInfo, oneshot::Sender<Grant>),
     /// A request that ran here ended.
-    Finish(RequestId, Outcome),
+    Finish(RequestId, RequestOutcome),
     /// A request that waited or ran here is gone.
     Cancel(RequestId),
     /// An attempt failed; says what to do.
-    Judge(Attempt, oneshot::Sender<Verdict>),
+    Judge(Attempt, oneshot::Sender<RetryDecision>),
     /// A peer asks for a slot.
     Reserve(ReserveRequest, oneshot::Sender<ReserveReply>),
     /// A peer sends a request against its reservation.
-    Claim(ReservationId, RequestId, oneshot::Sender<Claim>),
+    Claim(ReservationId, RequestId, oneshot::Sender<ClaimAnswer>),
     /// A peer no longer needs its reservation.
     Release(ReservationId),
     /// A peer that had refused a slot offers one.
@@ -78,7 +81,7 @@
     /// A connection was closed.
     CloseConnection,
     /// The upstream reports its load of a class.
-    Report(ClassName, Report),
+    Report(ClassName, LoadReport),
     /// A connection to the upstream was opened or could not be.
     Connected(bool),
     /// A new version is in force.
--- a/crates/agent/src/process/load.rs
+++ b/crates/agent/src/process/load.rs
@@ -6,7 +6,7 @@
     time::{Duration, Instant},
 };
 
-use admit::Report;
+use admit::LoadReport;
 use serde::Deserialize;
 use tokio::time::{sleep_until, timeout_at};
 use types::{ClassName, Slots};
@@ -73,7 +73,7 @@
 
     fn pass_on(&self, report: BTreeMap<ClassName, Reported>) {
         for (class, Reported { slots, in_flight }) in report {
-            let report = Report { slots, in_flight };
+            let report = LoadReport { slots, in_flight };
             self.admission.send(AdmissionCommand::Report(class, report));
         }
     }
--- a/crates/agent/src/process/peer.rs
+++ b/crates/agent/src/process/peer.rs
@@ -15,7 +15,7 @@
     middleware::from_fn,
     web,
 };
-use admit::{Claim, Outcome};
+use admit::{ClaimAnswer, RequestOutcome};
 use auth::{Credentials, Gate};
 use bytes::Bytes;
 use futures_util::{Stream, StreamExt, stream::unfold};
@@ -198,7 +198,7 @@
         .admission
         .ask(|tx| AdmissionCommand::Claim(reservation, id, tx))
         .await;
-    if claim != Some(Claim::Run) {
+    if claim != Some(ClaimAnswer::Run) {
         return outcome(cx.own, NOT_CLAIMED);
     }
     let Some(call) = call(&cx, &req, payload) else {
@@ -279,7 +279,7 @@
 
 async fn next_part(
     (mut body, connection, mut slot): AnswerState,
-    outcome: Outcome,
+    outcome: RequestOutcome,
 ) -> Option<(hyper::Result<Bytes>, AnswerState)> {
     loop {
         let part = match body.frame().await {
@@ -288,7 +288,7 @@
                 return None;
             }
             Some(Err(e)) => {
-                slot.set(Outcome::Failed);
+                slot.set(RequestOutcome::Failed);
                 Err(e)
             }
             Some(Ok(frame)) => match frame.into_data() {
--- a/crates/agent/src/request/handle.rs
+++ b/crates/agent/src/request/handle.rs
@@ -5,7 +5,9 @@
     time::{Duration, Instant},
 };
 
-use admit::{Attempt, Failure, Outcome, Progress, Reason, RequestInfo, Verdict};
+use admit::{
+    Attempt, Failure, Progress, RefusalReason, RequestInfo, RequestOutcome, RetryDecision,
+};
 use auth::Credentials;
 use bytes::Bytes;
 use h3::{
@@ -73,7 +75,7 @@
 /// What the caller gets when there is no answer to pass on.
 pub(super) enum Refusal {
     /// The request was not run.
-    NotRun(Option<Reason>),
+    NotRun(Option<RefusalReason>),
     /// The request may have run.
     Unknown(Failure),
     /// The caller is gone.
@@ -123,7 +125,7 @@
         .as_ref()
         .and_then(|state| class_of(state, req.uri()));
     let Some((service, class)) = found else {
-        return refuse(send, &Refusal::NotRun(Some(Reason::UnknownClass))).await;
+        return refuse(send, &Refusal::NotRun(Some(RefusalReason::UnknownClass))).await;
     };
     let now = Instant::now();
     let remaining = req.headers().get(ClaimHeader::TIMEOUT_MS);
@@ -247,8 +249,8 @@
             .ask(|tx| AdmissionCommand::Judge(attempt, tx))
             .await;
         match verdict {
-            Some(Verdict::Retry) => Ok(()),
-            Some(Verdict::Done) => Err(Refusal::Gone),
+            Some(RetryDecision::Retry) => Ok(()),
+            Some(RetryDecision::Done) => Err(Refusal::Gone),
             _ if not_run => Err(Refusal::NotRun(None)),
             _ => Err(Refusal::Unknown(failed.failure)),
         }
@@ -277,7 +279,7 @@
                 // the whole answer.
                 send.stop_stream(Code::H3_INTERNAL_ERROR);
                 if let Some(slot) = &mut slot {
-                    slot.set(Outcome::Failed);
+                    slot.set(RequestOutcome::Failed);
                 }
                 self.count("broken");
                 return Ok(());
@@ -310,19 +312,19 @@
 }
 
 /// Outcome of a request whose whole answer came.
-pub(crate) fn ended(status: StatusCode) -> Outcome {
+pub(crate) fn ended(status: StatusCode) -> RequestOutcome {
     if status == StatusCode::SERVICE_UNAVAILABLE {
-        Outcome::Shed
+        RequestOutcome::Shed
     } else {
-        Outcome::Completed
+        RequestOutcome::Completed
     }
 }
 
 /// Outcome of a request without an answer.
-pub(crate) fn outcome_of(failed: Failed) -> Outcome {
+pub(crate) fn outcome_of(failed: Failed) -> RequestOutcome {
     match failed.progress {
-        Progress::NotStarted => Outcome::NotStarted,
-        _ => Outcome::Failed,
+        Progress::NotStarted => RequestOutcome::NotStarted,
+        _ => RequestOutcome::Failed,
     }
 }
 
--- a/crates/agent/src/request/keyed.rs
+++ b/crates/agent/src/request/keyed.rs
@@ -1,6 +1,6 @@
 //! Requests under an idempotency key.
 
-use admit::Outcome;
+use admit::RequestOutcome;
 use bytes::{Bytes, BytesMut};
 use dedup::{Begin, End, Fingerprint, Kept, Key};
 use h3::error::{Code, StreamError};
@@ -108,7 +108,7 @@
     while let Some(frame) = body.frame().await {
         let Ok(frame) = frame else {
             if let Some(slot) = &mut slot {
-                slot.set(Outcome::Failed);
+                slot.set(RequestOutcome::Failed);
             }
             exchange.count("broken");
             let _ = tx.send(Part::Broken).await;
--- a/crates/agent/src/request/slot.rs
+++ b/crates/agent/src/request/slot.rs
@@ -5,7 +5,7 @@
     atomic::{AtomicU64, Ordering},
 };
 
-use admit::Outcome;
+use admit::RequestOutcome;
 use types::RequestId;
 
 use crate::process::{AdmissionCommand, AdmissionHandle};
@@ -32,7 +32,7 @@
 pub struct Slot {
     id: RequestId,
     /// How the request ended; none while it waits, or if it was cancelled.
-    outcome: Option<Outcome>,
+    outcome: Option<RequestOutcome>,
     admission: AdmissionHandle,
 }
 
@@ -48,7 +48,7 @@
     }
 
     /// Sets how the request ended.
-    pub fn set(&mut self, outcome: Outcome) {
+    pub fn set(&mut self, outcome: RequestOutcome) {
         self.outcome = Some(outcome);
     }
 }
--- a/crates/bench/src/admission/run.rs
+++ b/crates/bench/src/admission/run.rs
@@ -6,7 +6,10 @@
     time::{Duration, Instant},
 };
 
-use admit::{Admission, Claim, Decision, Outcome, PeerAnswer, Report, RequestInfo, Reserve, Wake};
+use admit::{
+    Admission, ClaimAnswer, Decision, DeferredDecision, LoadReport, PeerAnswer, RequestInfo,
+    RequestOutcome, ReservationAnswer,
+};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use types::{
     ClassLoad, ClassName, DataCentre, Loads, RequestId, ReservationId, Slots, Target, UpstreamId,
@@ -338,7 +341,7 @@
         self.drive(home, |a, now| {
             let decision = a.arrive(now, info);
             let id = RequestId(id as u64);
-            vec![Wake { id, decision }]
+            vec![DeferredDecision { id, decision }]
         });
     }
 
@@ -409,7 +412,7 @@
         self.figures.done += 1;
         self.leave_upstream(node, request);
         let id = RequestId(request as u64);
-        self.drive(node, |a, now| a.finish(now, id, Outcome::Completed));
+        self.drive(node, |a, now| a.finish(now, id, RequestOutcome::Completed));
     }
 
     fn leave_upstream(&mut self, node: usize, request: usize) {
@@ -436,13 +439,17 @@
     }
 
     /// Calls the admission of an upstream and carries out what it decides.
-    fn drive(&mut self, node: usize, call: impl FnOnce(&mut Admission, Instant) -> Vec<Wake>) {
+    fn drive(
+        &mut self,
+        node: usize,
+        call: impl FnOnce(&mut Admission, Instant) -> Vec<DeferredDecision>,
+    ) {
         let now = self.instant();
         self.touch(node);
         let Some(admission) = &mut self.nodes[node].admission else {
             return;
         };
-        for Wake { id, decision } in call(admission, now) {
+        for DeferredDecision { id, decision } in call(admission, now) {
             let request = usize::try_from(id.0).unwrap_or_default();
             self.carry_out(node, request, decision);
         }
@@ -475,7 +482,7 @@
         }
         match decision {
             Decision::Run => self.serve(node, request),
-            Decision::HandOff { peer } => {
+            Decision::AskPeer { peer } => {
                 self.sequence += 1;
                 let id = ReservationId(self.sequence);
                 self.send(node, node_of(peer), Event::Ask(node_of(peer), request, id));
@@ -485,7 +492,7 @@
                 self.figures.refused += 1;
                 self.figures.refused_while_free += u64::from(self.any_slot_free());
             }
-            Decision::Pass { .. } | Decision::Release { .. } | Decision::Queue { .. } => {}
+            Decision::Forward { .. } | Decision::Release { .. } | Decision::Queue { .. } => {}
         }
     }
 
@@ -501,7 +508,7 @@
         let from = peer_id(self.requests[request].home);
         let mut full = None;
         self.drive(node, |a, now| {
-            if let Reserve::Refused(loads) =
+            if let ReservationAnswer::Refused(loads) =
                 a.reserve(now, id, from, &ClassName::default(), deadline)
             {
                 full = Some(flat(&loads));
@@ -529,7 +536,7 @@
             let decision = a.peer_answer(now, number, peer_id(peer), answer);
             taken = decision;
             decision
-                .map(|decision| Wake {
+                .map(|decision| DeferredDecision {
                     id: number,
                     decision,
                 })
@@ -537,7 +544,7 @@
                 .collect()
         });
         match taken {
-            Some(Decision::Pass { .. }) => self.send(home, peer, Event::Pass(peer, request, id)),
+            Some(Decision::Forward { .. }) => self.send(home, peer, Event::Pass(peer, request, id)),
             Some(Decision::Release { .. }) => self.send(home, peer, Event::Release(peer, id)),
             _ => {}
         }
@@ -558,12 +565,12 @@
     }
 
     fn pass(&mut self, node: usize, request: usize, id: ReservationId) {
-        let mut claimed = Claim::Lapsed;
+        let mut claimed = ClaimAnswer::Lapsed;
         self.drive(node, |a, now| {
             claimed = a.claim(now, id, RequestId(request as u64));
             Vec::new()
         });
-        if claimed == Claim::Run {
+        if claimed == ClaimAnswer::Run {
             self.serve(node, request);
         } else {
             self.figures.lapsed += 1;
@@ -587,7 +594,7 @@
             let (slots, in_flight, queued) = own.unwrap_or((self.case.size.slots, reported, 0));
             self.schedule(age, Event::News(node, slots, in_flight, queued));
             if wrong {
-                let report = Report {
+                let report = LoadReport {
                     slots: Slots(self.case.size.slots * 10),
                     in_flight: Slots(0),
                 };
