--- a/crates/admit/src/process/admission.rs
+++ b/crates/admit/src/process/admission.rs
@@ -120,7 +120,7 @@
 
     /// Whether an upstream that is down is to be probed now. The probe counts
     /// as begun; report it with `connect_failed` or `connect_succeeded`.
-    pub fn probe_due(&mut self, now: Instant) -> bool {
+    pub fn start_due_probe(&mut self, now: Instant) -> bool {
         self.health.begin_probe(now)
     }
 
@@ -135,16 +135,16 @@
     }
 
     /// Notes what the upstream says of a class. It lowers the slots until it
-    /// is replaced or `report_limit` passes, and never raises them over the
+    /// is replaced or `report_lifetime` passes, and never raises them over the
     /// target.
-    pub fn note_report(
+    pub fn apply_report(
         &mut self,
         now: Instant,
         class: &ClassName,
         report: LoadReport,
     ) -> Vec<DeferredDecision> {
         if let Some(known) = self.classes.get_mut(class) {
-            known.note_report(now, report, &self.settings);
+            known.apply_report(now, report, &self.settings);
         }
         self.start_queued(now, class)
     }
@@ -172,7 +172,7 @@
     }
 
     /// Notes the loads of a peer. A queued request may be woken to ask it.
-    pub fn note_peer_load(
+    pub fn update_peer_loads(
         &mut self,
         now: Instant,
         peer: UpstreamId,
@@ -209,7 +209,7 @@
         let Some(class) = class.filter(|class| class.has_target()) else {
             return Decision::Refuse(RefusalReason::UnknownClass);
         };
-        if serving && !request.elsewhere && class.has_free_slot() {
+        if serving && !request.exclude_local && class.has_free_slot() {
             self.run(now, request.id, request.class);
             return Decision::Run;
         }
@@ -225,7 +225,7 @@
 
     /// Notes the answer of a peer that was asked. `None` if the request got
     /// another decision meanwhile and nothing is to be done.
-    pub fn peer_answer(
+    pub fn handle_peer_answer(
         &mut self,
         now: Instant,
         id: RequestId,
@@ -327,13 +327,13 @@
         wakes
     }
 
-    /// When `tick` or `probe_due` has something to do next.
+    /// When `tick` or `start_due_probe` has something to do next.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Instant> {
         let timeout = self.timeouts.first().map(|(at, _)| *at);
         let lapse = self.reservations.values().map(|held| held.expires).min();
         let limit = self.classes.values().filter_map(Class::limit_ends).min();
-        let asks = self.may_ask() && self.settings.ask_again.is_some();
+        let asks = self.may_ask() && self.settings.ask_interval.is_some();
         let waits = self.classes.values().filter(|c| !c.is_queue_empty());
         let ask = waits.map(|class| class.ask_at).min().filter(|_| asks);
         [timeout, lapse, limit, ask, self.health.next_probe()]
@@ -347,7 +347,7 @@
     }
 
     pub(crate) fn may_ask(&self) -> bool {
-        self.settings.hand_off && !self.peers.is_empty()
+        self.settings.hand_off_enabled && !self.peers.is_empty()
     }
 
     pub(crate) fn run(&mut self, now: Instant, id: RequestId, class: ClassName) {
--- a/crates/admit/src/process/budget.rs
+++ b/crates/admit/src/process/budget.rs
@@ -28,13 +28,13 @@
     }
 
     /// Counts a request that arrived: earns a tenth of a token.
-    pub fn earn(&mut self) {
+    pub fn deposit(&mut self) {
         self.tenths = (self.tenths + 1).min(MAX_TENTHS);
     }
 
     /// Takes a token if there is one.
     #[must_use]
-    pub fn take(&mut self) -> bool {
+    pub fn withdraw(&mut self) -> bool {
         let enough = self.tenths >= RETRY;
         if enough {
             self.tenths -= RETRY;
--- a/crates/admit/src/process/health.rs
+++ b/crates/admit/src/process/health.rs
@@ -18,7 +18,7 @@
 #[derive(Debug, Clone)]
 struct Down {
     next_probe: Instant,
-    /// Between probes; at most `longest_probe`.
+    /// Between probes; at most `max_probe_delay`.
     delay: Duration,
 }
 
@@ -35,16 +35,16 @@
     pub(crate) fn failed(&mut self, now: Instant, settings: &Settings) -> bool {
         self.failures = self.failures.saturating_add(1);
         if let Some(down) = &mut self.down {
-            down.delay = (down.delay * 2).min(settings.longest_probe);
+            down.delay = (down.delay * 2).min(settings.max_probe_delay);
             down.next_probe = now + down.delay;
             return false;
         }
-        if self.failures < settings.down_after {
+        if self.failures < settings.down_after_failures {
             return false;
         }
         self.down = Some(Down {
-            next_probe: now + settings.first_probe,
-            delay: settings.first_probe,
+            next_probe: now + settings.initial_probe_delay,
+            delay: settings.initial_probe_delay,
         });
         true
     }
--- a/crates/admit/src/request/decision.rs
+++ b/crates/admit/src/request/decision.rs
@@ -18,7 +18,7 @@
     pub handed_off: bool,
     /// Whether an earlier attempt failed at this upstream. Such a request is
     /// only handed off.
-    pub elsewhere: bool,
+    pub exclude_local: bool,
 }
 
 impl RequestInfo {
@@ -30,7 +30,7 @@
             class,
             deadline: None,
             handed_off: false,
-            elsewhere: false,
+            exclude_local: false,
         }
     }
 }
@@ -43,7 +43,7 @@
     /// [`cancel`](crate::Admission::cancel). Final.
     Run,
     /// Ask this peer for a reservation and report the answer with
-    /// [`peer_answer`](crate::Admission::peer_answer). The request may
+    /// [`handle_peer_answer`](crate::Admission::handle_peer_answer). The request may
     /// meanwhile get another decision by a [`DeferredDecision`].
     AskPeer {
         /// Peer to ask.
--- a/crates/admit/src/request/outcome.rs
+++ b/crates/admit/src/request/outcome.rs
@@ -92,7 +92,7 @@
         }
         (Progress::Answered, _) => RetryDecision::Reset,
         (_, Failure::Connect | Failure::PeerRefused | Failure::Broken | Failure::Shed)
-            if may_retry && in_time && budget.take() =>
+            if may_retry && in_time && budget.withdraw() =>
         {
             RetryDecision::Retry
         }
--- a/crates/admit/src/request/reserve.rs
+++ b/crates/admit/src/request/reserve.rs
@@ -10,8 +10,8 @@
 
 impl Admission {
     /// Holds a slot for a request of the peer `from` until `deadline`, at most
-    /// for `reservation_limit`. The same id again gets the same answer. A peer
-    /// that is refused may get an [`Offer`] within `offer_within`.
+    /// for `reservation_timeout`. The same id again gets the same answer. A peer
+    /// that is refused may get an [`Offer`] within `offer_window`.
     pub fn reserve(
         &mut self,
         now: Instant,
@@ -30,14 +30,14 @@
         let serving = self.is_serving();
         match self.classes.get_mut(class) {
             Some(known) if serving && now < deadline && known.has_free_slot() => {
-                let expires = deadline.min(now + self.settings.reservation_limit);
+                let expires = deadline.min(now + self.settings.reservation_timeout);
                 known.reserved += 1;
                 let class = class.clone();
                 self.reservations.insert(id, Reservation { class, expires });
                 ReservationAnswer::Granted { expires }
             }
             Some(known) if serving => {
-                known.note_asked(from, now + self.settings.offer_within);
+                known.note_asked(from, now + self.settings.offer_window);
                 ReservationAnswer::Refused(self.loads())
             }
             _ => ReservationAnswer::Refused(self.loads()),
@@ -52,7 +52,7 @@
         if !self.is_serving() {
             return offers;
         }
-        let expires = now + self.settings.reservation_limit;
+        let expires = now + self.settings.reservation_timeout;
         for (name, known) in &mut self.classes {
             while known.has_free_slot()
                 && let Some(peer) = known.take_asker(now)
@@ -70,7 +70,11 @@
 
     /// Notes that `peer` offers a slot. Returns the queued request that is
     /// passed to it; `None` if the offer is to be released.
-    pub fn offered(&mut self, peer: UpstreamId, class: &ClassName) -> Option<DeferredDecision> {
+    pub fn accept_offer(
+        &mut self,
+        peer: UpstreamId,
+        class: &ClassName,
+    ) -> Option<DeferredDecision> {
         let id = self.classes.get(class)?.queued().next()?;
         self.peers.note_granted(peer, class);
         self.stop_waiting(id);
--- a/crates/admit/src/request/state.rs
+++ b/crates/admit/src/request/state.rs
@@ -35,7 +35,7 @@
     /// time, at the rate of the class.
     pub(crate) round_over: bool,
     /// Never queued, because the upstream here failed it before.
-    pub(crate) elsewhere: bool,
+    pub(crate) exclude_local: bool,
 }
 
 /// A slot that is held for a peer.
--- a/crates/admit/src/request/waiting.rs
+++ b/crates/admit/src/request/waiting.rs
@@ -12,10 +12,10 @@
     /// Queues a request, or lets it ask peers when the queue has no room or
     /// would keep it for too long.
     pub(crate) fn wait(&mut self, now: Instant, request: RequestInfo) -> Decision {
-        if !self.may_ask() && (self.leaving || request.elsewhere) {
+        if !self.may_ask() && (self.leaving || request.exclude_local) {
             return Decision::Refuse(RefusalReason::NotServing);
         }
-        let limit = now + self.settings.queue_limit;
+        let limit = now + self.settings.queue_timeout;
         let until = request.deadline.map_or(limit, |at| at.min(limit));
         let waiting = Waiting {
             class: request.class,
@@ -25,7 +25,7 @@
             asked: None,
             tried: Vec::new(),
             round_over: false,
-            elsewhere: request.elsewhere,
+            exclude_local: request.exclude_local,
         };
         if let Some(class) = self.classes.get_mut(&waiting.class) {
             class.asking += 1;
@@ -45,7 +45,7 @@
             Some(State::Waiting(waiting)) => self.classes.get(&waiting.class),
             _ => None,
         };
-        class.is_some_and(|class| class.asking > self.settings.max_asking)
+        class.is_some_and(|class| class.asking > self.settings.max_unqueued_asking)
     }
 
     /// Gives a waiting request a place in the queue, unless it has one.
@@ -59,7 +59,7 @@
         if waiting.place.is_some() {
             return Ok(());
         }
-        if waiting.elsewhere {
+        if waiting.exclude_local {
             return Err(RefusalReason::NotServing);
         }
         if !class.has_queue_room(&self.settings) {
@@ -103,7 +103,7 @@
 
     /// Lets the oldest queued request that awaits no answer ask one peer.
     pub(crate) fn ask_again(&mut self, now: Instant, name: &ClassName) -> Option<DeferredDecision> {
-        let pause = self.settings.ask_again.filter(|_| self.may_ask())?;
+        let pause = self.settings.ask_interval.filter(|_| self.may_ask())?;
         let class = self.classes.get_mut(name)?;
         class.ask_at = now + pause.mul_f64(self.rng.random_range(0.75..1.25));
         let idle = |id: &RequestId| matches!(self.requests.get(id), Some(State::Waiting(w)) if w.asked.is_none());
--- a/crates/admit/src/version/class.rs
+++ b/crates/admit/src/version/class.rs
@@ -93,9 +93,9 @@
     }
 
     /// Takes a report over unless it says less than the agent itself sees.
-    pub(crate) fn note_report(&mut self, now: Instant, report: LoadReport, settings: &Settings) {
+    pub(crate) fn apply_report(&mut self, now: Instant, report: LoadReport, settings: &Settings) {
         if report.in_flight.0 >= self.in_flight {
-            self.limit = Some((report.slots.0, now + settings.report_limit));
+            self.limit = Some((report.slots.0, now + settings.report_lifetime));
         }
     }
 
@@ -103,7 +103,7 @@
     /// One slot is left, so that the agent notices when it recovers.
     pub(crate) fn note_shed(&mut self, now: Instant, settings: &Settings) {
         let slots = self.in_flight.saturating_sub(1).min(self.slots()).max(1);
-        self.limit = Some((slots, now + settings.report_limit));
+        self.limit = Some((slots, now + settings.report_lifetime));
     }
 
     pub(crate) fn limit_ends(&self) -> Option<Instant> {
@@ -146,7 +146,7 @@
         let bound = self
             .target
             .unwrap_or(0)
-            .saturating_mul(settings.queue_per_slot);
+            .saturating_mul(settings.max_queued_per_slot);
         self.queue.len() < usize::try_from(bound).unwrap_or(usize::MAX)
     }
 
@@ -186,7 +186,7 @@
     pub(crate) fn next_queued(&self, now: Instant, settings: &Settings) -> Option<RequestId> {
         let (_, oldest) = self.queue.first_key_value()?;
         let (_, newest) = self.queue.last_key_value()?;
-        let overdue = now.saturating_duration_since(oldest.since) > settings.queue_limit / 2;
+        let overdue = now.saturating_duration_since(oldest.since) > settings.queue_timeout / 2;
         Some(match settings.queue_order {
             QueueOrder::Adaptive if overdue => newest.id,
             QueueOrder::Fifo | QueueOrder::Adaptive => oldest.id,
--- a/crates/admit/src/version/peers.rs
+++ b/crates/admit/src/version/peers.rs
@@ -111,7 +111,7 @@
         if let Some(peer) = self.known.get_mut(&id) {
             let known = peer.classes.entry(class.clone()).or_default();
             let backlog = known.load.queued.0.div_ceil(known.load.slots.0.max(1));
-            known.paused = Some(now + settings.full_peer_pause * (1 + backlog));
+            known.paused = Some(now + settings.full_peer_backoff * (1 + backlog));
         }
     }
 
--- a/crates/admit/tests/admission.rs
+++ b/crates/admit/tests/admission.rs
@@ -92,16 +92,16 @@
     let now = Instant::now();
     let third = UpstreamId(3);
     let mut a = admission(now, 1, &[(FIRST, "b"), (SECOND, "b"), (third, "a")]);
-    a.note_peer_load(now, FIRST, &loads(4, 3));
-    a.note_peer_load(now, SECOND, &loads(4, 1));
-    a.note_peer_load(now, third, &loads(4, 4));
+    a.update_peer_loads(now, FIRST, &loads(4, 3));
+    a.update_peer_loads(now, SECOND, &loads(4, 1));
+    a.update_peer_loads(now, third, &loads(4, 4));
     assert_eq!(a.arrive(now, request(1)), Decision::Run);
     let mut decision = Some(a.arrive(now, request(2)));
     for peer in [third, SECOND, FIRST] {
         assert_eq!(decision, Some(Decision::AskPeer { peer }));
-        decision = a.peer_answer(now, RequestId(2), peer, refused());
+        decision = a.handle_peer_answer(now, RequestId(2), peer, refused());
     }
-    let until = now + Settings::default().queue_limit;
+    let until = now + Settings::default().queue_timeout;
     assert_eq!(decision, Some(Decision::Queue { until }));
 }
 
@@ -116,7 +116,7 @@
     while let Some(Decision::AskPeer { peer }) = decision {
         assert!(!asked.contains(&peer));
         asked.push(peer);
-        decision = a.peer_answer(now, RequestId(2), peer, PeerAnswer::Unreachable);
+        decision = a.handle_peer_answer(now, RequestId(2), peer, PeerAnswer::Unreachable);
     }
     assert_eq!(asked.len(), 4);
 }
@@ -132,9 +132,12 @@
         a.finish(now, RequestId(1), RequestOutcome::Completed),
         [run(2)]
     );
-    let late = a.peer_answer(now, RequestId(2), peer, PeerAnswer::Granted);
+    let late = a.handle_peer_answer(now, RequestId(2), peer, PeerAnswer::Granted);
     assert_eq!(late, Some(Decision::Release { peer }));
-    assert_eq!(a.peer_answer(now, RequestId(2), peer, refused()), None);
+    assert_eq!(
+        a.handle_peer_answer(now, RequestId(2), peer, refused()),
+        None
+    );
 }
 
 /// Guards against a handed-off request that goes round among agents, and
@@ -173,13 +176,16 @@
     let now = Instant::now();
     let mut a = admission(now, 1, &[(FIRST, "b")]);
     let elsewhere = RequestInfo {
-        elsewhere: true,
+        exclude_local: true,
         ..request(1)
     };
     let peer = FIRST;
     assert_eq!(a.arrive(now, elsewhere), Decision::AskPeer { peer });
     let refusal = Some(Decision::Refuse(RefusalReason::NotServing));
-    assert_eq!(a.peer_answer(now, RequestId(1), peer, refused()), refusal);
+    assert_eq!(
+        a.handle_peer_answer(now, RequestId(1), peer, refused()),
+        refusal
+    );
 }
 
 /// Guards against an unbounded queue, and against waiting without an end.
@@ -187,12 +193,12 @@
 fn the_queue_is_bounded_in_length_and_time() {
     let now = Instant::now();
     let settings = Settings {
-        queue_per_slot: 2,
+        max_queued_per_slot: 2,
         ..Settings::default()
     };
     let mut a = with(now, 1, &[], settings);
     a.arrive(now, request(1));
-    let until = now + Settings::default().queue_limit;
+    let until = now + Settings::default().queue_timeout;
     for n in 2..=3 {
         assert_eq!(a.arrive(now, request(n)), Decision::Queue { until });
     }
@@ -312,7 +318,7 @@
     let now = Instant::now();
     let mut a = busy(now, &[]);
     a.reserve(now, ReservationId(9), FIRST, &class(), now + ms(500));
-    let late = now + Settings::default().offer_within;
+    let late = now + Settings::default().offer_window;
     a.finish(late, RequestId(1), RequestOutcome::Completed);
     assert_eq!(a.take_offers(late), []);
 }
@@ -325,7 +331,7 @@
     a.reserve(now, ReservationId(9), FIRST, &class(), now + ms(50));
     let peer = SECOND;
     assert_eq!(a.arrive(now, request(2)), Decision::AskPeer { peer });
-    let later = now + Settings::default().full_peer_pause;
+    let later = now + Settings::default().full_peer_backoff;
     let peer = FIRST;
     assert_eq!(a.arrive(later, request(3)), Decision::AskPeer { peer });
 }
@@ -337,8 +343,8 @@
     let mut a = busy(now, &[]);
     a.arrive(now, request(2));
     let passed = wake(2, Decision::Forward { peer: FIRST });
-    assert_eq!(a.offered(FIRST, &class()), Some(passed));
-    assert_eq!(a.offered(FIRST, &class()), None);
+    assert_eq!(a.accept_offer(FIRST, &class()), Some(passed));
+    assert_eq!(a.accept_offer(FIRST, &class()), None);
 }
 
 /// Guards against new work at a leaving upstream, against a cut of what runs
@@ -348,7 +354,7 @@
     let now = Instant::now();
     let mut a = busy(now, &[(FIRST, "b")]);
     a.arrive(now, request(2));
-    a.peer_answer(now, RequestId(2), FIRST, refused());
+    a.handle_peer_answer(now, RequestId(2), FIRST, refused());
     let now = now + ms(100);
     let decision = Decision::AskPeer { peer: FIRST };
     assert_eq!(a.set_leaving(now, true), [wake(2, decision)]);
@@ -379,10 +385,10 @@
     assert_eq!(a.state(), UpstreamState::Down);
     assert!(matches!(a.arrive(now, request(1)), Decision::Queue { .. }));
     for delay in [100, 200, 400, 800, 1600, 2000, 2000] {
-        assert!(!a.probe_due(now + ms(delay - 1)));
+        assert!(!a.start_due_probe(now + ms(delay - 1)));
         now += ms(delay);
-        assert!(a.probe_due(now));
-        assert!(!a.probe_due(now));
+        assert!(a.start_due_probe(now));
+        assert!(!a.start_due_probe(now));
         a.connect_failed(now);
     }
     assert_eq!(a.connect_succeeded(now), [run(1)]);
@@ -420,7 +426,7 @@
 #[test]
 fn a_report_only_lowers_and_is_dropped_when_old() {
     let now = Instant::now();
-    let limit = Settings::default().report_limit;
+    let limit = Settings::default().report_lifetime;
     let report = |slots, in_flight| LoadReport {
         slots: Slots(slots),
         in_flight: Slots(in_flight),
@@ -435,7 +441,7 @@
     for (report, age, slots) in cases {
         let mut a = admission(now, 4, &[]);
         a.arrive(now, request(1));
-        a.note_report(now, &class(), report);
+        a.apply_report(now, &class(), report);
         a.tick(now + age);
         assert_eq!(a.loads()[&class()].slots, Slots(slots), "{report:?}");
     }
@@ -451,7 +457,7 @@
     }
     a.finish(now, RequestId(1), RequestOutcome::Shed);
     assert_eq!(a.loads()[&class()].slots, Slots(3));
-    a.tick(now + Settings::default().report_limit);
+    a.tick(now + Settings::default().report_lifetime);
     assert_eq!(a.loads()[&class()].slots, Slots(4));
 }
 
--- a/crates/admit/tests/invariants.rs
+++ b/crates/admit/tests/invariants.rs
@@ -50,8 +50,8 @@
         let orders = [QueueOrder::Fifo, QueueOrder::Lifo, QueueOrder::Adaptive];
         let settings = Settings {
             queue_order: orders[u.choose_index(3).unwrap_or(0)],
-            queue_per_slot: 2,
-            max_asking: 3,
+            max_queued_per_slot: 2,
+            max_unqueued_asking: 3,
             ..Settings::default()
         };
         let now = Instant::now();
@@ -113,13 +113,13 @@
         let id = RequestId(self.next_id);
         let allowed = u.int_in_range(0..=400)?;
         let deadline = u.ratio(1, 2)?.then(|| self.now + ms(allowed));
-        let limit = self.now + self.settings.queue_limit;
+        let limit = self.now + self.settings.queue_timeout;
         let until = deadline.map_or(limit, |at| at.min(limit));
         self.waiting.insert(id, (until, deadline));
         let mut info = RequestInfo::new(id, class());
         info.deadline = deadline;
         info.handed_off = u.ratio(1, 8)?;
-        info.elsewhere = u.ratio(1, 8)?;
+        info.exclude_local = u.ratio(1, 8)?;
         let handed_off = info.handed_off;
         let decision = self.admission.arrive(self.now, info);
         assert!(!handed_off || decision.is_final(), "handed on");
@@ -140,7 +140,9 @@
         } else {
             PeerAnswer::Refused(self.admission.loads())
         };
-        let decision = self.admission.peer_answer(self.now, id, peer, answer);
+        let decision = self
+            .admission
+            .handle_peer_answer(self.now, id, peer, answer);
         if self.waiting.contains_key(&id) {
             let decision = decision.expect("the request waits for this answer");
             return Ok(vec![DeferredDecision { id, decision }]);
@@ -209,9 +211,9 @@
                     slots: Slots(u.int_in_range(0..=6)?),
                     in_flight: Slots(u.int_in_range(0..=6)?),
                 };
-                self.admission.note_report(self.now, &class(), report)
+                self.admission.apply_report(self.now, &class(), report)
             }
-            _ => Vec::from_iter(self.admission.offered(UpstreamId(1), &class())),
+            _ => Vec::from_iter(self.admission.accept_offer(UpstreamId(1), &class())),
         };
         self.obey(wakes);
         let wakes = self.admission.tick(self.now);
@@ -233,7 +235,7 @@
             in_flight <= self.slots.max(former_in_flight),
             "over the slots"
         );
-        let bound = self.slots * self.settings.queue_per_slot;
+        let bound = self.slots * self.settings.max_queued_per_slot;
         assert!(queued <= bound.max(former_queued), "over the queue's bound");
         let overdue = self.waiting.values().find(|(until, _)| *until <= self.now);
         assert_eq!(overdue, None, "a request waits past its end");
@@ -259,7 +261,7 @@
             while !u.is_empty() {
                 agent.step(u)?;
             }
-            agent.now += agent.settings.queue_limit + agent.settings.reservation_limit;
+            agent.now += agent.settings.queue_timeout + agent.settings.reservation_timeout;
             let wakes = agent.admission.tick(agent.now);
             agent.obey(wakes);
             assert!(agent.waiting.is_empty(), "a request got no final decision");
--- a/crates/admit/tests/outcome.rs
+++ b/crates/admit/tests/outcome.rs
@@ -43,7 +43,7 @@
 
 fn empty_budget() -> RetryBudget {
     let mut budget = RetryBudget::new();
-    while budget.take() {}
+    while budget.withdraw() {}
     budget
 }
 
@@ -95,8 +95,8 @@
     let mut budget = RetryBudget::new();
     let mut retries = 0;
     for _ in 0..1000 {
-        budget.earn();
-        retries += u32::from(budget.take());
+        budget.deposit();
+        retries += u32::from(budget.withdraw());
     }
     assert_eq!(retries, 103);
 }
@@ -106,9 +106,9 @@
 fn a_quiet_run_saves_a_bounded_number_of_retries() {
     let mut budget = RetryBudget::new();
     for _ in 0..100_000 {
-        budget.earn();
+        budget.deposit();
     }
-    let burst = std::iter::from_fn(|| budget.take().then_some(())).count();
+    let burst = std::iter::from_fn(|| budget.withdraw().then_some(())).count();
     assert_eq!(burst, 20);
 }
 
--- a/crates/agent/src/process/admission.rs
+++ b/crates/agent/src/process/admission.rs
@@ -109,7 +109,7 @@
     fn tick(&mut self, now: Instant) {
         let wakes = self.admission.tick(now);
         self.wake(wakes);
-        if self.admission.probe_due(now) {
+        if self.admission.start_due_probe(now) {
             self.probe();
         }
     }
@@ -154,7 +154,7 @@
                 self.connections.0 = self.connections.0.saturating_sub(1);
             }
             C::Report(class, report) => {
-                let wakes = self.admission.note_report(now, &class, report);
+                let wakes = self.admission.apply_report(now, &class, report);
                 self.wake(wakes);
             }
             C::Connected(ok) => self.connected(now, ok),
@@ -162,12 +162,12 @@
             C::PeerLoads(loads) => {
                 let own = self.own;
                 for (peer, loads) in loads.into_iter().filter(|(id, _)| *id != own) {
-                    let wakes = self.admission.note_peer_load(now, peer, &loads);
+                    let wakes = self.admission.update_peer_loads(now, peer, &loads);
                     self.wake(wakes);
                 }
             }
             C::PeerAnswered(id, peer, reservation, answer) => {
-                if let Some(decision) = self.admission.peer_answer(now, id, peer, answer) {
+                if let Some(decision) = self.admission.handle_peer_answer(now, id, peer, answer) {
                     self.decide(id, decision, Some(reservation));
                 }
             }
@@ -179,7 +179,7 @@
 
     fn arrive(&mut self, now: Instant, info: RequestInfo, tx: oneshot::Sender<Grant>) {
         let id = info.id;
-        self.budget.earn();
+        self.budget.deposit();
         self.waiting.insert(id, (info.class.clone(), tx));
         let decision = self.admission.arrive(now, info);
         self.decide(id, decision, None);
@@ -290,7 +290,7 @@
         if offer.upstream != self.own || Some(offer.service) != self.service {
             return;
         }
-        match self.admission.offered(offer.from, &offer.class) {
+        match self.admission.accept_offer(offer.from, &offer.class) {
             Some(DeferredDecision { id, decision }) => self.decide(id, decision, Some(offer.id)),
             None => self.release(offer.from, offer.id),
         }
--- a/crates/agent/src/process/load.rs
+++ b/crates/agent/src/process/load.rs
@@ -14,7 +14,7 @@
 use super::{AdmissionCommand, AdmissionHandle};
 
 /// Time between two readings. A report is dropped after
-/// [`admit::Settings::report_limit`], so that several may fail in between.
+/// [`admit::Settings::report_lifetime`], so that several may fail in between.
 const INTERVAL: Duration = Duration::from_millis(500);
 
 /// Largest report in bytes.
--- a/crates/agent/src/request/handle.rs
+++ b/crates/agent/src/request/handle.rs
@@ -166,7 +166,7 @@
             let mut slot = Slot::new(id, self.cx.admission.clone());
             let info = RequestInfo {
                 deadline: self.deadline,
-                elsewhere,
+                exclude_local: elsewhere,
                 ..RequestInfo::new(id, self.class.clone())
             };
             let grant = self
--- a/crates/bench/src/admission/case.rs
+++ b/crates/bench/src/admission/case.rs
@@ -112,7 +112,7 @@
     #[must_use]
     pub fn all() -> Vec<Self> {
         let without = Settings {
-            hand_off: false,
+            hand_off_enabled: false,
             ..Settings::default()
         };
         let plain = |name: &str, kind| Variant {
--- a/crates/bench/src/admission/run.rs
+++ b/crates/bench/src/admission/run.rs
@@ -533,7 +533,7 @@
         let number = RequestId(request as u64);
         let mut taken = None;
         self.drive(home, |a, now| {
-            let decision = a.peer_answer(now, number, peer_id(peer), answer);
+            let decision = a.handle_peer_answer(now, number, peer_id(peer), answer);
             taken = decision;
             decision
                 .map(|decision| DeferredDecision {
@@ -553,7 +553,7 @@
     fn offer(&mut self, node: usize, from: usize, id: ReservationId) {
         let mut passed = None;
         self.drive(node, |a, _| {
-            let wake = a.offered(peer_id(from), &ClassName::default());
+            let wake = a.accept_offer(peer_id(from), &ClassName::default());
             passed = wake.map(|wake| usize::try_from(wake.id.0).unwrap_or_default());
             wake.into_iter().collect()
         });
@@ -599,7 +599,7 @@
                     in_flight: Slots(0),
                 };
                 self.drive(node, |a, now| {
-                    a.note_report(now, &ClassName::default(), report)
+                    a.apply_report(now, &ClassName::default(), report)
                 });
             }
         }
@@ -610,7 +610,9 @@
         self.sent[node] = [0; BALANCERS];
         let loads = loads_of(slots, in_flight, queued);
         for other in (0..self.nodes.len()).filter(|other| *other != node) {
-            self.drive(other, |a, now| a.note_peer_load(now, peer_id(node), &loads));
+            self.drive(other, |a, now| {
+                a.update_peer_loads(now, peer_id(node), &loads)
+            });
         }
     }
 
--- a/crates/bench/src/bin/admission.rs
+++ b/crates/bench/src/bin/admission.rs
@@ -85,32 +85,32 @@
     vec![
         with("default", |_| {}),
         with("no offers", |s| {
-            s.offer_within = Duration::ZERO;
+            s.offer_window = Duration::ZERO;
         }),
         with("no offers, no asking again", |s| {
-            s.offer_within = Duration::ZERO;
-            s.ask_again = None;
+            s.offer_window = Duration::ZERO;
+            s.ask_interval = None;
         }),
         with("never ask again", |s| {
-            s.ask_again = None;
+            s.ask_interval = None;
         }),
         with("ask again 10 ms", |s| {
-            s.ask_again = Some(Duration::from_millis(10));
+            s.ask_interval = Some(Duration::from_millis(10));
         }),
         with("offers 25 ms", |s| {
-            s.offer_within = Duration::from_millis(25);
+            s.offer_window = Duration::from_millis(25);
         }),
         with("offers 100 ms", |s| {
-            s.offer_within = Duration::from_millis(100);
+            s.offer_window = Duration::from_millis(100);
         }),
         with("pause 50 ms", |s| {
-            s.full_peer_pause = Duration::from_millis(50);
+            s.full_peer_backoff = Duration::from_millis(50);
         }),
         with("pause 10 ms", |s| {
-            s.full_peer_pause = Duration::from_millis(10);
+            s.full_peer_backoff = Duration::from_millis(10);
         }),
         with("pause 0 ms", |s| {
-            s.full_peer_pause = Duration::ZERO;
+            s.full_peer_backoff = Duration::ZERO;
         }),
         with("lifo", |s| {
             s.queue_order = QueueOrder::Lifo;
@@ -119,10 +119,10 @@
             s.queue_order = QueueOrder::Adaptive;
         }),
         with("queue 2", |s| {
-            s.queue_per_slot = 2;
+            s.max_queued_per_slot = 2;
         }),
         with("queue 8", |s| {
-            s.queue_per_slot = 8;
+            s.max_queued_per_slot = 8;
         }),
     ]
 }
