--- a/crates/agent/src/process/keys.rs
+++ b/crates/agent/src/process/keys.rs
@@ -8,7 +8,7 @@
 
 use actix_rt::time::sleep;
 use client::Http;
-use dedup::{Asker, Begin, Fingerprint, Home, Key, Settings, home_of};
+use dedup::{AttemptId, BeginReply, Fingerprint, Home, IdempotencyKey, Settings, home_of};
 use tokio::sync::{mpsc, oneshot};
 use types::{ServiceId, ServiceState, UnixMillis, UpstreamId};
 use wire::request::{BeginRequest, EndRequest};
@@ -33,7 +33,7 @@
 #[derive(Debug)]
 pub struct Ask {
     /// The key.
-    pub key: Key,
+    pub key: IdempotencyKey,
     /// What the request asks.
     pub fingerprint: Fingerprint,
     /// Random number of the attempt.
@@ -49,14 +49,14 @@
 pub struct Asked {
     /// The home that answered; none if no home did.
     pub home: Option<UpstreamId>,
-    /// Its answer; [`Begin::Unsettled`] if no home answered.
-    pub begin: Begin,
+    /// Its answer; [`BeginReply::Indeterminate`] if no home answered.
+    pub begin: BeginReply,
 }
 
 impl Asked {
     const UNANSWERED: Asked = Asked {
         home: None,
-        begin: Begin::Unsettled,
+        begin: BeginReply::Indeterminate,
     };
 }
 
@@ -73,7 +73,7 @@
     /// A request of this agent that a home has let run has ended.
     Report(EndRequest),
     /// A peer asks this agent as a home.
-    Begin(BeginRequest, oneshot::Sender<Begin>),
+    Begin(BeginRequest, oneshot::Sender<BeginReply>),
     /// A peer tells this agent as a home.
     End(EndRequest),
 }
@@ -101,7 +101,7 @@
     }
 
     /// Asks the home of a key whether a request may run.
-    pub async fn ask(&self, key: Key, fingerprint: Fingerprint, attempt: u64) -> Asked {
+    pub async fn ask(&self, key: IdempotencyKey, fingerprint: Fingerprint, attempt: u64) -> Asked {
         let (tx, rx) = oneshot::channel();
         self.send(KeysCommand::Ask(Ask {
             key,
@@ -114,10 +114,10 @@
     }
 
     /// Answers a peer that asks this agent as a home.
-    pub async fn begin(&self, req: BeginRequest) -> Begin {
+    pub async fn begin(&self, req: BeginRequest) -> BeginReply {
         let (tx, rx) = oneshot::channel();
         self.send(KeysCommand::Begin(req, tx));
-        rx.await.unwrap_or(Begin::NotHome)
+        rx.await.unwrap_or(BeginReply::NotHome)
     }
 }
 
@@ -163,7 +163,7 @@
             match command {
                 KeysCommand::View(service) => self.apply(service),
                 KeysCommand::Confirmed(began) => {
-                    self.home.confirm(began, unix_now(), &self.members);
+                    self.home.confirm_members(began, unix_now(), &self.members);
                 }
                 KeysCommand::Ask(ask) => self.ask(ask),
                 KeysCommand::Report(req) => self.report(req),
@@ -200,7 +200,7 @@
             home,
             key: ask.key,
             fingerprint: ask.fingerprint,
-            from: Asker {
+            from: AttemptId {
                 upstream: self.own,
                 attempt: ask.attempt,
             },
@@ -210,7 +210,7 @@
             return answer(&self.handle, ask, home, begin);
         }
         let Some(&address) = self.peers.get(&home) else {
-            return answer(&self.handle, ask, home, Begin::NotHome);
+            return answer(&self.handle, ask, home, BeginReply::NotHome);
         };
         let (http, handle) = (self.http.clone(), self.handle.clone());
         actix_rt::spawn(async move {
@@ -218,13 +218,13 @@
             let begin = http.post(address, BEGIN_PATH, &req, deadline).await;
             // A home that does not answer may have noted the attempt; asking
             // again as the same attempt is harmless.
-            answer(&handle, ask, home, begin.unwrap_or(Begin::NotHome));
+            answer(&handle, ask, home, begin.unwrap_or(BeginReply::NotHome));
         });
     }
 
-    fn begin(&mut self, req: &BeginRequest) -> Begin {
+    fn begin(&mut self, req: &BeginRequest) -> BeginReply {
         if req.home != self.own || Some(req.service) != self.service {
-            return Begin::NotHome;
+            return BeginReply::NotHome;
         }
         let (now, date) = (Instant::now(), unix_now());
         self.home
@@ -255,10 +255,10 @@
 }
 
 /// Answers whoever waits, or asks again if no home has answered.
-fn answer(handle: &KeysHandle, mut ask: Ask, home: UpstreamId, begin: Begin) {
+fn answer(handle: &KeysHandle, mut ask: Ask, home: UpstreamId, begin: BeginReply) {
     ask.tries += 1;
     // Whoever waits may be gone.
-    if begin != Begin::NotHome {
+    if begin != BeginReply::NotHome {
         let home = Some(home);
         let _ = ask.tx.send(Asked { home, begin });
     } else if ask.tries >= TRIES {
--- a/crates/agent/src/request/keyed.rs
+++ b/crates/agent/src/request/keyed.rs
@@ -2,7 +2,7 @@
 
 use admit::RequestOutcome;
 use bytes::{Bytes, BytesMut};
-use dedup::{Begin, End, Fingerprint, Kept, Key};
+use dedup::{BeginReply, Fingerprint, IdempotencyKey, KeyedOutcome, StoredAnswer};
 use h3::error::{Code, StreamError};
 use http::{HeaderMap, HeaderName, HeaderValue, Method, Request, Response, StatusCode, response};
 use http_body_util::BodyExt;
@@ -38,7 +38,7 @@
 
 /// The key of a request that must not run twice. Keys without a date are left
 /// to the upstream.
-pub(super) fn key_of(req: &Request<()>) -> Option<Key> {
+pub(super) fn key_of(req: &Request<()>) -> Option<IdempotencyKey> {
     if is_idempotent(req.method()) || req.method() == Method::CONNECT {
         return None;
     }
@@ -49,14 +49,14 @@
 /// Serves a request under a key.
 pub(super) async fn serve(
     exchange: Exchange,
-    key: Key,
+    key: IdempotencyKey,
     send: &mut SendStream,
 ) -> Result<(), StreamError> {
     let fingerprint = Fingerprint::of(exchange.method.as_str(), &exchange.uri.to_string());
     let attempt = rand::rng().random();
     let Asked { home, begin } = exchange.cx.keys.ask(key, fingerprint, attempt).await;
     match (begin, home) {
-        (Begin::Run, Some(home)) => {
+        (BeginReply::Run, Some(home)) => {
             let permit = Permit::new(key, home, exchange.cx.keys.clone());
             let (tx, rx) = mpsc::channel(PARTS);
             // The request runs in a task of its own: a caller that goes away
@@ -64,7 +64,7 @@
             actix_rt::spawn(run(exchange, permit, tx));
             relay(rx, send).await
         }
-        (Begin::Answered(kept), _) => {
+        (BeginReply::Answered(kept), _) => {
             exchange.count("kept");
             replay(kept, send).await
         }
@@ -77,13 +77,13 @@
 
 /// Runs the request to its end, whether or not the caller stays.
 async fn run(exchange: Exchange, mut permit: Permit, tx: mpsc::Sender<Part>) {
-    permit.note(End::Lost);
+    permit.note(KeyedOutcome::AnswerLost);
     // The caller may be gone, whenever something is sent to it.
     match exchange.run().await {
         Ok((answer, slot)) => pump(&exchange, answer, slot, &mut permit, &tx).await,
         Err(refusal) => {
             if matches!(refusal, Refusal::NotRun(_)) {
-                permit.note(End::NotRun);
+                permit.note(KeyedOutcome::NotRun);
             }
             exchange.count(refusal.label());
             drop(permit);
@@ -121,7 +121,7 @@
         let gone = tx.send(Part::Data(data)).await.is_err();
         if gone && collected.is_none() {
             // Nobody waits for the rest, and it is too large to be kept.
-            permit.note(End::Large);
+            permit.note(KeyedOutcome::AnswerTooLarge);
             return;
         }
     }
@@ -129,8 +129,12 @@
         slot.set(ended(status));
     }
     permit.note(match collected {
-        Some(body) => End::Answered(Kept::new(status.as_u16(), fields(&head), body.freeze())),
-        None => End::Large,
+        Some(body) => KeyedOutcome::Answered(StoredAnswer::new(
+            status.as_u16(),
+            fields(&head),
+            body.freeze(),
+        )),
+        None => KeyedOutcome::AnswerTooLarge,
     });
     exchange.count("answered");
 }
@@ -170,7 +174,7 @@
 }
 
 /// Sends a kept answer again.
-async fn replay(kept: Kept, send: &mut SendStream) -> Result<(), StreamError> {
+async fn replay(kept: StoredAnswer, send: &mut SendStream) -> Result<(), StreamError> {
     let mut response = Response::new(());
     *response.status_mut() = StatusCode::from_u16(kept.status).unwrap_or_default();
     for (name, value) in &kept.fields {
@@ -189,29 +193,29 @@
 }
 
 /// Tells the caller why a request under a key is not run now.
-async fn refuse_key(begin: &Begin, send: &mut SendStream) -> Result<(), StreamError> {
+async fn refuse_key(begin: &BeginReply, send: &mut SendStream) -> Result<(), StreamError> {
     let (status, outcome, text) = match begin {
-        Begin::Ran => (
+        BeginReply::AnswerNotKept => (
             StatusCode::CONFLICT,
             ClaimHeader::RAN,
             "a request with this key has run; its answer is not kept",
         ),
-        Begin::InProgress => (
+        BeginReply::InProgress => (
             StatusCode::CONFLICT,
             ClaimHeader::UNKNOWN,
             "a request with this key is in progress",
         ),
-        Begin::Lost => (
+        BeginReply::AnswerLost => (
             StatusCode::BAD_GATEWAY,
             ClaimHeader::UNKNOWN,
             "a request with this key may have run; its answer was lost",
         ),
-        Begin::Mismatch => (
+        BeginReply::Mismatch => (
             StatusCode::UNPROCESSABLE_ENTITY,
             ClaimHeader::NOT_RUN,
             "the key was used for another request",
         ),
-        Begin::InFuture => (
+        BeginReply::InFuture => (
             StatusCode::BAD_REQUEST,
             ClaimHeader::UNKNOWN,
             "the key's date is ahead of the clock",
--- a/crates/agent/src/request/permit.rs
+++ b/crates/agent/src/request/permit.rs
@@ -1,6 +1,6 @@
 //! The permission of a key's home to run a request.
 
-use dedup::{End, Key};
+use dedup::{IdempotencyKey, KeyedOutcome};
 use types::UpstreamId;
 use wire::request::EndRequest;
 
@@ -12,26 +12,26 @@
 /// request that is dropped at any moment is reported.
 #[derive(Debug)]
 pub struct Permit {
-    key: Key,
+    key: IdempotencyKey,
     home: UpstreamId,
-    end: End,
+    end: KeyedOutcome,
     keys: KeysHandle,
 }
 
 impl Permit {
     /// A permit of a request that was not sent anywhere yet.
     #[must_use]
-    pub fn new(key: Key, home: UpstreamId, keys: KeysHandle) -> Self {
+    pub fn new(key: IdempotencyKey, home: UpstreamId, keys: KeysHandle) -> Self {
         Permit {
             key,
             home,
-            end: End::NotRun,
+            end: KeyedOutcome::NotRun,
             keys,
         }
     }
 
     /// Notes how far the request has come.
-    pub fn note(&mut self, end: End) {
+    pub fn note(&mut self, end: KeyedOutcome) {
         self.end = end;
     }
 }
--- a/crates/dedup/src/process/home.rs
+++ b/crates/dedup/src/process/home.rs
@@ -8,14 +8,17 @@
 use types::{UnixMillis, UpstreamId};
 
 use super::Settings;
-use crate::{Asker, Begin, End, Fingerprint, Kept, Key, home_of, version::claim};
+use crate::{
+    AttemptId, BeginReply, Fingerprint, IdempotencyKey, KeyedOutcome, StoredAnswer, home_of,
+    version::claim,
+};
 
 /// What became of a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum State {
     /// This attempt runs.
-    Running(Asker),
-    Answered(Kept),
+    Running(AttemptId),
+    Answered(StoredAnswer),
     Ran,
     Lost,
 }
@@ -42,7 +45,7 @@
     own: UpstreamId,
     members: BTreeSet<UpstreamId>,
     /// Members that went, each with the date up to which it may have been a
-    /// home. Older ones than `keep` are forgotten.
+    /// home. Older ones than `retention` are forgotten.
     departed: BTreeMap<UpstreamId, UnixMillis>,
     /// Keys up to this date may have had another home, or a record that gave
     /// way. Only rises.
@@ -50,7 +53,7 @@
     /// Whether the membership may be outdated after this instant.
     confirmed_until: Option<Instant>,
     /// Ordered by date, because keys begin with it.
-    records: BTreeMap<Key, Record>,
+    records: BTreeMap<IdempotencyKey, Record>,
     /// Sum of the records' sizes.
     bytes: usize,
 }
@@ -74,7 +77,12 @@
     /// Takes the members of the service that an exchange with the control group
     /// has confirmed; it began at `began`. Requests that ran at a member that
     /// went are lost.
-    pub fn confirm(&mut self, began: Instant, date: UnixMillis, members: &BTreeSet<UpstreamId>) {
+    pub fn confirm_members(
+        &mut self,
+        began: Instant,
+        date: UnixMillis,
+        members: &BTreeSet<UpstreamId>,
+    ) {
         if self.may_have_missed_a_home(began, members) {
             self.floor = self.floor.max(date.plus(self.settings.handover()));
         }
@@ -102,7 +110,7 @@
         for member in members {
             self.departed.remove(member);
         }
-        let oldest = minus(date, self.settings.keep);
+        let oldest = minus(date, self.settings.retention);
         self.departed.retain(|_, until| *until > oldest);
         for record in self.records.values_mut() {
             if matches!(record.state, State::Running(at) if !members.contains(&at.upstream)) {
@@ -117,22 +125,22 @@
         &mut self,
         now: Instant,
         date: UnixMillis,
-        key: Key,
+        key: IdempotencyKey,
         fingerprint: Fingerprint,
-        from: Asker,
-    ) -> Begin {
+        from: AttemptId,
+    ) -> BeginReply {
         if !self.is_home(now, key) || !self.members.contains(&from.upstream) {
-            return Begin::NotHome;
+            return BeginReply::NotHome;
         }
         self.expire(date);
         if let Some(record) = self.records.get(&key) {
             return known(record, fingerprint, from);
         }
-        if key.date() > date.plus(self.settings.max_skew) {
-            return Begin::InFuture;
+        if key.timestamp() > date.plus(self.settings.max_clock_skew) {
+            return BeginReply::InFuture;
         }
-        if key.date() <= self.unsettled_until(date, key) {
-            return Begin::Unsettled;
+        if key.timestamp() <= self.unsettled_until(date, key) {
+            return BeginReply::Indeterminate;
         }
         let record = Record {
             fingerprint,
@@ -140,11 +148,11 @@
         };
         self.records.insert(key, record);
         self.make_room();
-        Begin::Run
+        BeginReply::Run
     }
 
     /// Notes how a request that was let run has ended.
-    pub fn end(&mut self, date: UnixMillis, key: Key, end: End) {
+    pub fn end(&mut self, date: UnixMillis, key: IdempotencyKey, end: KeyedOutcome) {
         let Some(record) = self.records.get_mut(&key) else {
             return;
         };
@@ -152,10 +160,12 @@
             return;
         }
         record.state = match end {
-            End::Answered(kept) if kept.size() <= self.settings.max_answer => State::Answered(kept),
-            End::Answered(_) | End::Large => State::Ran,
-            End::Lost => State::Lost,
-            End::NotRun => {
+            KeyedOutcome::Answered(kept) if kept.size() <= self.settings.max_answer_bytes => {
+                State::Answered(kept)
+            }
+            KeyedOutcome::Answered(_) | KeyedOutcome::AnswerTooLarge => State::Ran,
+            KeyedOutcome::AnswerLost => State::Lost,
+            KeyedOutcome::NotRun => {
                 self.records.remove(&key);
                 return;
             }
@@ -173,17 +183,17 @@
 
     /// Whether this agent is the home of a key by a membership that cannot be
     /// outdated.
-    fn is_home(&self, now: Instant, key: Key) -> bool {
+    fn is_home(&self, now: Instant, key: IdempotencyKey) -> bool {
         let confirmed = self.confirmed_until.is_some_and(|until| now < until);
         confirmed && home_of(key, &self.members) == Some(self.own)
     }
 
     /// Keys up to this date may have had another home.
-    fn unsettled_until(&self, date: UnixMillis, key: Key) -> UnixMillis {
+    fn unsettled_until(&self, date: UnixMillis, key: IdempotencyKey) -> UnixMillis {
         let own = claim(key, self.own);
         let former = self.departed.iter();
         let former = former.filter(|(member, _)| claim(key, **member) > own);
-        let oldest = minus(date, self.settings.keep);
+        let oldest = minus(date, self.settings.retention);
         former
             .map(|(_, until)| *until)
             .chain([self.floor, oldest])
@@ -193,9 +203,9 @@
 
     /// Forgets records that are older than they are kept.
     fn expire(&mut self, date: UnixMillis) {
-        let oldest = minus(date, self.settings.keep);
+        let oldest = minus(date, self.settings.retention);
         while let Some((&key, _)) = self.records.first_key_value()
-            && key.date() <= oldest
+            && key.timestamp() <= oldest
         {
             self.forget(key);
         }
@@ -203,7 +213,8 @@
 
     /// Lets the oldest records give way.
     fn make_room(&mut self) {
-        while self.records.len() > self.settings.max_records || self.bytes > self.settings.max_bytes
+        while self.records.len() > self.settings.max_records
+            || self.bytes > self.settings.max_stored_bytes
         {
             let Some((&key, _)) = self.records.first_key_value() else {
                 return;
@@ -213,24 +224,24 @@
     }
 
     /// Forgets a record. Its key and all older ones are unsettled from then on.
-    fn forget(&mut self, key: Key) {
+    fn forget(&mut self, key: IdempotencyKey) {
         if let Some(record) = self.records.remove(&key) {
             self.bytes -= record.size();
         }
-        self.floor = self.floor.max(key.date());
+        self.floor = self.floor.max(key.timestamp());
     }
 }
 
-fn known(record: &Record, fingerprint: Fingerprint, from: Asker) -> Begin {
+fn known(record: &Record, fingerprint: Fingerprint, from: AttemptId) -> BeginReply {
     if record.fingerprint != fingerprint {
-        return Begin::Mismatch;
+        return BeginReply::Mismatch;
     }
     match &record.state {
-        State::Running(at) if *at == from => Begin::Run,
-        State::Running(_) => Begin::InProgress,
-        State::Answered(kept) => Begin::Answered(kept.clone()),
-        State::Ran => Begin::Ran,
-        State::Lost => Begin::Lost,
+        State::Running(at) if *at == from => BeginReply::Run,
+        State::Running(_) => BeginReply::InProgress,
+        State::Answered(kept) => BeginReply::Answered(kept.clone()),
+        State::Ran => BeginReply::AnswerNotKept,
+        State::Lost => BeginReply::AnswerLost,
     }
 }
 
--- a/crates/dedup/src/request/key.rs
+++ b/crates/dedup/src/request/key.rs
@@ -16,21 +16,21 @@
 /// and keeps for its resends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Key(Uuid);
+pub struct IdempotencyKey(Uuid);
 
-impl Key {
+impl IdempotencyKey {
     /// The key with this date and these random bits.
     #[must_use]
-    pub fn dated(at: UnixMillis, random: u64) -> Self {
+    pub fn with_timestamp(at: UnixMillis, random: u64) -> Self {
         let low = u128::from(random & 0x3fff_ffff_ffff_ffff);
-        Key(Uuid::from_u128(
+        IdempotencyKey(Uuid::from_u128(
             u128::from(at.0) << RANDOM_BITS | MARKS | low,
         ))
     }
 
     /// When the key was drawn, by the caller's clock.
     #[must_use]
-    pub fn date(self) -> UnixMillis {
+    pub fn timestamp(self) -> UnixMillis {
         UnixMillis(u64::try_from(self.0.as_u128() >> RANDOM_BITS).unwrap_or_default())
     }
 
@@ -41,7 +41,7 @@
     }
 }
 
-impl fmt::Display for Key {
+impl fmt::Display for IdempotencyKey {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.fmt(f)
     }
@@ -53,13 +53,13 @@
 #[error("the idempotency key is not a version 7 UUID")]
 pub struct InvalidKey;
 
-impl FromStr for Key {
+impl FromStr for IdempotencyKey {
     type Err = InvalidKey;
 
     fn from_str(s: &str) -> Result<Self, InvalidKey> {
         let id = Uuid::parse_str(s).map_err(|_| InvalidKey)?;
         match id.get_version_num() {
-            7 => Ok(Key(id)),
+            7 => Ok(IdempotencyKey(id)),
             _ => Err(InvalidKey),
         }
     }
@@ -68,7 +68,7 @@
 /// Who asks to run a request, and for which attempt. The same attempt may ask
 /// again when the home's answer was lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Asker {
+pub struct AttemptId {
     /// Upstream whose agent asks.
     pub upstream: UpstreamId,
     /// Random number that the agent draws for the attempt.
--- a/crates/dedup/src/request/mod.rs
+++ b/crates/dedup/src/request/mod.rs
@@ -3,5 +3,5 @@
 mod key;
 mod result;
 
-pub use key::{Asker, Fingerprint, InvalidKey, Key};
-pub use result::{Begin, End, Kept};
+pub use key::{AttemptId, Fingerprint, IdempotencyKey, InvalidKey};
+pub use result::{BeginReply, KeyedOutcome, StoredAnswer};
--- a/crates/dedup/src/request/result.rs
+++ b/crates/dedup/src/request/result.rs
@@ -5,7 +5,7 @@
 
 /// An answer that is kept for resends.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Kept {
+pub struct StoredAnswer {
     /// Status of the answer.
     pub status: u16,
     /// Header fields of the answer.
@@ -14,11 +14,11 @@
     pub body: Bytes,
 }
 
-impl Kept {
+impl StoredAnswer {
     /// An answer with its whole body.
     #[must_use]
     pub fn new(status: u16, fields: Vec<(Bytes, Bytes)>, body: Bytes) -> Self {
-        Kept {
+        StoredAnswer {
             status,
             fields,
             body,
@@ -36,19 +36,22 @@
 
 /// Answer of the home to an agent that wants to run a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Begin {
+pub enum BeginReply {
     /// No request with the key has run: run it and report its end.
     Run,
     /// A request with the key has run and this was its answer.
-    Answered(Kept),
+    Answered(StoredAnswer),
     /// A request with the key has run; its answer is not kept.
-    Ran,
+    #[serde(rename = "Ran")]
+    AnswerNotKept,
     /// A request with the key is running.
     InProgress,
     /// A request with the key may have run: its answer was lost.
-    Lost,
+    #[serde(rename = "Lost")]
+    AnswerLost,
     /// The home cannot know whether a request with the key has run.
-    Unsettled,
+    #[serde(rename = "Unsettled")]
+    Indeterminate,
     /// The key was used for another request.
     Mismatch,
     /// The key's date is ahead of the home's clock.
@@ -60,13 +63,15 @@
 
 /// How a request that ran under a key ended.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum End {
+pub enum KeyedOutcome {
     /// The whole answer came.
-    Answered(Kept),
+    Answered(StoredAnswer),
     /// The whole answer came but is too large to be kept.
-    Large,
+    #[serde(rename = "Large")]
+    AnswerTooLarge,
     /// The request certainly did not start: the key may be used again.
     NotRun,
     /// The answer was lost.
-    Lost,
+    #[serde(rename = "Lost")]
+    AnswerLost,
 }
--- a/crates/dedup/tests/home.rs
+++ b/crates/dedup/tests/home.rs
@@ -7,7 +7,10 @@
 };
 
 use arbtest::arbtest;
-use dedup::{Asker, Begin, End, Fingerprint, Home, Kept, Key, Settings, home_of};
+use dedup::{
+    AttemptId, BeginReply, Fingerprint, Home, IdempotencyKey, KeyedOutcome, Settings, StoredAnswer,
+    home_of,
+};
 use types::{UnixMillis, UpstreamId};
 
 /// Number of random cases of each property; the case number is the seed.
@@ -20,22 +23,22 @@
 const START: u64 = 10_000_000;
 
 /// A new attempt of the agent of an upstream.
-fn asker(upstream: u64) -> Asker {
+fn asker(upstream: u64) -> AttemptId {
     static ATTEMPTS: AtomicU64 = AtomicU64::new(0);
-    Asker {
+    AttemptId {
         upstream: UpstreamId(upstream),
         attempt: ATTEMPTS.fetch_add(1, Ordering::Relaxed),
     }
 }
 
-fn kept(body: &str) -> Kept {
-    Kept::new(200, Vec::new(), body.to_owned().into())
+fn kept(body: &str) -> StoredAnswer {
+    StoredAnswer::new(200, Vec::new(), body.to_owned().into())
 }
 
 /// A home of every key whose tenure has settled.
 fn settled(settings: Settings, now: Instant) -> (Home, UnixMillis) {
     let mut home = Home::new(settings, UpstreamId(1));
-    home.confirm(now, UnixMillis(START), &[UpstreamId(1)].into());
+    home.confirm_members(now, UnixMillis(START), &[UpstreamId(1)].into());
     (home, UnixMillis(START + 60_000))
 }
 
@@ -44,22 +47,25 @@
 fn a_resend_gets_what_became_of_the_first() {
     let cases = [
         (
-            End::Answered(kept("seat 7")),
-            Begin::Answered(kept("seat 7")),
+            KeyedOutcome::Answered(kept("seat 7")),
+            BeginReply::Answered(kept("seat 7")),
+        ),
+        (KeyedOutcome::AnswerTooLarge, BeginReply::AnswerNotKept),
+        (KeyedOutcome::AnswerLost, BeginReply::AnswerLost),
+        (KeyedOutcome::NotRun, BeginReply::Run),
+        (
+            KeyedOutcome::Answered(kept(&"x".repeat(70_000))),
+            BeginReply::AnswerNotKept,
         ),
-        (End::Large, Begin::Ran),
-        (End::Lost, Begin::Lost),
-        (End::NotRun, Begin::Run),
-        (End::Answered(kept(&"x".repeat(70_000))), Begin::Ran),
     ];
     for (end, expected) in cases {
         let now = Instant::now();
         let (mut home, date) = settled(Settings::default(), now);
-        let key = Key::dated(date, 5);
-        assert_eq!(home.begin(now, date, key, PRINT, asker(1)), Begin::Run);
+        let key = IdempotencyKey::with_timestamp(date, 5);
+        assert_eq!(home.begin(now, date, key, PRINT, asker(1)), BeginReply::Run);
         assert_eq!(
             home.begin(now, date, key, PRINT, asker(1)),
-            Begin::InProgress
+            BeginReply::InProgress
         );
         home.end(date, key, end.clone());
         assert_eq!(
@@ -79,24 +85,28 @@
         ..Settings::default()
     };
     let (mut home, date) = settled(settings, now);
-    let at = |offset: u64| Key::dated(UnixMillis(date.0 + offset), 1);
+    let at = |offset: u64| IdempotencyKey::with_timestamp(UnixMillis(date.0 + offset), 1);
     let cases = [
         (
             "drawn before the home started",
-            Key::dated(UnixMillis(START), 1),
-            Begin::Unsettled,
+            IdempotencyKey::with_timestamp(UnixMillis(START), 1),
+            BeginReply::Indeterminate,
         ),
         (
             "drawn during the handover",
-            Key::dated(UnixMillis(START + 5_000), 1),
-            Begin::Unsettled,
+            IdempotencyKey::with_timestamp(UnixMillis(START + 5_000), 1),
+            BeginReply::Indeterminate,
         ),
-        ("drawn ahead of the clock", at(2_001), Begin::InFuture),
-        ("first", at(0), Begin::Run),
-        ("second", at(1), Begin::Run),
-        ("third, for which the first gives way", at(2), Begin::Run),
-        ("first again", at(0), Begin::Unsettled),
-        ("second again", at(1), Begin::InProgress),
+        ("drawn ahead of the clock", at(2_001), BeginReply::InFuture),
+        ("first", at(0), BeginReply::Run),
+        ("second", at(1), BeginReply::Run),
+        (
+            "third, for which the first gives way",
+            at(2),
+            BeginReply::Run,
+        ),
+        ("first again", at(0), BeginReply::Indeterminate),
+        ("second again", at(1), BeginReply::InProgress),
     ];
     for (what, key, expected) in cases {
         assert_eq!(
@@ -113,13 +123,22 @@
 fn a_home_needs_a_lease_and_a_matching_request() {
     let now = Instant::now();
     let (mut home, date) = settled(Settings::default(), now);
-    let key = Key::dated(date, 9);
+    let key = IdempotencyKey::with_timestamp(date, 9);
     let late = now + Settings::default().lease;
-    assert_eq!(home.begin(late, date, key, PRINT, asker(1)), Begin::NotHome);
-    assert_eq!(home.begin(now, date, key, PRINT, asker(8)), Begin::NotHome);
-    assert_eq!(home.begin(now, date, key, PRINT, asker(1)), Begin::Run);
+    assert_eq!(
+        home.begin(late, date, key, PRINT, asker(1)),
+        BeginReply::NotHome
+    );
+    assert_eq!(
+        home.begin(now, date, key, PRINT, asker(8)),
+        BeginReply::NotHome
+    );
+    assert_eq!(home.begin(now, date, key, PRINT, asker(1)), BeginReply::Run);
     let other = Fingerprint(2);
-    assert_eq!(home.begin(now, date, key, other, asker(1)), Begin::Mismatch);
+    assert_eq!(
+        home.begin(now, date, key, other, asker(1)),
+        BeginReply::Mismatch
+    );
 }
 
 /// Guards against a request that counts as running for ever after its agent
@@ -130,15 +149,18 @@
     let own = UpstreamId(1);
     let both: BTreeSet<_> = [own, UpstreamId(2)].into();
     let mut home = Home::new(Settings::default(), own);
-    home.confirm(now, UnixMillis(START), &both);
+    home.confirm_members(now, UnixMillis(START), &both);
     let date = UnixMillis(START + 60_000);
     let key = (0..1000)
-        .map(|n| Key::dated(date, n))
+        .map(|n| IdempotencyKey::with_timestamp(date, n))
         .find(|key| home_of(*key, &both) == Some(own));
     let key = key.unwrap();
-    assert_eq!(home.begin(now, date, key, PRINT, asker(2)), Begin::Run);
-    home.confirm(now, date, &[own].into());
-    assert_eq!(home.begin(now, date, key, PRINT, asker(own.0)), Begin::Lost);
+    assert_eq!(home.begin(now, date, key, PRINT, asker(2)), BeginReply::Run);
+    home.confirm_members(now, date, &[own].into());
+    assert_eq!(
+        home.begin(now, date, key, PRINT, asker(own.0)),
+        BeginReply::AnswerLost
+    );
 }
 
 /// Guards against keys that move when a member comes or goes that is not
@@ -150,7 +172,7 @@
     fewer.remove(&UpstreamId(3));
     let mut moved = 0;
     for n in 0..1000 {
-        let key = Key::dated(UnixMillis(START + n), n);
+        let key = IdempotencyKey::with_timestamp(UnixMillis(START + n), n);
         let home = home_of(key, &members).unwrap();
         if home == UpstreamId(3) {
             moved += 1;
@@ -172,7 +194,7 @@
     published: BTreeSet<UpstreamId>,
     homes: BTreeMap<UpstreamId, Home>,
     next: u64,
-    runs: BTreeMap<Key, u32>,
+    runs: BTreeMap<IdempotencyKey, u32>,
 }
 
 impl Site {
@@ -215,7 +237,7 @@
         if let Some(home) = self.homes.get_mut(&id)
             && self.published.contains(&id)
         {
-            home.confirm(now, date, &self.published);
+            home.confirm_members(now, date, &self.published);
         }
     }
 
@@ -228,10 +250,10 @@
 
     /// A caller sends a request with a key to every home that an agent might
     /// think of, as agents with other versions do.
-    fn send(&mut self, key: Key) {
+    fn send(&mut self, key: IdempotencyKey) {
         let (now, date) = (self.now, self.date());
         for (&id, home) in &mut self.homes {
-            if home.begin(now, date, key, PRINT, asker(id.0)) == Begin::Run {
+            if home.begin(now, date, key, PRINT, asker(id.0)) == BeginReply::Run {
                 *self.runs.entry(key).or_default() += 1;
             }
         }
@@ -244,14 +266,14 @@
 fn the_same_attempt_may_ask_again() {
     let now = Instant::now();
     let (mut home, date) = settled(Settings::default(), now);
-    let key = Key::dated(date, 4);
+    let key = IdempotencyKey::with_timestamp(date, 4);
     let first = asker(1);
     for _ in 0..2 {
-        assert_eq!(home.begin(now, date, key, PRINT, first), Begin::Run);
+        assert_eq!(home.begin(now, date, key, PRINT, first), BeginReply::Run);
     }
     assert_eq!(
         home.begin(now, date, key, PRINT, asker(1)),
-        Begin::InProgress
+        BeginReply::InProgress
     );
 }
 
@@ -261,13 +283,13 @@
 fn a_home_that_was_cut_off_starts_anew() {
     let now = Instant::now();
     let (mut home, date) = settled(Settings::default(), now);
-    let key = Key::dated(date, 3);
+    let key = IdempotencyKey::with_timestamp(date, 3);
     let later = now + Duration::from_secs(4);
     let date = UnixMillis(date.0 + 4_000);
-    home.confirm(later, date, &[UpstreamId(1)].into());
+    home.confirm_members(later, date, &[UpstreamId(1)].into());
     assert_eq!(
         home.begin(later, date, key, PRINT, asker(1)),
-        Begin::Unsettled
+        BeginReply::Indeterminate
     );
 }
 
@@ -283,16 +305,16 @@
     };
     for seconds in 0..20 {
         let (now, date) = at(seconds);
-        home.confirm(now, date, &[other].into());
+        home.confirm_members(now, date, &[other].into());
     }
     let (now, date) = at(20);
     let both = [own, other].into();
-    home.confirm(now, date, &both);
+    home.confirm_members(now, date, &both);
     let key = (0..1000)
-        .map(|n| Key::dated(date, n))
+        .map(|n| IdempotencyKey::with_timestamp(date, n))
         .find(|key| home_of(*key, &both) == Some(own));
     let begin = home.begin(now, date, key.unwrap(), PRINT, asker(other.0));
-    assert_eq!(begin, Begin::Unsettled);
+    assert_eq!(begin, BeginReply::Indeterminate);
 }
 
 /// Guards against two homes that both let a key run: members join, leave, crash
@@ -326,7 +348,10 @@
                     }
                     _ => {
                         let skew = u.int_in_range(0..=4_000)?;
-                        let key = Key::dated(UnixMillis(site.date + 2_000 - skew), u.arbitrary()?);
+                        let key = IdempotencyKey::with_timestamp(
+                            UnixMillis(site.date + 2_000 - skew),
+                            u.arbitrary()?,
+                        );
                         keys.push(key);
                     }
                 }
--- a/crates/wire/src/request/keys.rs
+++ b/crates/wire/src/request/keys.rs
@@ -1,11 +1,11 @@
 //! Messages between the agents of one service about idempotency keys.
 
-use dedup::{Asker, End, Fingerprint, Key};
+use dedup::{AttemptId, Fingerprint, IdempotencyKey, KeyedOutcome};
 use serde::{Deserialize, Serialize};
 use types::{ServiceId, UpstreamId};
 
 /// Asks a key's home whether a request may run; the reply is a
-/// [`dedup::Begin`].
+/// [`dedup::BeginReply`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BeginRequest {
     /// Service of the request.
@@ -13,11 +13,11 @@
     /// Upstream that is meant; another incarnation is not the home.
     pub home: UpstreamId,
     /// The idempotency key.
-    pub key: Key,
+    pub key: IdempotencyKey,
     /// What the request asks.
     pub fingerprint: Fingerprint,
     /// Who asks.
-    pub from: Asker,
+    pub from: AttemptId,
 }
 
 /// Tells a key's home how a request has ended.
@@ -26,7 +26,7 @@
     /// Upstream that is meant; another incarnation has no record of it.
     pub home: UpstreamId,
     /// The idempotency key.
-    pub key: Key,
+    pub key: IdempotencyKey,
     /// How the request has ended.
-    pub end: End,
+    pub end: KeyedOutcome,
 }
