--- a/crates/bench/src/bin/control.rs
+++ b/crates/bench/src/bin/control.rs
@@ -190,8 +190,8 @@
         for (host, announcement) in &sent {
             registry.announce(start, host, announcement);
         }
-        registry.tick(registry.settle_until());
-        let now = registry.settle_until();
+        registry.tick(registry.first_publish_at());
+        let now = registry.first_publish_at();
         let rounds = 200_000 / count;
         let started = Instant::now();
         for _ in 0..rounds {
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -23,7 +23,7 @@
 //! One that is down, or whose lease ended, counts as failing and has share 0
 //! or is no longer listed, unless under half of its service is usable. The
 //! service is then *frozen*: failing upstreams keep their place and share,
-//! silent ones for at most [`Settings::lapsed_hold`], and no share is lowered
+//! silent ones for at most [`Settings::lapsed_retention`], and no share is lowered
 //! but those of upstreams that leave.
 //!
 //! # Example
@@ -50,7 +50,7 @@
 //! });
 //! // A new leader publishes nothing for one lease.
 //! assert_eq!(registry.tick(heard), None);
-//! let settled = registry.settle_until();
+//! let settled = registry.first_publish_at();
 //! assert!(registry.tick(settled).is_some());
 //! assert_eq!(registry.version(), Some((Term(3), 1)));
 //! assert!(registry.members(ServiceId(0)).contains_key(&UpstreamId(7)));
--- a/crates/member/src/process/group.rs
+++ b/crates/member/src/process/group.rs
@@ -92,10 +92,10 @@
         for (_, u) in self.each(all) {
             let ready = matches!(u.standing(now), Standing::Usable(_));
             match u.standing(now) {
-                Standing::Usable(_) => status.ready += 1,
-                Standing::Failing => status.down += 1,
+                Standing::Usable(_) => status.ready_upstreams += 1,
+                Standing::Failing => status.down_upstreams += 1,
                 Standing::Leaving => {
-                    status.leaving += 1;
+                    status.leaving_upstreams += 1;
                     status.leaving_connections += u64::from(u.ann.connections.0);
                 }
             }
--- a/crates/member/src/process/registry.rs
+++ b/crates/member/src/process/registry.rs
@@ -26,7 +26,7 @@
 pub struct Registry {
     settings: Settings,
     epoch: Term,
-    settle_until: Instant,
+    first_publish_at: Instant,
     /// Number of the last published version; 0 before the first.
     seq: u64,
     /// Latest instant of any call.
@@ -58,7 +58,7 @@
     #[must_use]
     pub fn new(settings: Settings, now: Instant, epoch: Term) -> Self {
         Registry {
-            settle_until: now + settings.lease,
+            first_publish_at: now + settings.lease,
             settings,
             epoch,
             seq: 0,
@@ -80,8 +80,8 @@
 
     /// Until when nothing is published: one lease from the start.
     #[must_use]
-    pub fn settle_until(&self) -> Instant {
-        self.settle_until
+    pub fn first_publish_at(&self) -> Instant {
+        self.first_publish_at
     }
 
     /// Takes an announcement of the agent on `host`.
@@ -244,7 +244,7 @@
     /// Announcements that wait to be taken should be taken first.
     pub fn tick(&mut self, now: Instant) -> Option<Publication> {
         self.latest = self.latest.max(now);
-        if now < self.settle_until {
+        if now < self.first_publish_at {
             return None;
         }
         let is_first = self.seq == 0;
@@ -348,8 +348,8 @@
         }
         Publication {
             seq: self.seq,
-            services,
-            balancers,
+            changed_services: services,
+            balancers_changed: balancers,
         }
     }
 
@@ -358,7 +358,7 @@
     #[must_use]
     pub fn next_deadline(&self) -> Option<Instant> {
         if self.seq == 0 {
-            return Some(self.settle_until);
+            return Some(self.first_publish_at);
         }
         if !self.dirty.is_empty() || self.balancers.is_changed() {
             return Some(self.latest);
--- a/crates/member/src/process/upstream.rs
+++ b/crates/member/src/process/upstream.rs
@@ -69,7 +69,7 @@
         if recovers && !has_share && self.ramp.is_some() {
             // Cold again. The wait also bounds the versions that an upstream
             // costs that goes up and down all the time.
-            let known_at = now + settings.known_for;
+            let known_at = now + settings.propagation_delay;
             self.ramp = Some(Ramp::start(known_at, Duration::ZERO, settings));
         }
         self.host.clone_from(host);
@@ -87,7 +87,7 @@
         settings: &Settings,
     ) {
         let wish = wished_level(&self.ann.loads, carry);
-        self.load.report(now, wish, settings.load_hold);
+        self.load.report(now, wish, settings.load_hold_time);
     }
 
     /// Whether the lease is over.
@@ -104,7 +104,7 @@
     pub(crate) fn is_gone(&self, now: Instant, settings: &Settings) -> bool {
         let held = self.ramp.is_some() && !self.is_leaving();
         let until = if held {
-            settings.lapsed_hold
+            settings.lapsed_retention
         } else {
             Duration::ZERO
         };
@@ -121,11 +121,11 @@
             return;
         }
         let age = self.ann.ready_for + (now - self.heard);
-        let is_known = first_list && self.ann.ready_for >= settings.known_for;
+        let is_known = first_list && self.ann.ready_for >= settings.propagation_delay;
         let wait = if is_known {
             Duration::ZERO
         } else {
-            settings.known_for
+            settings.propagation_delay
         };
         // The age counts only for agents that were ready before: a new one
         // is cold however long it waited to be listed.
@@ -182,7 +182,7 @@
     /// When the standing or the place in the list may next change by itself.
     pub(crate) fn due(&self, now: Instant, settings: &Settings) -> Instant {
         let end = if self.is_lapsed(now) {
-            self.lease_until + settings.lapsed_hold
+            self.lease_until + settings.lapsed_retention
         } else {
             self.lease_until
         };
--- a/crates/member/src/version/publish.rs
+++ b/crates/member/src/version/publish.rs
@@ -10,9 +10,9 @@
     /// Number of the version within the leader's term; starts at 1.
     pub seq: u64,
     /// Services whose members changed.
-    pub services: BTreeSet<ServiceId>,
+    pub changed_services: BTreeSet<ServiceId>,
     /// Whether the list of balancers changed.
-    pub balancers: bool,
+    pub balancers_changed: bool,
 }
 
 /// Present load and health of a service. Not versioned.
@@ -21,11 +21,11 @@
     /// Load of each class that the service or its upstreams name.
     pub classes: BTreeMap<ClassName, ClassStatus>,
     /// Upstreams that take new work.
-    pub ready: u32,
+    pub ready_upstreams: u32,
     /// Upstreams that leave by themselves or by an operator's mark.
-    pub leaving: u32,
+    pub leaving_upstreams: u32,
     /// Upstreams that refuse connections.
-    pub down: u32,
+    pub down_upstreams: u32,
     /// Connections that leaving upstreams still hold.
     pub leaving_connections: u64,
 }
--- a/crates/member/src/version/ramp.rs
+++ b/crates/member/src/version/ramp.rs
@@ -55,12 +55,12 @@
 
 /// Time between two steps with a share.
 fn step_time(settings: &Settings) -> Duration {
-    settings.ramp / 3
+    settings.ramp_duration / 3
 }
 
 /// Step of an upstream that has been ready for `age`.
 fn step_at(age: Duration, settings: &Settings) -> usize {
-    let warm = age.saturating_sub(settings.known_for);
+    let warm = age.saturating_sub(settings.propagation_delay);
     let step_of = |step: u32| warm >= step_time(settings) * step;
     1 + (1..=3).filter(|step| step_of(*step)).count()
 }
--- a/crates/member/tests/shares.rs
+++ b/crates/member/tests/shares.rs
@@ -63,7 +63,7 @@
         assert_eq!(leader.shares(), [0, 1024, 1024]);
         let member = &leader.members()[&UpstreamId(1)];
         assert_eq!((member.state, member.former_share.0), (state, 1024));
-        assert_eq!(leader.registry.status(SERVICE).leaving, leaving);
+        assert_eq!(leader.registry.status(SERVICE).leaving_upstreams, leaving);
         leader.run(2500, &[ann(2), ann(3)]);
         assert_eq!(leader.share(1), Some(0), "{state}");
         leader.run(500, &[ann(2), ann(3)]);
--- a/crates/member/tests/versions.rs
+++ b/crates/member/tests/versions.rs
@@ -25,7 +25,7 @@
     }
     leader.now = 3000;
     let first = leader.tick().unwrap();
-    assert_eq!((first.seq, first.services.len()), (1, 1));
+    assert_eq!((first.seq, first.changed_services.len()), (1, 1));
     assert_eq!(leader.registry.version(), Some((Term(4), 1)));
     // The lease of upstream 1 ended with the settle time.
     assert_eq!(leader.shares(), [1024]);
@@ -46,10 +46,13 @@
         ..ann(6)
     });
     let publication = leader.tick().unwrap();
-    assert_eq!((publication.seq, publication.services.len()), (2, 2));
+    assert_eq!(
+        (publication.seq, publication.changed_services.len()),
+        (2, 2)
+    );
     assert_eq!(leader.tick(), None);
     let since = |leader: &Leader, seq| leader.registry.changed_since((Term(4), seq)).unwrap();
-    assert_eq!(since(&leader, 1), publication.services);
+    assert_eq!(since(&leader, 1), publication.changed_services);
     leader.announce(&in_state(3, Leaving));
     leader.tick();
     assert!(since(&leader, 2).into_iter().eq([SERVICE]));
@@ -64,7 +67,7 @@
     let mut leader = Leader::with(3);
     let registry = &mut leader.registry;
     let data: SocketAddr = ([127, 0, 0, 9], 9).into();
-    let now = registry.settle_until();
+    let now = registry.first_publish_at();
     registry.announce(now, &host(1), &Announcement { data, ..ann(8) });
     leader.tick();
     assert_eq!(leader.shares(), [1024, 1024, 1024, 0]);
@@ -106,11 +109,11 @@
     let balancer = Balancer { return_address };
     let now = leader.at(leader.now);
     leader.registry.announce_balancer(now, &host(70), balancer);
-    assert!(leader.tick().unwrap().balancers);
+    assert!(leader.tick().unwrap().balancers_changed);
     assert_eq!(leader.registry.balancers_seq(), 2);
     leader.run(2500, &[ann(1)]);
     assert_eq!(leader.registry.balancers().len(), 1);
-    assert!(leader.run(500, &[ann(1)])[0].balancers);
+    assert!(leader.run(500, &[ann(1)])[0].balancers_changed);
     assert!(leader.registry.balancers().is_empty());
 }
 
@@ -127,7 +130,14 @@
     }
     leader.announce(&in_state(3, Down));
     let status = leader.registry.status(SERVICE);
-    assert_eq!((status.ready, status.leaving, status.down), (2, 1, 1));
+    assert_eq!(
+        (
+            status.ready_upstreams,
+            status.leaving_upstreams,
+            status.down_upstreams
+        ),
+        (2, 1, 1)
+    );
     assert_eq!(status.leaving_connections, 40);
     let class = status.classes.values().next().unwrap();
     assert_eq!(class.carry, Slots(2 * CARRY));
