--- a/crates/admit/tests/invariants.rs
+++ b/crates/admit/tests/invariants.rs
@@ -6,8 +6,8 @@
 };
 
 use admit::{
-    Admission, Claim, Decision, Outcome, PeerAnswer, QueueOrder, Report, RequestInfo, Reserve,
-    Settings, Wake,
+    Admission, ClaimAnswer, Decision, DeferredDecision, LoadReport, PeerAnswer, QueueOrder,
+    RequestInfo, RequestOutcome, ReservationAnswer, Settings,
 };
 use arbtest::{
     arbitrary::{Result, Unstructured},
@@ -50,8 +50,8 @@
         let orders = [QueueOrder::Fifo, QueueOrder::Lifo, QueueOrder::Adaptive];
         let settings = Settings {
             queue_order: orders[u.choose_index(3).unwrap_or(0)],
-            queue_per_slot: 2,
-            max_asking: 3,
+            max_queued_per_slot: 2,
+            max_unqueued_asking: 3,
             ..Settings::default()
         };
         let now = Instant::now();
@@ -74,7 +74,7 @@
         agent
     }
 
-    fn set_slots(&mut self, slots: u32) -> Vec<Wake> {
+    fn set_slots(&mut self, slots: u32) -> Vec<DeferredDecision> {
         self.slots = slots;
         let target = Target {
             carry: Slots(slots),
@@ -84,7 +84,7 @@
         self.admission.set_targets(self.now, &targets)
     }
 
-    fn obey(&mut self, wakes: Vec<Wake>) {
+    fn obey(&mut self, wakes: Vec<DeferredDecision>) {
         for wake in wakes {
             self.decide(wake.id, wake.decision);
         }
@@ -101,32 +101,32 @@
                 assert!(deadline.is_none_or(|at| self.now < at), "too late");
                 assert!(self.running.insert(id));
             }
-            Decision::HandOff { peer } => self.questions.push((id, peer)),
+            Decision::AskPeer { peer } => self.questions.push((id, peer)),
             Decision::Queue { until: at } => assert!(at <= until),
             Decision::Release { .. } => panic!("release of a slot of a waiting request"),
-            Decision::Pass { .. } | Decision::Refuse(_) => {}
+            Decision::Forward { .. } | Decision::Refuse(_) => {}
         }
     }
 
-    fn arrive(&mut self, u: &mut Unstructured<'_>) -> Result<Vec<Wake>> {
+    fn arrive(&mut self, u: &mut Unstructured<'_>) -> Result<Vec<DeferredDecision>> {
         self.next_id += 1;
         let id = RequestId(self.next_id);
         let allowed = u.int_in_range(0..=400)?;
         let deadline = u.ratio(1, 2)?.then(|| self.now + ms(allowed));
-        let limit = self.now + self.settings.queue_limit;
+        let limit = self.now + self.settings.queue_timeout;
         let until = deadline.map_or(limit, |at| at.min(limit));
         self.waiting.insert(id, (until, deadline));
         let mut info = RequestInfo::new(id, class());
         info.deadline = deadline;
         info.handed_off = u.ratio(1, 8)?;
-        info.elsewhere = u.ratio(1, 8)?;
+        info.exclude_local = u.ratio(1, 8)?;
         let handed_off = info.handed_off;
         let decision = self.admission.arrive(self.now, info);
         assert!(!handed_off || decision.is_final(), "handed on");
-        Ok(vec![Wake { id, decision }])
+        Ok(vec![DeferredDecision { id, decision }])
     }
 
-    fn answer(&mut self, u: &mut Unstructured<'_>) -> Result<Vec<Wake>> {
+    fn answer(&mut self, u: &mut Unstructured<'_>) -> Result<Vec<DeferredDecision>> {
         if self.questions.is_empty() {
             return Ok(Vec::new());
         }
@@ -140,16 +140,18 @@
         } else {
             PeerAnswer::Refused(self.admission.loads())
         };
-        let decision = self.admission.peer_answer(self.now, id, peer, answer);
+        let decision = self
+            .admission
+            .handle_peer_answer(self.now, id, peer, answer);
         if self.waiting.contains_key(&id) {
             let decision = decision.expect("the request waits for this answer");
-            return Ok(vec![Wake { id, decision }]);
+            return Ok(vec![DeferredDecision { id, decision }]);
         }
         assert_eq!(decision, granted.then_some(Decision::Release { peer }));
         Ok(Vec::new())
     }
 
-    fn end(&mut self, u: &mut Unstructured<'_>) -> Result<Vec<Wake>> {
+    fn end(&mut self, u: &mut Unstructured<'_>) -> Result<Vec<DeferredDecision>> {
         let ids: Vec<RequestId> = self.running.iter().copied().collect();
         if ids.is_empty() {
             return Ok(Vec::new());
@@ -159,12 +161,16 @@
         if u.ratio(1, 4)? {
             return Ok(self.admission.cancel(self.now, id));
         }
-        let outcomes = [Outcome::Completed, Outcome::Failed, Outcome::Shed];
+        let outcomes = [
+            RequestOutcome::Completed,
+            RequestOutcome::Failed,
+            RequestOutcome::Shed,
+        ];
         let outcome = *u.choose(&outcomes)?;
         Ok(self.admission.finish(self.now, id, outcome))
     }
 
-    fn serve_peer(&mut self, u: &mut Unstructured<'_>) -> Result<Vec<Wake>> {
+    fn serve_peer(&mut self, u: &mut Unstructured<'_>) -> Result<Vec<DeferredDecision>> {
         self.next_id += 1;
         let until = self.now + ms(u.int_in_range(1..=100)?);
         let id = ReservationId(self.next_id);
@@ -172,7 +178,7 @@
         let known = self.reservations.pop();
         match (u.int_in_range(0..=2)?, known) {
             (0, Some(known)) => {
-                if self.admission.claim(self.now, known, request) == Claim::Run {
+                if self.admission.claim(self.now, known, request) == ClaimAnswer::Run {
                     self.running.insert(request);
                 }
             }
@@ -181,7 +187,7 @@
                 self.reservations.extend(known);
                 let peer = UpstreamId(u.int_in_range(1..=3)?);
                 let answer = self.admission.reserve(self.now, id, peer, &class(), until);
-                if matches!(answer, Reserve::Granted { .. }) {
+                if matches!(answer, ReservationAnswer::Granted { .. }) {
                     self.reservations.push(id);
                 }
             }
@@ -201,13 +207,13 @@
             13 if u.ratio(1, 4)? => self.admission.connect_succeeded(self.now),
             13 => self.admission.connect_failed(self.now),
             14 => {
-                let report = Report {
+                let report = LoadReport {
                     slots: Slots(u.int_in_range(0..=6)?),
                     in_flight: Slots(u.int_in_range(0..=6)?),
                 };
-                self.admission.note_report(self.now, &class(), report)
+                self.admission.apply_report(self.now, &class(), report)
             }
-            _ => Vec::from_iter(self.admission.offered(UpstreamId(1), &class())),
+            _ => Vec::from_iter(self.admission.accept_offer(UpstreamId(1), &class())),
         };
         self.obey(wakes);
         let wakes = self.admission.tick(self.now);
@@ -229,7 +235,7 @@
             in_flight <= self.slots.max(former_in_flight),
             "over the slots"
         );
-        let bound = self.slots * self.settings.queue_per_slot;
+        let bound = self.slots * self.settings.max_queued_per_slot;
         assert!(queued <= bound.max(former_queued), "over the queue's bound");
         let overdue = self.waiting.values().find(|(until, _)| *until <= self.now);
         assert_eq!(overdue, None, "a request waits past its end");
@@ -255,7 +261,7 @@
             while !u.is_empty() {
                 agent.step(u)?;
             }
-            agent.now += agent.settings.queue_limit + agent.settings.reservation_limit;
+            agent.now += agent.settings.queue_timeout + agent.settings.reservation_timeout;
             let wakes = agent.admission.tick(agent.now);
             agent.obey(wakes);
             assert!(agent.waiting.is_empty(), "a request got no final decision");
--- a/crates/agent/src/process/admission.rs
+++ b/crates/agent/src/process/admission.rs
@@ -7,8 +7,8 @@
 };
 
 use admit::{
-    Admission, Decision, Offer, PeerAnswer, Reason, RequestInfo, Reserve, RetryBudget, Wake,
-    verdict,
+    Admission, Decision, DeferredDecision, Offer, PeerAnswer, RefusalReason, RequestInfo,
+    ReservationAnswer, RetryBudget, decide_retry,
 };
 use client::Http;
 use rand::Rng;
@@ -109,7 +109,7 @@
     fn tick(&mut self, now: Instant) {
         let wakes = self.admission.tick(now);
         self.wake(wakes);
-        if self.admission.probe_due(now) {
+        if self.admission.start_due_probe(now) {
             self.probe();
         }
     }
@@ -128,7 +128,7 @@
                 self.wake(wakes);
             }
             C::Judge(attempt, tx) => {
-                let _ = tx.send(verdict(now, &attempt, &mut self.budget));
+                let _ = tx.send(decide_retry(now, &attempt, &mut self.budget));
             }
             C::Reserve(req, tx) => {
                 let _ = tx.send(self.reserve(now, &req));
@@ -154,7 +154,7 @@
                 self.connections.0 = self.connections.0.saturating_sub(1);
             }
             C::Report(class, report) => {
-                let wakes = self.admission.note_report(now, &class, report);
+                let wakes = self.admission.apply_report(now, &class, report);
                 self.wake(wakes);
             }
             C::Connected(ok) => self.connected(now, ok),
@@ -162,12 +162,12 @@
             C::PeerLoads(loads) => {
                 let own = self.own;
                 for (peer, loads) in loads.into_iter().filter(|(id, _)| *id != own) {
-                    let wakes = self.admission.note_peer_load(now, peer, &loads);
+                    let wakes = self.admission.update_peer_loads(now, peer, &loads);
                     self.wake(wakes);
                 }
             }
             C::PeerAnswered(id, peer, reservation, answer) => {
-                if let Some(decision) = self.admission.peer_answer(now, id, peer, answer) {
+                if let Some(decision) = self.admission.handle_peer_answer(now, id, peer, answer) {
                     self.decide(id, decision, Some(reservation));
                 }
             }
@@ -179,14 +179,14 @@
 
     fn arrive(&mut self, now: Instant, info: RequestInfo, tx: oneshot::Sender<Grant>) {
         let id = info.id;
-        self.budget.earn();
+        self.budget.deposit();
         self.waiting.insert(id, (info.class.clone(), tx));
         let decision = self.admission.arrive(now, info);
         self.decide(id, decision, None);
     }
 
-    fn wake(&mut self, wakes: Vec<Wake>) {
-        for Wake { id, decision } in wakes {
+    fn wake(&mut self, wakes: Vec<DeferredDecision>) {
+        for DeferredDecision { id, decision } in wakes {
             self.decide(id, decision, None);
         }
     }
@@ -197,11 +197,11 @@
         match (decision, reservation) {
             (Decision::Run, _) => self.grant(id, Grant::Run),
             (Decision::Refuse(reason), _) => self.grant(id, Grant::Refuse(reason)),
-            (Decision::HandOff { peer }, _) => self.ask_peer(id, peer),
-            (Decision::Pass { peer }, Some(reservation)) => self.pass(id, peer, reservation),
+            (Decision::AskPeer { peer }, _) => self.ask_peer(id, peer),
+            (Decision::Forward { peer }, Some(reservation)) => self.pass(id, peer, reservation),
             (Decision::Release { peer }, Some(reservation)) => self.release(peer, reservation),
             // A peer's slot is only ever given or returned on its answer.
-            (Decision::Pass { .. } | Decision::Release { .. }, None)
+            (Decision::Forward { .. } | Decision::Release { .. }, None)
             | (Decision::Queue { .. }, _) => {}
         }
     }
@@ -229,7 +229,7 @@
                 peer: peer.clone(),
                 reservation,
             },
-            None => Grant::Refuse(Reason::NotServing),
+            None => Grant::Refuse(RefusalReason::NotServing),
         };
         self.grant(id, grant);
     }
@@ -290,8 +290,8 @@
         if offer.upstream != self.own || Some(offer.service) != self.service {
             return;
         }
-        match self.admission.offered(offer.from, &offer.class) {
-            Some(Wake { id, decision }) => self.decide(id, decision, Some(offer.id)),
+        match self.admission.accept_offer(offer.from, &offer.class) {
+            Some(DeferredDecision { id, decision }) => self.decide(id, decision, Some(offer.id)),
             None => self.release(offer.from, offer.id),
         }
     }
@@ -336,8 +336,8 @@
             .admission
             .reserve(now, req.id, req.from, &req.class, deadline)
         {
-            Reserve::Granted { .. } => ReserveReply::Granted,
-            Reserve::Refused(loads) => ReserveReply::Refused { loads },
+            ReservationAnswer::Granted { .. } => ReserveReply::Granted,
+            ReservationAnswer::Refused(loads) => ReserveReply::Refused { loads },
         }
     }
 
