--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -60,4 +60,4 @@
     Status, Write, WriteId,
 };
 pub use request::{Event, GroupChange, Rejection, Token};
-pub use version::{Entry, Group, Payload, Position, Snapshot};
+pub use version::{EntryPayload, Group, LogEntry, LogPosition, Snapshot};
--- a/crates/consensus/src/process/election.rs
+++ b/crates/consensus/src/process/election.rs
@@ -2,7 +2,7 @@
 
 use super::leader::Leader;
 use super::{Body, Consensus, Following, Part};
-use crate::version::{Group, Payload, Position, next};
+use crate::version::{EntryPayload, Group, LogPosition, next};
 use rand::Rng;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -70,7 +70,7 @@
         &mut self,
         sender: (MemberId, SocketAddr),
         asked: Term,
-        last: Position,
+        last: LogPosition,
     ) {
         let granted = asked >= self.term && last >= self.log.last() && !self.hears_leader();
         self.send(sender, Body::PreVoteReply { asked, granted });
@@ -122,7 +122,7 @@
         &mut self,
         sender: (MemberId, SocketAddr),
         current: bool,
-        last: Position,
+        last: LogPosition,
     ) {
         let free = self.vote.is_none() || self.vote == Some(sender.0);
         let follows = matches!(self.part, Part::Follower(_));
@@ -167,7 +167,7 @@
         if won {
             let first = next(self.log.last().index);
             self.part = Part::Leader(Leader::new(first));
-            self.append_own(Payload::Noop);
+            self.append_own(EntryPayload::Noop);
             self.begin_round();
         }
     }
--- a/crates/consensus/src/process/follower.rs
+++ b/crates/consensus/src/process/follower.rs
@@ -1,7 +1,7 @@
 //! Following a leader.
 
 use super::{Body, Consensus, Outcome, Part};
-use crate::version::{Entry, Position, Snapshot};
+use crate::version::{LogEntry, LogPosition, Snapshot};
 use std::net::SocketAddr;
 use std::time::Instant;
 use types::{MemberId, Revision};
@@ -54,7 +54,12 @@
         true
     }
 
-    pub(super) fn take_entries(&mut self, prev: Position, entries: Vec<Entry>, commit: Revision) {
+    pub(super) fn take_entries(
+        &mut self,
+        prev: LogPosition,
+        entries: Vec<LogEntry>,
+        commit: Revision,
+    ) {
         let last = Revision(prev.index.0 + entries.len() as u64);
         if let Some(refusal) = self.refusal(prev) {
             return self.refuse(refusal);
@@ -70,7 +75,7 @@
     }
 
     /// Why entries after `prev` do not fit this log.
-    fn refusal(&self, prev: Position) -> Option<Outcome> {
+    fn refusal(&self, prev: LogPosition) -> Option<Outcome> {
         if self.log.snapshot().is_none() {
             return Some(Outcome::Blank);
         }
@@ -86,7 +91,7 @@
     }
 
     /// Takes one entry that fits. Returns whether to go on with the next one.
-    fn take_entry(&mut self, entry: Entry) -> bool {
+    fn take_entry(&mut self, entry: LogEntry) -> bool {
         let held = self.log.position(entry.index);
         if entry.index <= self.log.base().index || held == Some(entry.position()) {
             return true;
--- a/crates/consensus/src/process/group.rs
+++ b/crates/consensus/src/process/group.rs
@@ -2,7 +2,7 @@
 
 use super::{Consensus, Part};
 use crate::request::{GroupChange, Rejection, Token};
-use crate::version::{Group, Payload, Position, Snapshot};
+use crate::version::{EntryPayload, Group, LogPosition, Snapshot};
 use bytes::Bytes;
 
 impl Consensus {
@@ -10,7 +10,7 @@
     pub(super) fn form(&mut self, group: Group) {
         if self.log.snapshot().is_none() && group.is_voter(self.me.id) {
             self.log.install(Snapshot {
-                position: Position::default(),
+                position: LogPosition::default(),
                 group,
                 state: Bytes::new(),
             });
@@ -36,7 +36,7 @@
     /// Appends a change whose round was answered, if it still fits.
     pub(super) fn append_change(&mut self, token: Token, change: GroupChange) {
         match self.changed_group(change) {
-            Ok(group) => self.append_proposal(token, Payload::Group(group)),
+            Ok(group) => self.append_proposal(token, EntryPayload::Group(group)),
             Err(reason) => self.reject(token, reason),
         }
     }
--- a/crates/consensus/src/process/io.rs
+++ b/crates/consensus/src/process/io.rs
@@ -2,7 +2,7 @@
 
 use super::{Envelope, Message};
 use crate::request::{Event, GroupChange, Token};
-use crate::version::{Entry, Group, Snapshot};
+use crate::version::{Group, LogEntry, Snapshot};
 use bytes::Bytes;
 use std::fmt;
 use types::{MemberId, Revision, Term};
@@ -17,7 +17,7 @@
     /// The last snapshot written; `None` only in a member that knows no group.
     pub snapshot: Option<Snapshot>,
     /// The consecutive entries after the snapshot.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<LogEntry>,
 }
 
 /// What happened.
@@ -72,7 +72,7 @@
     /// A state to load in place of the present one.
     pub installed: Option<Snapshot>,
     /// Committed entries in log order, each handed out once per process.
-    pub committed: Vec<Entry>,
+    pub committed: Vec<LogEntry>,
     /// Answers.
     pub events: Vec<Event>,
 }
@@ -101,5 +101,5 @@
     /// A snapshot that replaces the log up to its index.
     pub snapshot: Option<Snapshot>,
     /// Consecutive entries; the first has index `from`.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<LogEntry>,
 }
--- a/crates/consensus/src/process/leader.rs
+++ b/crates/consensus/src/process/leader.rs
@@ -2,7 +2,7 @@
 
 use super::{Consensus, Part};
 use crate::request::{Event, GroupChange, Reads, Rejection, Token};
-use crate::version::{Group, Payload};
+use crate::version::{EntryPayload, Group};
 use bytes::Bytes;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
@@ -134,7 +134,7 @@
 
     pub(super) fn propose(&mut self, token: Token, command: Bytes) {
         match self.may_append() {
-            Ok(()) => self.append_proposal(token, Payload::Command(command)),
+            Ok(()) => self.append_proposal(token, EntryPayload::Command(command)),
             Err(reason) => self.reject(token, reason),
         }
     }
@@ -150,7 +150,7 @@
         Ok(())
     }
 
-    pub(super) fn append_proposal(&mut self, token: Token, payload: Payload) {
+    pub(super) fn append_proposal(&mut self, token: Token, payload: EntryPayload) {
         let index = self.append_own(payload);
         if let Part::Leader(leader) = &mut self.part {
             leader.proposals.insert(index, token);
--- a/crates/consensus/src/process/message.rs
+++ b/crates/consensus/src/process/message.rs
@@ -1,6 +1,6 @@
 //! Messages between members.
 
-use crate::version::{Entry, Position, Snapshot};
+use crate::version::{LogEntry, LogPosition, Snapshot};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use types::{MemberId, Revision, Term};
@@ -37,7 +37,7 @@
     /// Changes nothing at the receiver.
     PreVote {
         /// The end of the sender's log on disk.
-        last: Position,
+        last: LogPosition,
     },
     /// Answers [`Body::PreVote`].
     PreVoteReply {
@@ -49,7 +49,7 @@
     /// Asks for a vote in the message's term.
     Vote {
         /// The end of the sender's log on disk.
-        last: Position,
+        last: LogPosition,
     },
     /// Answers [`Body::Vote`].
     VoteReply {
@@ -59,9 +59,9 @@
     /// Entries, or a heartbeat if empty.
     Append {
         /// The place before the first entry.
-        prev: Position,
+        prev: LogPosition,
         /// Consecutive entries, on the leader's disk.
-        entries: Vec<Entry>,
+        entries: Vec<LogEntry>,
         /// The leader's commit index.
         commit: Revision,
         /// The latest round of heartbeats that the leader has begun.
--- a/crates/consensus/src/process/replication.rs
+++ b/crates/consensus/src/process/replication.rs
@@ -2,15 +2,15 @@
 
 use super::leader::Peer;
 use super::{Body, Consensus, Outcome, Part};
-use crate::version::{Entry, Payload, Snapshot, next};
+use crate::version::{EntryPayload, LogEntry, Snapshot, next};
 use std::net::SocketAddr;
 use types::{MemberId, Revision};
 
 impl Consensus {
     /// Appends an entry of this leader's term.
-    pub(super) fn append_own(&mut self, payload: Payload) -> Revision {
+    pub(super) fn append_own(&mut self, payload: EntryPayload) -> Revision {
         let index = next(self.log.last().index);
-        self.log.append(Entry {
+        self.log.append(LogEntry {
             index,
             term: self.term,
             payload,
--- a/crates/consensus/src/version/entry.rs
+++ b/crates/consensus/src/version/entry.rs
@@ -7,7 +7,7 @@
 
 /// What an entry carries.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Payload {
+pub enum EntryPayload {
     /// Appended by each new leader, so that it commits an entry of its term.
     Noop,
     /// A change for the state machine.
@@ -18,20 +18,20 @@
 
 /// One entry of the log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct LogEntry {
     /// The log index; the first entry has index 1.
     pub index: Revision,
     /// The term of the leader that appended the entry.
     pub term: Term,
     /// What the entry carries.
-    pub payload: Payload,
+    pub payload: EntryPayload,
 }
 
-impl Entry {
+impl LogEntry {
     /// Index and term of the entry.
     #[must_use]
-    pub fn position(&self) -> Position {
-        Position {
+    pub fn position(&self) -> LogPosition {
+        LogPosition {
             term: self.term,
             index: self.index,
         }
@@ -44,9 +44,9 @@
         const MEMBER: usize = 32;
         FRAME
             + match &self.payload {
-                Payload::Noop => 0,
-                Payload::Command(command) => command.len(),
-                Payload::Group(group) => MEMBER * (group.voters.len() + group.learners.len()),
+                EntryPayload::Noop => 0,
+                EntryPayload::Command(command) => command.len(),
+                EntryPayload::Group(group) => MEMBER * (group.voters.len() + group.learners.len()),
             }
     }
 }
@@ -56,7 +56,7 @@
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
-pub struct Position {
+pub struct LogPosition {
     /// The term of the entry at `index`.
     pub term: Term,
     /// The log index; 0 is the place before the first entry.
--- a/crates/consensus/src/version/log.rs
+++ b/crates/consensus/src/version/log.rs
@@ -1,6 +1,6 @@
 //! The log in memory, and what of it is on disk.
 
-use super::{Entry, Group, Payload, Position, Snapshot};
+use super::{EntryPayload, Group, LogEntry, LogPosition, Snapshot};
 use bytes::Bytes;
 use std::collections::BTreeMap;
 use types::Revision;
@@ -11,7 +11,7 @@
     /// `None` in a blank member, which then has no entries either.
     base: Option<Snapshot>,
     /// Consecutive, the first one right after `base`.
-    entries: Vec<Entry>,
+    entries: Vec<LogEntry>,
     /// The group entries among `entries`.
     groups: BTreeMap<Revision, Group>,
     /// All entries up to here are on disk as they are here.
@@ -38,11 +38,11 @@
 pub(crate) struct LogWrite {
     pub from: Option<Revision>,
     pub snapshot: Option<Snapshot>,
-    pub entries: Vec<Entry>,
+    pub entries: Vec<LogEntry>,
 }
 
 impl Log {
-    pub fn new(base: Option<Snapshot>, entries: Vec<Entry>) -> Self {
+    pub fn new(base: Option<Snapshot>, entries: Vec<LogEntry>) -> Self {
         let mut log = Log {
             base,
             entries: Vec::new(),
@@ -65,16 +65,16 @@
         self.base.as_ref()
     }
 
-    pub fn base(&self) -> Position {
+    pub fn base(&self) -> LogPosition {
         self.base
             .as_ref()
-            .map_or_else(Position::default, |base| base.position)
+            .map_or_else(LogPosition::default, |base| base.position)
     }
 
-    pub fn last(&self) -> Position {
+    pub fn last(&self) -> LogPosition {
         self.entries
             .last()
-            .map_or_else(|| self.base(), Entry::position)
+            .map_or_else(|| self.base(), LogEntry::position)
     }
 
     pub fn durable(&self) -> Revision {
@@ -83,26 +83,26 @@
 
     /// The end of the part on disk; the place before the first entry while a
     /// received snapshot is not synced.
-    pub fn durable_position(&self) -> Position {
+    pub fn durable_position(&self) -> LogPosition {
         self.position(self.durable).unwrap_or_default()
     }
 
     /// The place at `index`, if the log still has it.
-    pub fn position(&self, index: Revision) -> Option<Position> {
+    pub fn position(&self, index: Revision) -> Option<LogPosition> {
         let base = self.base();
         if index == base.index {
             return Some(base);
         }
-        self.entry(index).map(Entry::position)
+        self.entry(index).map(LogEntry::position)
     }
 
-    pub fn entry(&self, index: Revision) -> Option<&Entry> {
+    pub fn entry(&self, index: Revision) -> Option<&LogEntry> {
         let offset = index.0.checked_sub(self.base().index.0 + 1)?;
         self.entries.get(usize::try_from(offset).ok()?)
     }
 
     /// Entries from `from` through `to`, up to about `bytes` and at least one.
-    pub fn slice(&self, from: Revision, to: Revision, bytes: usize) -> Vec<Entry> {
+    pub fn slice(&self, from: Revision, to: Revision, bytes: usize) -> Vec<LogEntry> {
         let mut size = 0;
         (from.0..=to.0)
             .map_while(|index| self.entry(Revision(index)))
@@ -145,9 +145,9 @@
         last.copied().unwrap_or(self.base().index)
     }
 
-    pub fn append(&mut self, entry: Entry) {
+    pub fn append(&mut self, entry: LogEntry) {
         debug_assert_eq!(entry.index, next(self.last().index));
-        if let Payload::Group(group) = &entry.payload {
+        if let EntryPayload::Group(group) = &entry.payload {
             self.groups.insert(entry.index, group.clone());
         }
         self.entries.push(entry);
@@ -217,7 +217,7 @@
     /// What the disk lacks, if anything. Must not be called while a write is
     /// outstanding.
     pub fn begin_write(&mut self) -> LogWrite {
-        let entries: Vec<Entry> = (self.unwritten.0..)
+        let entries: Vec<LogEntry> = (self.unwritten.0..)
             .map_while(|index| self.entry(Revision(index)).cloned())
             .collect();
         let from = (self.truncated || !entries.is_empty()).then_some(self.unwritten);
--- a/crates/consensus/src/version/mod.rs
+++ b/crates/consensus/src/version/mod.rs
@@ -5,7 +5,7 @@
 mod log;
 mod snapshot;
 
-pub use entry::{Entry, Payload, Position};
+pub use entry::{EntryPayload, LogEntry, LogPosition};
 pub use group::Group;
 pub(crate) use log::{Log, next};
 pub use snapshot::Snapshot;
--- a/crates/consensus/src/version/snapshot.rs
+++ b/crates/consensus/src/version/snapshot.rs
@@ -1,6 +1,6 @@
 //! The state that replaces a prefix of the log.
 
-use super::{Group, Position};
+use super::{Group, LogPosition};
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
     /// The last entry that the snapshot covers.
-    pub position: Position,
+    pub position: LogPosition,
     /// The group in force at that entry.
     pub group: Group,
     /// The state, opaque to this crate.
--- a/crates/consensus/tests/harness/mod.rs
+++ b/crates/consensus/tests/harness/mod.rs
@@ -2,8 +2,8 @@
 //! must hold after every step.
 
 use consensus::{
-    Consensus, Entry, Envelope, Event, Group, GroupChange, Identity, Input, Output, Payload,
-    Restored, Settings, Status, Token, Write,
+    Consensus, EntryPayload, Envelope, Event, Group, GroupChange, Identity, Input, LogEntry,
+    Output, Restored, Settings, Status, Token, Write,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -46,7 +46,7 @@
     pub noise: Noise,
     pub events: Vec<(MemberId, Event)>,
     /// All that was ever committed, with its group.
-    pub committed: BTreeMap<Revision, Entry>,
+    pub committed: BTreeMap<Revision, LogEntry>,
     pub accepted: BTreeMap<Token, Revision>,
     /// The last index accepted when each open read was asked for.
     reads: BTreeMap<Token, Revision>,
@@ -193,7 +193,7 @@
         for event in out.events {
             if let Event::Accepted { token, index } = event {
                 self.accepted.insert(token, index);
-                if let Payload::Command(command) = &self.committed[&index].payload {
+                if let EntryPayload::Command(command) = &self.committed[&index].payload {
                     assert_eq!(
                         command[..],
                         token.0.to_be_bytes(),
--- a/crates/consensus/tests/rules.rs
+++ b/crates/consensus/tests/rules.rs
@@ -4,7 +4,8 @@
 
 use arbtest::arbtest;
 use consensus::{
-    Body, Entry, Event, GroupChange, Input, Message, Outcome, Payload, Position, Rejection, Role,
+    Body, EntryPayload, Event, GroupChange, Input, LogEntry, LogPosition, Message, Outcome,
+    Rejection, Role,
 };
 use harness::{Cluster, Noise, address};
 use types::{MemberId, Revision, Term};
@@ -27,16 +28,16 @@
     })
 }
 
-fn entry(index: u64, term: u64) -> Entry {
-    Entry {
+fn entry(index: u64, term: u64) -> LogEntry {
+    LogEntry {
         index: Revision(index),
         term: Term(term),
-        payload: Payload::Noop,
+        payload: EntryPayload::Noop,
     }
 }
 
 /// A heartbeat if empty; commits nothing.
-fn append(prev: Position, entries: Vec<Entry>) -> Body {
+fn append(prev: LogPosition, entries: Vec<LogEntry>) -> Body {
     Body::Append {
         prev,
         entries,
@@ -312,7 +313,7 @@
         cluster.sync(id);
     }
     let (voter, candidate, term) = (MemberId(1), MemberId(2), Term(1));
-    let last = Position::default();
+    let last = LogPosition::default();
     cluster.input(voter, message(candidate, voter, term, Body::Vote { last }));
     assert!(cluster.queue.is_empty(), "the vote is not synced");
     cluster.sync(voter);
@@ -332,7 +333,7 @@
     cluster.restart(voter);
     cluster.queue.clear();
     let rival = MemberId(3);
-    let last = Position {
+    let last = LogPosition {
         term,
         index: Revision(9),
     };
@@ -340,7 +341,7 @@
     let refused = Body::VoteReply { granted: false };
     assert_eq!(cluster.queue[0].message.body, refused);
     // Nor a vote for a candidate that lacks the entry.
-    let last = Position::default();
+    let last = LogPosition::default();
     cluster.input(voter, message(rival, voter, Term(2), Body::Vote { last }));
     cluster.sync(voter);
     assert_eq!(cluster.queue[1].message.body, refused);
@@ -361,7 +362,7 @@
 
     let mut cluster = Cluster::new(3, 6);
     cluster.sync(id);
-    let start = Position::default();
+    let start = LogPosition::default();
     let old = append(start, vec![entry(1, 1), entry(2, 1)]);
     cluster.input(id, message(a, id, Term(1), old));
     cluster.sync(id);
@@ -389,7 +390,7 @@
     for id in [leader, a, b] {
         cluster.sync(id);
     }
-    let append = append(Position::default(), vec![entry(1, 1)]);
+    let append = append(LogPosition::default(), vec![entry(1, 1)]);
     cluster.input(leader, message(a, leader, Term(1), append));
     cluster.sync(leader);
     candidate(&mut cluster, 1);
@@ -447,7 +448,7 @@
     assert!(cluster.status(blank).is_blank());
     assert_eq!(cluster.status(blank).term, Term(0));
     let body = Body::Vote {
-        last: Position::default(),
+        last: LogPosition::default(),
     };
     let Input::Message(mut stray) = message(MemberId(1), MemberId(8), Term(7), body) else {
         unreachable!()
--- a/crates/control/src/process/group.rs
+++ b/crates/control/src/process/group.rs
@@ -8,7 +8,8 @@
 use bytes::Bytes;
 use config::State;
 use consensus::{
-    Consensus, Entry, Event, Group, Input, Message, Output, Payload, Snapshot, Status, Token,
+    Consensus, EntryPayload, Event, Group, Input, LogEntry, Message, Output, Snapshot, Status,
+    Token,
 };
 use rand::Rng;
 use store::Report;
@@ -322,8 +323,8 @@
 
     /// Applies an entry. One that cannot be read ends the process: to skip it
     /// would make this host's configuration differ from the others'.
-    fn apply(&mut self, entry: &Entry) -> Result<()> {
-        let Payload::Command(command) = &entry.payload else {
+    fn apply(&mut self, entry: &LogEntry) -> Result<()> {
+        let EntryPayload::Command(command) = &entry.payload else {
             return Ok(());
         };
         let Command { at, req } =
--- a/crates/replica/src/process/group.rs
+++ b/crates/replica/src/process/group.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use config::State;
 use consensus::{
-    Consensus, Entry, Envelope, Event, Group, GroupChange, Input, Message, Output, Payload,
+    Consensus, EntryPayload, Envelope, Event, Group, GroupChange, Input, LogEntry, Message, Output,
     Rejection, Snapshot, Status, Token,
 };
 use tokio::{
@@ -283,8 +283,8 @@
 
     /// Applies an entry. One that cannot be read ends the process: to skip it
     /// would make this host's configuration differ from the others'.
-    fn apply(&mut self, entry: &Entry) -> Result<()> {
-        let Payload::Command(command) = &entry.payload else {
+    fn apply(&mut self, entry: &LogEntry) -> Result<()> {
+        let EntryPayload::Command(command) = &entry.payload else {
             return Ok(());
         };
         let Command { at, req } =
--- a/crates/store/src/version/record.rs
+++ b/crates/store/src/version/record.rs
@@ -1,7 +1,7 @@
 //! Records: length, CRC-32, body.
 
 use crate::error::{Error, Result};
-use consensus::Entry;
+use consensus::LogEntry;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use types::{MemberId, Revision, Term};
@@ -14,7 +14,7 @@
     Vote(Term, Option<MemberId>),
     /// Entries from this index on are dropped.
     Truncate(Revision),
-    Entry(Entry),
+    Entry(LogEntry),
     /// A snapshot at this index, or a later one, is in place.
     Snapshot(Revision),
 }
--- a/crates/store/src/version/replay.rs
+++ b/crates/store/src/version/replay.rs
@@ -1,7 +1,7 @@
 //! Replay of the records into what a member had on disk.
 
 use super::Item;
-use consensus::{Entry, Restored, Snapshot};
+use consensus::{LogEntry, Restored, Snapshot};
 use std::collections::BTreeMap;
 use types::{MemberId, Revision, Term};
 
@@ -10,7 +10,7 @@
 pub(crate) struct Replay {
     pub term: Term,
     pub vote: Option<MemberId>,
-    entries: BTreeMap<Revision, Entry>,
+    entries: BTreeMap<Revision, LogEntry>,
     /// A snapshot that is known to have been put in place.
     snapshot: Option<Revision>,
 }
--- a/crates/store/tests/store.rs
+++ b/crates/store/tests/store.rs
@@ -1,7 +1,7 @@
 //! The data folder keeps what was synced, through faults and restarts.
 
 use arbtest::arbtest;
-use consensus::{Entry, Group, Payload, Position, Snapshot, Write, WriteId};
+use consensus::{EntryPayload, Group, LogEntry, LogPosition, Snapshot, Write, WriteId};
 use std::collections::BTreeMap;
 use std::io;
 use std::sync::{Arc, Mutex};
@@ -158,11 +158,11 @@
     }
 }
 
-fn entry(index: u64, term: u64) -> Entry {
-    Entry {
+fn entry(index: u64, term: u64) -> LogEntry {
+    LogEntry {
         index: Revision(index),
         term: Term(term),
-        payload: Payload::Command(vec![u8::try_from(index % 251).unwrap(); 40].into()),
+        payload: EntryPayload::Command(vec![u8::try_from(index % 251).unwrap(); 40].into()),
     }
 }
 
@@ -183,7 +183,7 @@
         vote: None,
         from: None,
         snapshot: Some(Snapshot {
-            position: Position {
+            position: LogPosition {
                 term: Term(term),
                 index: Revision(index),
             },
@@ -322,7 +322,7 @@
     let disk = Memory::default();
     let (mut store, _) = open(disk.clone()).unwrap();
     let mut large = append(1, 2, 3);
-    large.entries[0].payload = Payload::Command(vec![1; 5 << 20].into());
+    large.entries[0].payload = EntryPayload::Command(vec![1; 5 << 20].into());
     large.vote = Some((Term(3), Some(MemberId(8))));
     store.apply(&[large]).unwrap();
     let mut plain = append(3, 1, 3);
