--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -5,7 +5,7 @@
 //! [`Consensus::step`] and carries out the [`Output`]:
 //!
 //! 1. [`Output::write`] goes to the disk. At most one write is outstanding;
-//!    the caller reports it with [`Input::Written`] or [`Input::WriteFailed`].
+//!    the caller reports it with [`Input::WriteSynced`] or [`Input::WriteFailed`].
 //!    What arrives meanwhile is collected into the next write.
 //! 2. [`Output::messages`] may be sent at once. Messages that speak of a term,
 //!    a vote or an entry are held inside until the write that holds it is
@@ -18,37 +18,37 @@
 //! [`Consensus::next_deadline`] tells when [`Input::Tick`] is due.
 //!
 //! ```
-//! use consensus::{Consensus, Event, Group, Identity, Input, Restored, Settings, Token};
+//! use consensus::{Consensus, Completion, Group, MemberIdentity, Input, RestoredState, Settings, RequestToken};
 //! use std::time::Instant;
 //! use types::MemberId;
 //!
 //! /// Takes one step, with a disk that syncs every write at once.
-//! fn run(member: &mut Consensus, now: Instant, input: Input) -> Vec<Event> {
-//!     let mut events = Vec::new();
+//! fn run(member: &mut Consensus, now: Instant, input: Input) -> Vec<Completion> {
+//!     let mut completions = Vec::new();
 //!     let mut next = Some(input);
 //!     while let Some(input) = next {
 //!         let out = member.step(now, input);
-//!         events.extend(out.events);
-//!         next = out.write.map(|write| Input::Written(write.id));
+//!         completions.extend(out.completions);
+//!         next = out.write.map(|write| Input::WriteSynced(write.id));
 //!     }
-//!     events
+//!     completions
 //! }
 //!
 //! let address = "127.0.0.1:7000".parse().unwrap();
-//! let me = Identity { id: MemberId(1), address };
+//! let me = MemberIdentity { id: MemberId(1), address };
 //! let start = Instant::now();
-//! let mut member = Consensus::new(Settings::default(), me, Restored::default(), 7, start);
+//! let mut member = Consensus::new(Settings::default(), me, RestoredState::default(), 7, start);
 //!
 //! // A group of one member elects itself at its first deadline.
-//! run(&mut member, start, Input::Form(Group::of([(me.id, address)])));
+//! run(&mut member, start, Input::Bootstrap(Group::from_voters([(me.id, address)])));
 //! let now = member.next_deadline();
 //! run(&mut member, now, Input::Tick);
 //! assert!(member.status().is_leader());
 //!
 //! // A proposal is accepted once the entry is synced on a majority.
-//! let (token, command) = (Token(1), "open".into());
-//! let events = run(&mut member, now, Input::Propose { token, command });
-//! assert!(matches!(events[..], [Event::Accepted { token: Token(1), .. }]));
+//! let (token, command) = (RequestToken(1), "open".into());
+//! let completions = run(&mut member, now, Input::Propose { token, command });
+//! assert!(matches!(completions[..], [Completion::Accepted { token: RequestToken(1), .. }]));
 //! ```
 
 pub mod process;
@@ -56,8 +56,8 @@
 pub mod version;
 
 pub use process::{
-    Body, Consensus, Envelope, Identity, Input, Message, Outcome, Output, Restored, Role, Settings,
-    Status, Write, WriteId,
+    AppendOutcome, Consensus, DiskWrite, Envelope, Input, MemberIdentity, Message, MessageBody,
+    Output, RestoredState, Role, Settings, Status, WriteId,
 };
-pub use request::{Event, GroupChange, Rejection, Token};
+pub use request::{Completion, GroupChange, Rejection, RequestToken};
 pub use version::{EntryPayload, Group, LogEntry, LogPosition, Snapshot};
--- a/crates/consensus/src/process/disk.rs
+++ b/crates/consensus/src/process/disk.rs
@@ -1,6 +1,6 @@
 //! What this member knows about its disk.
 
-use super::{Consensus, Envelope, Part, Write, WriteId};
+use super::{Consensus, DiskWrite, Envelope, Part, WriteId};
 use std::time::Instant;
 
 /// The outstanding write, and the messages that wait for a write.
@@ -108,7 +108,7 @@
         disk.next_id = WriteId(id.0 + 1);
         disk.in_flight = Some((id, disk.vote_version));
         let log = self.log.begin_write();
-        self.out.write = Some(Write {
+        self.out.write = Some(DiskWrite {
             id,
             vote: vote_needed.then_some((self.term, self.vote)),
             from: log.from,
--- a/crates/consensus/src/process/election.rs
+++ b/crates/consensus/src/process/election.rs
@@ -1,7 +1,7 @@
 //! Elections.
 
 use super::leader::Leader;
-use super::{Body, Consensus, Following, Part};
+use super::{Consensus, Following, MessageBody, Part};
 use crate::version::{EntryPayload, Group, LogPosition, next};
 use rand::Rng;
 use std::collections::BTreeSet;
@@ -54,11 +54,11 @@
         };
         self.part = Part::PreCandidate(BTreeSet::from([self.me.id]));
         let last = self.log.durable_position();
-        self.ask_voters(&group, &Body::PreVote { last });
+        self.ask_voters(&group, &MessageBody::PreVote { last });
         self.count_pre_votes();
     }
 
-    fn ask_voters(&mut self, group: &Group, body: &Body) {
+    fn ask_voters(&mut self, group: &Group, body: &MessageBody) {
         for (id, address) in &group.voters {
             if *id != self.me.id {
                 self.send((*id, *address), body.clone());
@@ -73,7 +73,7 @@
         last: LogPosition,
     ) {
         let granted = asked >= self.term && last >= self.log.last() && !self.hears_leader();
-        self.send(sender, Body::PreVoteReply { asked, granted });
+        self.send(sender, MessageBody::PreVoteReply { asked, granted });
     }
 
     /// Whether a leader was heard within the shortest election timeout.
@@ -115,7 +115,7 @@
         self.part = Part::Candidate(BTreeSet::new());
         self.arm_election();
         let last = self.log.durable_position();
-        self.ask_voters(group, &Body::Vote { last });
+        self.ask_voters(group, &MessageBody::Vote { last });
     }
 
     pub(super) fn answer_vote(
@@ -132,7 +132,7 @@
             self.disk.vote_changed();
             self.arm_election();
         }
-        self.send(sender, Body::VoteReply { granted });
+        self.send(sender, MessageBody::VoteReply { granted });
     }
 
     pub(super) fn take_vote(&mut self, from: MemberId, granted: bool) {
--- a/crates/consensus/src/process/follower.rs
+++ b/crates/consensus/src/process/follower.rs
@@ -1,6 +1,6 @@
 //! Following a leader.
 
-use super::{Body, Consensus, Outcome, Part};
+use super::{AppendOutcome, Consensus, MessageBody, Part};
 use crate::version::{LogEntry, LogPosition, Snapshot};
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -19,7 +19,7 @@
     /// The last acknowledgement sent.
     acked: Revision,
     /// What the next reply says in place of an acknowledgement.
-    refusal: Option<Outcome>,
+    refusal: Option<AppendOutcome>,
     /// A reply is due even if nothing new is on disk.
     reply_due: bool,
 }
@@ -35,7 +35,7 @@
     ) -> bool {
         if !current {
             // Tells the sender of the later term.
-            let outcome = Outcome::Conflict(Revision(0));
+            let outcome = AppendOutcome::Conflict(Revision(0));
             self.reply(sender, 0, outcome);
             return false;
         }
@@ -75,9 +75,9 @@
     }
 
     /// Why entries after `prev` do not fit this log.
-    fn refusal(&self, prev: LogPosition) -> Option<Outcome> {
+    fn refusal(&self, prev: LogPosition) -> Option<AppendOutcome> {
         if self.log.snapshot().is_none() {
-            return Some(Outcome::Blank);
+            return Some(AppendOutcome::Blank);
         }
         // What the snapshot covers is committed, so it equals the leader's.
         if prev.index < self.log.base().index || self.log.position(prev.index) == Some(prev) {
@@ -87,7 +87,7 @@
             Some(first) => Revision(first.0 - 1),
             None => self.log.last().index,
         };
-        Some(Outcome::Conflict(hint.max(self.commit)))
+        Some(AppendOutcome::Conflict(hint.max(self.commit)))
     }
 
     /// Takes one entry that fits. Returns whether to go on with the next one.
@@ -132,7 +132,7 @@
         }
     }
 
-    fn refuse(&mut self, refusal: Outcome) {
+    fn refuse(&mut self, refusal: AppendOutcome) {
         if let Part::Follower(following) = &mut self.part {
             following.refusal = Some(refusal);
         }
@@ -153,17 +153,17 @@
         }
         following.reply_due = false;
         following.acked = following.acked.max(matched);
-        let held = Outcome::Matched(matched);
+        let held = AppendOutcome::Matched(matched);
         let outcome = following.refusal.take().unwrap_or(held);
         let round = following.round;
         self.reply(leader, round, outcome);
     }
 
-    fn reply(&mut self, leader: (MemberId, SocketAddr), round: u64, outcome: Outcome) {
+    fn reply(&mut self, leader: (MemberId, SocketAddr), round: u64, outcome: AppendOutcome) {
         let writable = !self.disk.failed();
         self.send(
             leader,
-            Body::AppendReply {
+            MessageBody::AppendReply {
                 round,
                 writable,
                 outcome,
--- a/crates/consensus/src/process/group.rs
+++ b/crates/consensus/src/process/group.rs
@@ -1,7 +1,7 @@
 //! Forming and changing the group.
 
 use super::{Consensus, Part};
-use crate::request::{GroupChange, Rejection, Token};
+use crate::request::{GroupChange, Rejection, RequestToken};
 use crate::version::{EntryPayload, Group, LogPosition, Snapshot};
 use bytes::Bytes;
 
@@ -20,7 +20,7 @@
     /// Keeps the change until a majority has answered a round that began after
     /// it was asked for. Otherwise a leader that is cut off could append a
     /// removal, elect itself in the smaller group and go on alone.
-    pub(super) fn change_group(&mut self, token: Token, change: GroupChange) {
+    pub(super) fn change_group(&mut self, token: RequestToken, change: GroupChange) {
         if let Err(reason) = self.changed_group(change) {
             return self.reject(token, reason);
         }
@@ -34,7 +34,7 @@
     }
 
     /// Appends a change whose round was answered, if it still fits.
-    pub(super) fn append_change(&mut self, token: Token, change: GroupChange) {
+    pub(super) fn append_change(&mut self, token: RequestToken, change: GroupChange) {
         match self.changed_group(change) {
             Ok(group) => self.append_proposal(token, EntryPayload::Group(group)),
             Err(reason) => self.reject(token, reason),
--- a/crates/consensus/src/process/io.rs
+++ b/crates/consensus/src/process/io.rs
@@ -1,7 +1,7 @@
 //! Inputs, outputs and disk writes.
 
 use super::{Envelope, Message};
-use crate::request::{Event, GroupChange, Token};
+use crate::request::{Completion, GroupChange, RequestToken};
 use crate::version::{Group, LogEntry, Snapshot};
 use bytes::Bytes;
 use std::fmt;
@@ -9,7 +9,7 @@
 
 /// What a member has on disk when it starts. The default is a blank member.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Restored {
+pub struct RestoredState {
     /// The last term written.
     pub term: Term,
     /// The vote written with that term.
@@ -35,22 +35,22 @@
     Form(Group),
     /// Proposes a command.
     Propose {
-        /// Names the proposal in its [`Event`].
-        token: Token,
+        /// Names the proposal in its [`Completion`].
+        token: RequestToken,
         /// The command.
         command: Bytes,
     },
     /// Proposes a group change.
     ChangeGroup {
-        /// Names the change in its [`Event`].
-        token: Token,
+        /// Names the change in its [`Completion`].
+        token: RequestToken,
         /// The change.
         change: GroupChange,
     },
     /// Asks whether this member still leads.
     ConfirmRead {
-        /// Names the read in its [`Event`].
-        token: Token,
+        /// Names the read in its [`Completion`].
+        token: RequestToken,
     },
     /// Replaces the log up to `through`, which must have been handed out as
     /// committed, by the state after it. Ignored if it is not.
@@ -66,7 +66,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Output {
     /// A write for the disk. The next one comes only after the result of this.
-    pub write: Option<Write>,
+    pub write: Option<DiskWrite>,
     /// Messages to send now. Any of them may be lost.
     pub messages: Vec<Envelope>,
     /// A state to load in place of the present one.
@@ -74,7 +74,7 @@
     /// Committed entries in log order, each handed out once per process.
     pub committed: Vec<LogEntry>,
     /// Answers.
-    pub events: Vec<Event>,
+    pub events: Vec<Completion>,
 }
 
 /// Names a write towards the disk.
@@ -91,7 +91,7 @@
 /// holds a snapshot drops entries from `from` on before the snapshot is put in
 /// place, so that entries that contradict the snapshot never follow it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Write {
+pub struct DiskWrite {
     /// Names the write in its result.
     pub id: WriteId,
     /// Term and vote, if they changed.
--- a/crates/consensus/src/process/leader.rs
+++ b/crates/consensus/src/process/leader.rs
@@ -1,7 +1,7 @@
 //! What a leader keeps, and how it counts majorities.
 
 use super::{Consensus, Part};
-use crate::request::{Event, GroupChange, Reads, Rejection, Token};
+use crate::request::{Completion, GroupChange, Reads, Rejection, RequestToken};
 use crate::version::{EntryPayload, Group};
 use bytes::Bytes;
 use std::collections::{BTreeMap, BTreeSet};
@@ -22,9 +22,9 @@
     pub confirmed: u64,
     pub reads: Reads,
     /// A group change, and the first round that began after it was asked for.
-    pub change: Option<(Token, GroupChange, u64)>,
+    pub change: Option<(RequestToken, GroupChange, u64)>,
     /// Proposals that are not committed yet.
-    pub proposals: BTreeMap<Revision, Token>,
+    pub proposals: BTreeMap<Revision, RequestToken>,
 }
 
 /// What a leader knows of another member.
@@ -123,7 +123,7 @@
     /// Answers what waits for a leadership that has ended.
     pub(super) fn give_up(&mut self, mut leader: Leader) {
         for token in leader.proposals.into_values() {
-            self.out.events.push(Event::Lost { token });
+            self.out.events.push(Completion::Lost { token });
         }
         // A change that still waits was never appended.
         let change = leader.change.map(|(token, ..)| token);
@@ -132,7 +132,7 @@
         }
     }
 
-    pub(super) fn propose(&mut self, token: Token, command: Bytes) {
+    pub(super) fn propose(&mut self, token: RequestToken, command: Bytes) {
         match self.may_append() {
             Ok(()) => self.append_proposal(token, EntryPayload::Command(command)),
             Err(reason) => self.reject(token, reason),
@@ -150,14 +150,14 @@
         Ok(())
     }
 
-    pub(super) fn append_proposal(&mut self, token: Token, payload: EntryPayload) {
+    pub(super) fn append_proposal(&mut self, token: RequestToken, payload: EntryPayload) {
         let index = self.append_own(payload);
         if let Part::Leader(leader) = &mut self.part {
             leader.proposals.insert(index, token);
         }
     }
 
-    pub(super) fn confirm_read(&mut self, token: Token) {
+    pub(super) fn confirm_read(&mut self, token: RequestToken) {
         let known = self.leader();
         match &mut self.part {
             Part::Leader(leader) => leader.reads.add(token, leader.round),
@@ -204,7 +204,7 @@
             let later = leader.proposals.split_off(&crate::version::next(index));
             let accepted = std::mem::replace(&mut leader.proposals, later);
             for (index, token) in accepted {
-                self.out.events.push(Event::Accepted { token, index });
+                self.out.events.push(Completion::Accepted { token, index });
             }
         }
         if had_change && self.log.group_index() <= index {
@@ -246,7 +246,9 @@
             return;
         }
         for token in leader.reads.take_confirmed(leader.confirmed) {
-            self.out.events.push(Event::ReadConfirmed { token, index });
+            self.out
+                .events
+                .push(Completion::ReadConfirmed { token, index });
         }
         let confirmed = leader.confirmed;
         let change = leader.change.take_if(|(.., needed)| *needed <= confirmed);
--- a/crates/consensus/src/process/message.rs
+++ b/crates/consensus/src/process/message.rs
@@ -27,19 +27,19 @@
     /// The term of the sender.
     pub term: Term,
     /// What is asked or answered.
-    pub body: Body,
+    pub body: MessageBody,
 }
 
 /// What a message asks or answers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Body {
+pub enum MessageBody {
     /// Asks whether a vote in the term after the sender's would be granted.
     /// Changes nothing at the receiver.
     PreVote {
         /// The end of the sender's log on disk.
         last: LogPosition,
     },
-    /// Answers [`Body::PreVote`].
+    /// Answers [`MessageBody::PreVote`].
     PreVoteReply {
         /// The sender's term when it asked.
         asked: Term,
@@ -51,7 +51,7 @@
         /// The end of the sender's log on disk.
         last: LogPosition,
     },
-    /// Answers [`Body::Vote`].
+    /// Answers [`MessageBody::Vote`].
     VoteReply {
         /// Whether the vote was granted.
         granted: bool,
@@ -74,20 +74,20 @@
         /// The latest round of heartbeats that the leader has begun.
         round: u64,
     },
-    /// Answers [`Body::Append`] and [`Body::Install`].
+    /// Answers [`MessageBody::Append`] and [`MessageBody::Install`].
     AppendReply {
         /// The latest round that the sender received in this term.
         round: u64,
         /// Whether the sender's disk accepts writes.
         writable: bool,
         /// What the sender holds.
-        outcome: Outcome,
+        outcome: AppendOutcome,
     },
 }
 
 /// What a member holds of the leader's log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Outcome {
+pub enum AppendOutcome {
     /// All entries up to here are on its disk and equal the leader's.
     Matched(Revision),
     /// Its log lacks or contradicts the place before the entries; the leader
--- a/crates/consensus/src/process/mod.rs
+++ b/crates/consensus/src/process/mod.rs
@@ -11,12 +11,12 @@
 mod settings;
 mod status;
 
-pub use io::{Input, Output, Restored, Write, WriteId};
-pub use message::{Body, Envelope, Message, Outcome};
-pub use settings::{Identity, Settings};
+pub use io::{DiskWrite, Input, Output, RestoredState, WriteId};
+pub use message::{AppendOutcome, Envelope, Message, MessageBody};
+pub use settings::{MemberIdentity, Settings};
 pub use status::{Role, Status};
 
-use crate::request::{Event, Rejection, Token};
+use crate::request::{Completion, Rejection, RequestToken};
 use crate::version::Log;
 use disk::Disk;
 use follower::Following;
@@ -32,7 +32,7 @@
 #[derive(Debug)]
 pub struct Consensus {
     settings: Settings,
-    me: Identity,
+    me: MemberIdentity,
     /// Draws election timeouts; seeded by the caller.
     rng: StdRng,
     /// The latest instant passed in.
@@ -71,8 +71,8 @@
     #[must_use]
     pub fn new(
         settings: Settings,
-        me: Identity,
-        restored: Restored,
+        me: MemberIdentity,
+        restored: RestoredState,
         seed: u64,
         now: Instant,
     ) -> Self {
@@ -173,20 +173,20 @@
             return;
         }
         // A question whether a vote would be granted changes nothing here.
-        let asks_only = matches!(message.body, Body::PreVote { .. });
+        let asks_only = matches!(message.body, MessageBody::PreVote { .. });
         if message.term > self.term && !asks_only {
             self.enter_term(message.term);
         }
         let sender = (message.from, message.from_address);
         let current = message.term == self.term;
         match message.body {
-            Body::PreVote { last } => self.answer_pre_vote(sender, message.term, last),
-            Body::PreVoteReply { asked, granted } => {
+            MessageBody::PreVote { last } => self.answer_pre_vote(sender, message.term, last),
+            MessageBody::PreVoteReply { asked, granted } => {
                 self.take_pre_vote(message.from, asked, granted);
             }
-            Body::Vote { last } => self.answer_vote(sender, current, last),
-            Body::VoteReply { granted } if current => self.take_vote(message.from, granted),
-            Body::Append {
+            MessageBody::Vote { last } => self.answer_vote(sender, current, last),
+            MessageBody::VoteReply { granted } if current => self.take_vote(message.from, granted),
+            MessageBody::Append {
                 prev,
                 entries,
                 commit,
@@ -196,17 +196,17 @@
                     self.take_entries(prev, entries, commit);
                 }
             }
-            Body::Install { snapshot, round } => {
+            MessageBody::Install { snapshot, round } => {
                 if self.follow(sender, current, round) {
                     self.take_snapshot(snapshot);
                 }
             }
-            Body::AppendReply {
+            MessageBody::AppendReply {
                 round,
                 writable,
                 outcome,
             } if current => self.take_reply(message.from, round, writable, outcome),
-            Body::VoteReply { .. } | Body::AppendReply { .. } => {}
+            MessageBody::VoteReply { .. } | MessageBody::AppendReply { .. } => {}
         }
     }
 
@@ -247,7 +247,7 @@
         }
     }
 
-    fn send(&mut self, (to, address): (MemberId, SocketAddr), body: Body) {
+    fn send(&mut self, (to, address): (MemberId, SocketAddr), body: MessageBody) {
         let message = Message {
             from: self.me.id,
             from_address: self.me.address,
@@ -258,7 +258,7 @@
         self.disk.hold(Envelope { address, message });
     }
 
-    fn reject(&mut self, token: Token, reason: Rejection) {
-        self.out.events.push(Event::Rejected { token, reason });
+    fn reject(&mut self, token: RequestToken, reason: Rejection) {
+        self.out.events.push(Completion::Rejected { token, reason });
     }
 }
--- a/crates/consensus/src/process/replication.rs
+++ b/crates/consensus/src/process/replication.rs
@@ -1,7 +1,7 @@
 //! Sending the log to other members.
 
 use super::leader::Peer;
-use super::{Body, Consensus, Outcome, Part};
+use super::{AppendOutcome, Consensus, MessageBody, Part};
 use crate::version::{EntryPayload, LogEntry, Snapshot, next};
 use std::net::SocketAddr;
 use types::{MemberId, Revision};
@@ -86,9 +86,9 @@
                     peer.installing =
                         Some((snapshot.position.index, now + self.settings.election_max));
                     let snapshot = Snapshot::clone(snapshot);
-                    Body::Install { snapshot, round }
+                    MessageBody::Install { snapshot, round }
                 }
-                None if heartbeat => Body::Append {
+                None if heartbeat => MessageBody::Append {
                     prev: self.log.base(),
                     entries: Vec::new(),
                     commit: self.commit,
@@ -113,7 +113,7 @@
                 return;
             };
             peer.next = Revision(peer.next.0 + entries.len() as u64);
-            Body::Append {
+            MessageBody::Append {
                 prev,
                 entries,
                 commit: self.commit,
@@ -128,7 +128,7 @@
         from: MemberId,
         round: u64,
         writable: bool,
-        outcome: Outcome,
+        outcome: AppendOutcome,
     ) {
         let Part::Leader(leader) = &mut self.part else {
             return;
@@ -141,9 +141,9 @@
         peer.writable = writable;
         peer.answered = true;
         match outcome {
-            Outcome::Matched(index) => peer.acknowledge(index),
-            Outcome::Conflict(index) => peer.back_off(next(index)),
-            Outcome::Blank => peer.back_off(Revision(0)),
+            AppendOutcome::Matched(index) => peer.acknowledge(index),
+            AppendOutcome::Conflict(index) => peer.back_off(next(index)),
+            AppendOutcome::Blank => peer.back_off(Revision(0)),
         }
     }
 }
--- a/crates/consensus/src/process/settings.rs
+++ b/crates/consensus/src/process/settings.rs
@@ -6,7 +6,7 @@
 
 /// Who this member is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Identity {
+pub struct MemberIdentity {
     /// The id that was made with the data folder.
     pub id: MemberId,
     /// Where other members reach this one; goes along in each message, so that
--- a/crates/consensus/src/request/event.rs
+++ b/crates/consensus/src/request/event.rs
@@ -6,9 +6,9 @@
 
 /// Names a proposal, group change or read towards the caller, who chooses it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Token(pub u64);
+pub struct RequestToken(pub u64);
 
-impl fmt::Display for Token {
+impl fmt::Display for RequestToken {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.fmt(f)
     }
@@ -17,34 +17,34 @@
 /// The answer to a proposal, a group change or a read. Each token gets exactly
 /// one, unless the process ends first.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Event {
+pub enum Completion {
     /// The entry is committed at `index`; it is in [`committed`] of this output
     /// or of an earlier one.
     ///
     /// [`committed`]: crate::Output::committed
     Accepted {
         /// The proposal or group change.
-        token: Token,
+        token: RequestToken,
         /// Where the log holds it.
         index: Revision,
     },
     /// Not accepted and never will be.
     Rejected {
         /// The proposal, group change or read.
-        token: Token,
+        token: RequestToken,
         /// Why.
         reason: Rejection,
     },
     /// Leadership ended before the commit: the outcome is unknown.
     Lost {
         /// The proposal or group change.
-        token: Token,
+        token: RequestToken,
     },
     /// This member was the leader after the read was asked for. The state after
     /// `index` is fresh, and all entries up to it have been handed out.
     ReadConfirmed {
         /// The read.
-        token: Token,
+        token: RequestToken,
         /// The commit index.
         index: Revision,
     },
--- a/crates/consensus/src/request/mod.rs
+++ b/crates/consensus/src/request/mod.rs
@@ -5,5 +5,5 @@
 mod read;
 
 pub use change::GroupChange;
-pub use event::{Event, Rejection, Token};
+pub use event::{Completion, Rejection, RequestToken};
 pub(crate) use read::Reads;
--- a/crates/consensus/tests/harness/mod.rs
+++ b/crates/consensus/tests/harness/mod.rs
@@ -2,8 +2,8 @@
 //! must hold after every step.
 
 use consensus::{
-    Consensus, EntryPayload, Envelope, Event, Group, GroupChange, Identity, Input, LogEntry,
-    Output, Restored, Settings, Status, Token, Write,
+    Completion, Consensus, DiskWrite, EntryPayload, Envelope, Group, GroupChange, Input, LogEntry,
+    MemberIdentity, Output, RequestToken, RestoredState, Settings, Status,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -18,8 +18,8 @@
 
 pub struct Node {
     pub member: Option<Consensus>,
-    pub disk: Restored,
-    pending: Option<Write>,
+    pub disk: RestoredState,
+    pending: Option<DiskWrite>,
     /// Inputs that wait while the process is frozen.
     waiting: Vec<Input>,
     pub frozen: bool,
@@ -44,12 +44,12 @@
     /// Pairs (from, to) whose messages are lost.
     pub cut: BTreeSet<(MemberId, MemberId)>,
     pub noise: Noise,
-    pub events: Vec<(MemberId, Event)>,
+    pub events: Vec<(MemberId, Completion)>,
     /// All that was ever committed, with its group.
     pub committed: BTreeMap<Revision, LogEntry>,
-    pub accepted: BTreeMap<Token, Revision>,
+    pub accepted: BTreeMap<RequestToken, Revision>,
     /// The last index accepted when each open read was asked for.
-    reads: BTreeMap<Token, Revision>,
+    reads: BTreeMap<RequestToken, Revision>,
     leaders: BTreeMap<Term, MemberId>,
     random: u64,
     token: u64,
@@ -98,7 +98,7 @@
     pub fn join(&mut self, id: MemberId) {
         let node = Node {
             member: None,
-            disk: Restored::default(),
+            disk: RestoredState::default(),
             pending: None,
             waiting: Vec::new(),
             frozen: false,
@@ -123,7 +123,7 @@
 
     pub fn restart(&mut self, id: MemberId) {
         let seed = self.pick(1 << 40);
-        let me = Identity {
+        let me = MemberIdentity {
             id,
             address: address(id),
         };
@@ -191,7 +191,7 @@
             assert_eq!(*first, entry, "a committed entry changed at {id}");
         }
         for event in out.events {
-            if let Event::Accepted { token, index } = event {
+            if let Completion::Accepted { token, index } = event {
                 self.accepted.insert(token, index);
                 if let EntryPayload::Command(command) = &self.committed[&index].payload {
                     assert_eq!(
@@ -202,7 +202,7 @@
                 }
                 self.assert_on_majority(id, index);
             }
-            if let Event::ReadConfirmed { token, index } = event {
+            if let Completion::ReadConfirmed { token, index } = event {
                 let asked = self.reads.remove(&token).expect("one answer");
                 assert!(index >= asked, "a stale read at {id}");
                 assert!(
@@ -334,26 +334,26 @@
         panic!("no leader was elected");
     }
 
-    fn token(&mut self) -> Token {
+    fn token(&mut self) -> RequestToken {
         self.token += 1;
-        Token(self.token)
+        RequestToken(self.token)
     }
 
-    pub fn propose(&mut self, id: MemberId) -> Token {
+    pub fn propose(&mut self, id: MemberId) -> RequestToken {
         let token = self.token();
         let command = token.0.to_be_bytes().to_vec().into();
         self.input(id, Input::Propose { token, command });
         token
     }
 
-    pub fn change(&mut self, id: MemberId, change: GroupChange) -> Token {
+    pub fn change(&mut self, id: MemberId, change: GroupChange) -> RequestToken {
         let token = self.token();
         self.input(id, Input::ChangeGroup { token, change });
         token
     }
 
     /// Proposes until a proposal is accepted.
-    pub fn accept(&mut self) -> Token {
+    pub fn accept(&mut self) -> RequestToken {
         for _ in 0..20 {
             let leader = self.elect();
             let token = self.propose(leader);
@@ -378,7 +378,7 @@
         panic!("{change:?} was not accepted");
     }
 
-    pub fn ask_read(&mut self, id: MemberId) -> Token {
+    pub fn ask_read(&mut self, id: MemberId) -> RequestToken {
         let token = self.token();
         let accepted = self.accepted.values().max().copied();
         self.reads.insert(token, accepted.unwrap_or_default());
@@ -386,9 +386,8 @@
         token
     }
 
-    pub fn confirmed(&self, token: Token) -> bool {
-        let confirmed =
-            |event: &Event| matches!(event, Event::ReadConfirmed { token: t, .. } if *t == token);
+    pub fn confirmed(&self, token: RequestToken) -> bool {
+        let confirmed = |event: &Completion| matches!(event, Completion::ReadConfirmed { token: t, .. } if *t == token);
         self.events.iter().any(|(_, event)| confirmed(event))
     }
 
@@ -435,7 +434,7 @@
     }
 }
 
-pub fn write_to(disk: &mut Restored, write: &Write) {
+pub fn write_to(disk: &mut RestoredState, write: &DiskWrite) {
     if let Some((term, vote)) = write.vote {
         assert!(term >= disk.term, "the term on disk goes back");
         (disk.term, disk.vote) = (term, vote);
--- a/crates/consensus/tests/rules.rs
+++ b/crates/consensus/tests/rules.rs
@@ -4,8 +4,8 @@
 
 use arbtest::arbtest;
 use consensus::{
-    Body, EntryPayload, Event, GroupChange, Input, LogEntry, LogPosition, Message, Outcome,
-    Rejection, Role,
+    AppendOutcome, Completion, EntryPayload, GroupChange, Input, LogEntry, LogPosition, Message,
+    MessageBody, Rejection, Role,
 };
 use harness::{Cluster, Noise, address};
 use types::{MemberId, Revision, Term};
@@ -18,7 +18,7 @@
 
 const IDS: [MemberId; 4] = [MemberId(1), MemberId(2), MemberId(3), MemberId(4)];
 
-fn message(from: MemberId, to: MemberId, term: Term, body: Body) -> Input {
+fn message(from: MemberId, to: MemberId, term: Term, body: MessageBody) -> Input {
     Input::Message(Message {
         from,
         from_address: address(from),
@@ -37,8 +37,8 @@
 }
 
 /// A heartbeat if empty; commits nothing.
-fn append(prev: LogPosition, entries: Vec<LogEntry>) -> Body {
-    Body::Append {
+fn append(prev: LogPosition, entries: Vec<LogEntry>) -> MessageBody {
+    MessageBody::Append {
         prev,
         entries,
         commit: Revision(0),
@@ -46,9 +46,9 @@
     }
 }
 
-fn answer(round: u64, matched: u64) -> Body {
-    let outcome = Outcome::Matched(Revision(matched));
-    Body::AppendReply {
+fn answer(round: u64, matched: u64) -> MessageBody {
+    let outcome = AppendOutcome::Matched(Revision(matched));
+    MessageBody::AppendReply {
         round,
         writable: true,
         outcome,
@@ -60,18 +60,18 @@
 fn candidate(cluster: &mut Cluster, term: u64) {
     cluster.now += std::time::Duration::from_secs(2);
     cluster.input(IDS[0], Input::Tick);
-    let granted = Body::PreVoteReply {
+    let granted = MessageBody::PreVoteReply {
         asked: Term(term),
         granted: true,
     };
     cluster.input(IDS[0], message(IDS[2], IDS[0], Term(term), granted));
-    let granted = Body::VoteReply { granted: true };
+    let granted = MessageBody::VoteReply { granted: true };
     cluster.input(IDS[0], message(IDS[2], IDS[0], Term(term + 1), granted));
 }
 
-fn rejected(cluster: &Cluster, token: consensus::Token) -> Option<Rejection> {
+fn rejected(cluster: &Cluster, token: consensus::RequestToken) -> Option<Rejection> {
     cluster.events.iter().find_map(|(_, event)| match event {
-        Event::Rejected { token: t, reason } if *t == token => Some(*reason),
+        Completion::Rejected { token: t, reason } if *t == token => Some(*reason),
         _ => None,
     })
 }
@@ -114,7 +114,7 @@
         .drain(..)
         .map(|envelope| envelope.message.body);
     let rounds = sent.filter_map(|body| match body {
-        Body::Append { round, .. } => Some(round),
+        MessageBody::Append { round, .. } => Some(round),
         _ => None,
     });
     let round = rounds.max().unwrap();
@@ -314,7 +314,10 @@
     }
     let (voter, candidate, term) = (MemberId(1), MemberId(2), Term(1));
     let last = LogPosition::default();
-    cluster.input(voter, message(candidate, voter, term, Body::Vote { last }));
+    cluster.input(
+        voter,
+        message(candidate, voter, term, MessageBody::Vote { last }),
+    );
     assert!(cluster.queue.is_empty(), "the vote is not synced");
     cluster.sync(voter);
     assert_eq!(cluster.queue.len(), 1);
@@ -324,10 +327,10 @@
     cluster.input(voter, message(candidate, voter, term, append));
     assert!(cluster.queue.is_empty(), "the entry is not synced");
     cluster.sync(voter);
-    let Body::AppendReply { outcome, .. } = cluster.queue[0].message.body else {
+    let MessageBody::AppendReply { outcome, .. } = cluster.queue[0].message.body else {
         panic!("not an acknowledgement");
     };
-    assert_eq!(outcome, Outcome::Matched(Revision(1)));
+    assert_eq!(outcome, AppendOutcome::Matched(Revision(1)));
     // One vote in a term, also after a restart.
     cluster.kill(voter);
     cluster.restart(voter);
@@ -337,12 +340,18 @@
         term,
         index: Revision(9),
     };
-    cluster.input(voter, message(rival, voter, term, Body::Vote { last }));
-    let refused = Body::VoteReply { granted: false };
+    cluster.input(
+        voter,
+        message(rival, voter, term, MessageBody::Vote { last }),
+    );
+    let refused = MessageBody::VoteReply { granted: false };
     assert_eq!(cluster.queue[0].message.body, refused);
     // Nor a vote for a candidate that lacks the entry.
     let last = LogPosition::default();
-    cluster.input(voter, message(rival, voter, Term(2), Body::Vote { last }));
+    cluster.input(
+        voter,
+        message(rival, voter, Term(2), MessageBody::Vote { last }),
+    );
     cluster.sync(voter);
     assert_eq!(cluster.queue[1].message.body, refused);
 }
@@ -447,7 +456,7 @@
     cluster.turns(200);
     assert!(cluster.status(blank).is_blank());
     assert_eq!(cluster.status(blank).term, Term(0));
-    let body = Body::Vote {
+    let body = MessageBody::Vote {
         last: LogPosition::default(),
     };
     let Input::Message(mut stray) = message(MemberId(1), MemberId(8), Term(7), body) else {
--- a/crates/control/src/process/group.rs
+++ b/crates/control/src/process/group.rs
@@ -8,8 +8,8 @@
 use bytes::Bytes;
 use config::State;
 use consensus::{
-    Consensus, EntryPayload, Event, Group, Input, LogEntry, Message, Output, Snapshot, Status,
-    Token,
+    Completion, Consensus, EntryPayload, Group, Input, LogEntry, Message, Output, RequestToken,
+    Snapshot, Status,
 };
 use rand::Rng;
 use store::Report;
@@ -65,7 +65,7 @@
     consensus: Consensus,
     state: State,
     leadership: Option<Leadership>,
-    pending: BTreeMap<Token, Pending>,
+    pending: BTreeMap<RequestToken, Pending>,
     next_token: u64,
     /// Answers to entries of this leadership, until their proposals are
     /// reported as accepted.
@@ -208,8 +208,8 @@
         })
     }
 
-    fn expect(&mut self, pending: Pending) -> Token {
-        let token = Token(self.next_token);
+    fn expect(&mut self, pending: Pending) -> RequestToken {
+        let token = RequestToken(self.next_token);
         self.next_token += 1;
         self.pending.insert(token, pending);
         token
@@ -350,9 +350,9 @@
         leadership.learn(&self.state);
     }
 
-    fn resolve(&mut self, event: &Event) {
+    fn resolve(&mut self, event: &Completion) {
         match *event {
-            Event::Accepted { token, index } => {
+            Completion::Accepted { token, index } => {
                 let answer = self.answers.remove(&index);
                 match (self.pending.remove(&token), answer) {
                     (Some(Pending::Change(tx)), Some(answer)) => {
@@ -368,7 +368,7 @@
                     (None, _) => {}
                 }
             }
-            Event::Rejected { token, reason } => {
+            Completion::Rejected { token, reason } => {
                 if let Some(pending) = self.pending.remove(&token) {
                     if let (Pending::Group(call, _), Some(refused)) = (&pending, refusal(reason)) {
                         self.note(call.clone(), Some(refused));
@@ -376,12 +376,12 @@
                     pending.reject(reason);
                 }
             }
-            Event::Lost { token } => {
+            Completion::Lost { token } => {
                 if let Some(pending) = self.pending.remove(&token) {
                     pending.lose();
                 }
             }
-            Event::ReadConfirmed { token, .. } => self.answer_read(token),
+            Completion::ReadConfirmed { token, .. } => self.answer_read(token),
         }
     }
 
@@ -400,7 +400,7 @@
     }
 
     /// Answers a read that a majority has confirmed.
-    fn answer_read(&mut self, token: Token) {
+    fn answer_read(&mut self, token: RequestToken) {
         let Some(pending) = self.pending.remove(&token) else {
             return;
         };
--- a/crates/control/src/process/peers.rs
+++ b/crates/control/src/process/peers.rs
@@ -7,7 +7,7 @@
 };
 
 use client::Http;
-use consensus::{Body, Envelope, Message};
+use consensus::{Envelope, Message, MessageBody};
 use tokio::{sync::mpsc, task::JoinHandle};
 
 use super::CONSENSUS_PATH;
@@ -78,7 +78,7 @@
             snapshots: Lane::start(&self.http, address, 1, SEND_SNAPSHOT),
         });
         let lane = match message.body {
-            Body::Install { .. } => &peer.snapshots,
+            MessageBody::Install { .. } => &peer.snapshots,
             _ => &peer.messages,
         };
         let _ = lane.tx.try_send(message);
--- a/crates/control/src/process/run.rs
+++ b/crates/control/src/process/run.rs
@@ -9,7 +9,7 @@
 use actix_rt::time::sleep;
 use auth::{Gate, Port};
 use client::Http;
-use consensus::{Consensus, Group, Identity};
+use consensus::{Consensus, Group, MemberIdentity};
 use prometheus::Registry;
 use rand::Rng;
 use store::{Dir, Disk};
@@ -59,7 +59,7 @@
         .map_err(|e| Error::Bind(cfg.listen, e))?;
     let (store, found) = store::open(disk)?;
     let disk = store::start(store)?;
-    let me = Identity {
+    let me = MemberIdentity {
         id: found.member,
         address,
     };
@@ -105,7 +105,12 @@
 ///
 /// Only the host with the lowest address does so. If each did, two hosts could
 /// form different groups while a third one loses its disk in between.
-async fn form(http: Http, me: Identity, hosts: Vec<SocketAddr>, tx: mpsc::Sender<GroupCommand>) {
+async fn form(
+    http: Http,
+    me: MemberIdentity,
+    hosts: Vec<SocketAddr>,
+    tx: mpsc::Sender<GroupCommand>,
+) {
     loop {
         if let Some(voters) = blank_hosts(&http, me, &hosts).await {
             log::info!(event = "group_formed", voters = voters.len(); "all hosts are blank; forming the first group");
@@ -120,7 +125,7 @@
 /// The ids of the hosts, if all answer and are blank.
 async fn blank_hosts(
     http: &Http,
-    me: Identity,
+    me: MemberIdentity,
     hosts: &[SocketAddr],
 ) -> Option<BTreeMap<MemberId, SocketAddr>> {
     let mut voters = BTreeMap::from([(me.id, me.address)]);
--- a/crates/replica/src/process/group.rs
+++ b/crates/replica/src/process/group.rs
@@ -10,8 +10,8 @@
 use bytes::Bytes;
 use config::State;
 use consensus::{
-    Consensus, EntryPayload, Envelope, Event, Group, GroupChange, Input, LogEntry, Message, Output,
-    Rejection, Snapshot, Status, Token,
+    Completion, Consensus, EntryPayload, Envelope, Group, GroupChange, Input, LogEntry, Message,
+    Output, Rejection, RequestToken, Snapshot, Status,
 };
 use tokio::{
     sync::{mpsc, oneshot, watch},
@@ -51,7 +51,7 @@
     steward: Steward,
     consensus: Consensus,
     state: State,
-    pending: BTreeMap<Token, Pending>,
+    pending: BTreeMap<RequestToken, Pending>,
     next_token: u64,
     /// Answers to entries, until their proposals are reported as accepted.
     answers: BTreeMap<Revision, Answer>,
@@ -168,8 +168,8 @@
         }
     }
 
-    fn expect(&mut self, pending: Pending) -> Token {
-        let token = Token(self.next_token);
+    fn expect(&mut self, pending: Pending) -> RequestToken {
+        let token = RequestToken(self.next_token);
         self.next_token += 1;
         self.pending.insert(token, pending);
         token
@@ -308,9 +308,9 @@
         Ok(())
     }
 
-    fn resolve(&mut self, event: &Event) {
+    fn resolve(&mut self, event: &Completion) {
         match *event {
-            Event::Accepted { token, index } => {
+            Completion::Accepted { token, index } => {
                 let answer = self.answers.remove(&index);
                 if let Some(Pending::Change(tx)) = self.pending.remove(&token) {
                     let reply = answer.map_or(ChangeReply::Unknown, ChangeReply::Final);
@@ -318,15 +318,15 @@
                     let _ = tx.send(reply);
                 }
             }
-            Event::Rejected { token, reason } => self.reject(token, reason),
-            Event::Lost { token } => match self.pending.remove(&token) {
+            Completion::Rejected { token, reason } => self.reject(token, reason),
+            Completion::Lost { token } => match self.pending.remove(&token) {
                 Some(Pending::Change(tx)) => drop(tx.send(ChangeReply::Unknown)),
                 Some(Pending::Read(tx)) => {
                     drop(tx.send(QueryReply::NotLeader { leader: None }));
                 }
                 Some(Pending::Group) | None => {}
             },
-            Event::ReadConfirmed { token, .. } => {
+            Completion::ReadConfirmed { token, .. } => {
                 if let Some(Pending::Read(tx)) = self.pending.remove(&token) {
                     let _ = tx.send(QueryReply::Routes(self.state.routes().cloned()));
                 }
@@ -334,7 +334,7 @@
         }
     }
 
-    fn reject(&mut self, token: Token, reason: Rejection) {
+    fn reject(&mut self, token: RequestToken, reason: Rejection) {
         let leader = match reason {
             Rejection::NotLeader { leader } => leader.map(|(_, address)| address),
             _ => None,
--- a/crates/replica/src/process/run.rs
+++ b/crates/replica/src/process/run.rs
@@ -2,7 +2,7 @@
 
 use std::{cell::RefCell, future::Future, net::Ipv4Addr, rc::Rc, time::Instant};
 
-use consensus::{Consensus, Identity};
+use consensus::{Consensus, MemberIdentity};
 use net::ServerLimits;
 use prometheus::Registry;
 use rand::Rng;
@@ -41,7 +41,7 @@
         event = "control_started", member:% = member, address:% = cfg.member_address(),
         blank = u64::from(blank), bootstrap = u64::from(cfg.bootstrap); "control host started"
     );
-    let me = Identity {
+    let me = MemberIdentity {
         id: member,
         address: cfg.member_address().into(),
     };
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! [`open`] locks the folder, recovers what is in it and returns a [`Store`].
 //! [`start`] moves the store to a thread of its own, the only one that writes:
-//! it takes [`Write`](consensus::Write)s by message, puts all that are queued
+//! it takes [`DiskWrite`](consensus::DiskWrite)s by message, puts all that are queued
 //! into one record with one sync, and reports each by message.
 //!
 //! | File | Content |
@@ -20,14 +20,14 @@
 //! the last one.
 //!
 //! ```
-//! use consensus::{Write, WriteId};
+//! use consensus::{DiskWrite, WriteId};
 //! use types::Term;
 //!
 //! let dir = tempfile::tempdir().unwrap();
 //! let (mut store, found) = store::open(store::Dir::new(dir.path())?)?;
 //! assert_eq!(found.restored.term, Term(0));
 //! let vote = Some((Term(1), Some(found.member)));
-//! let write = Write { id: WriteId(1), vote, from: None, snapshot: None, entries: Vec::new() };
+//! let write = DiskWrite { id: WriteId(1), vote, from: None, snapshot: None, entries: Vec::new() };
 //! store.apply(&[write])?;
 //! drop(store);
 //!
--- a/crates/store/src/process/open.rs
+++ b/crates/store/src/process/open.rs
@@ -4,7 +4,7 @@
 use super::{Disk, Store};
 use crate::error::{Error, ErrorKind, Result};
 use crate::version::{Item, Reader, Replay};
-use consensus::{Restored, Snapshot};
+use consensus::{RestoredState, Snapshot};
 use types::{MemberId, Revision};
 
 /// What was in the data folder.
@@ -13,7 +13,7 @@
     /// The id of this member.
     pub member: MemberId,
     /// What [`consensus::Consensus`] starts from.
-    pub restored: Restored,
+    pub restored: RestoredState,
 }
 
 /// Opens a data folder and recovers what is in it. An empty one gets a member
--- a/crates/store/src/process/store.rs
+++ b/crates/store/src/process/store.rs
@@ -3,7 +3,7 @@
 use super::Disk;
 use crate::error::{Error, ErrorKind, Result};
 use crate::version::{Item, encode};
-use consensus::{Snapshot, Write};
+use consensus::{DiskWrite, Snapshot};
 use types::{MemberId, Revision, Term};
 
 pub(super) const LAYOUT: &str = "1";
@@ -99,7 +99,7 @@
     ///
     /// After a failure any part of the writes may be on disk. The next call
     /// first cuts the segment back to what was synced and begins a new one.
-    pub fn apply(&mut self, writes: &[Write]) -> Result<()> {
+    pub fn apply(&mut self, writes: &[DiskWrite]) -> Result<()> {
         let mut last = self.last;
         let mut items = Vec::new();
         if self.broken {
--- a/crates/store/src/process/thread.rs
+++ b/crates/store/src/process/thread.rs
@@ -2,7 +2,7 @@
 
 use super::{Disk, Store};
 use crate::error::Result;
-use consensus::{Write, WriteId};
+use consensus::{DiskWrite, WriteId};
 use std::thread::JoinHandle;
 use tokio::sync::mpsc;
 
@@ -25,7 +25,7 @@
 #[derive(Debug)]
 pub struct Handle {
     /// Takes writes, in order.
-    pub writes: mpsc::Sender<Write>,
+    pub writes: mpsc::Sender<DiskWrite>,
     /// Gives one report for each write, in order.
     pub reports: mpsc::Receiver<Report>,
     /// The thread; joining it waits until the folder is unlocked.
--- a/crates/store/src/version/replay.rs
+++ b/crates/store/src/version/replay.rs
@@ -1,7 +1,7 @@
 //! Replay of the records into what a member had on disk.
 
 use super::Item;
-use consensus::{LogEntry, Restored, Snapshot};
+use consensus::{LogEntry, RestoredState, Snapshot};
 use std::collections::BTreeMap;
 use types::{MemberId, Revision, Term};
 
@@ -31,7 +31,7 @@
     }
 
     /// What is on disk, unless the snapshot or an entry after it is missing.
-    pub fn finish(mut self, snapshot: Option<Snapshot>) -> Option<Restored> {
+    pub fn finish(mut self, snapshot: Option<Snapshot>) -> Option<RestoredState> {
         let found = snapshot.as_ref().map(|snapshot| snapshot.position.index);
         if found < self.snapshot {
             return None;
@@ -42,7 +42,7 @@
             .keys()
             .zip(base.0 + 1..)
             .all(|(index, expected)| index.0 == expected);
-        consecutive.then(|| Restored {
+        consecutive.then(|| RestoredState {
             term: self.term,
             vote: self.vote,
             snapshot,
--- a/crates/store/tests/store.rs
+++ b/crates/store/tests/store.rs
@@ -1,7 +1,7 @@
 //! The data folder keeps what was synced, through faults and restarts.
 
 use arbtest::arbtest;
-use consensus::{EntryPayload, Group, LogEntry, LogPosition, Snapshot, Write, WriteId};
+use consensus::{DiskWrite, EntryPayload, Group, LogEntry, LogPosition, Snapshot, WriteId};
 use std::collections::BTreeMap;
 use std::io;
 use std::sync::{Arc, Mutex};
@@ -166,8 +166,8 @@
     }
 }
 
-fn append(from: u64, count: u64, term: u64) -> Write {
-    Write {
+fn append(from: u64, count: u64, term: u64) -> DiskWrite {
+    DiskWrite {
         id: WriteId(from),
         vote: Some((Term(term), None)),
         from: Some(Revision(from)),
@@ -178,8 +178,8 @@
     }
 }
 
-fn snapshot(index: u64, term: u64) -> Write {
-    Write {
+fn snapshot(index: u64, term: u64) -> DiskWrite {
+    DiskWrite {
         vote: None,
         from: None,
         snapshot: Some(Snapshot {
@@ -350,14 +350,14 @@
     let disk = Memory::default();
     let (mut store, _) = open(disk.clone()).unwrap();
     store.apply(&[append(1, 12, 1)]).unwrap();
-    let install = Write {
+    let install = DiskWrite {
         from: Some(Revision(11)),
         ..snapshot(10, 4)
     };
     store.apply(std::slice::from_ref(&install)).unwrap();
     assert_eq!(indexes(&reopen(&disk).1), []);
     let entries = vec![entry(11, 4)];
-    store.apply(&[Write { entries, ..install }]).unwrap();
+    store.apply(&[DiskWrite { entries, ..install }]).unwrap();
     let found = reopen(&disk).1;
     assert_eq!(indexes(&found), [11]);
     assert_eq!(found.restored.entries[0].term, Term(4));
