--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -10,9 +10,9 @@
 //! 2. [`Output::messages`] may be sent at once. Messages that speak of a term,
 //!    a vote or an entry are held inside until the write that holds it is
 //!    reported as synced.
-//! 3. [`Output::installed`], then [`Output::committed`], go to the state
+//! 3. [`Output::installed_snapshot`], then [`Output::committed_entries`], go to the state
 //!    machine, in this order.
-//! 4. [`Output::events`] answer proposals, group changes and reads. A read is
+//! 4. [`Output::completions`] answer proposals, group changes and reads. A read is
 //!    answered from the state after step 3.
 //!
 //! [`Consensus::next_deadline`] tells when [`Input::Tick`] is due.
--- a/crates/consensus/src/process/disk.rs
+++ b/crates/consensus/src/process/disk.rs
@@ -85,7 +85,7 @@
             return;
         }
         self.disk.failed = true;
-        self.disk.retry_at = self.now + self.settings.election_min;
+        self.disk.retry_at = self.now + self.settings.election_timeout_min;
         let durable = self.disk.vote_durable;
         self.disk.held.retain(|(version, _)| *version <= durable);
         self.log.write_failed();
@@ -110,8 +110,8 @@
         let log = self.log.begin_write();
         self.out.write = Some(DiskWrite {
             id,
-            vote: vote_needed.then_some((self.term, self.vote)),
-            from: log.from,
+            term_and_vote: vote_needed.then_some((self.term, self.vote)),
+            truncate_from: log.truncate_from,
             snapshot: log.snapshot,
             entries: log.entries,
         });
--- a/crates/consensus/src/process/election.rs
+++ b/crates/consensus/src/process/election.rs
@@ -12,7 +12,10 @@
     /// Draws the next election deadline. The jitter keeps members from asking
     /// for votes at the same time again and again.
     pub(super) fn arm_election(&mut self) {
-        let (min, max) = (self.settings.election_min, self.settings.election_max);
+        let (min, max) = (
+            self.settings.election_timeout_min,
+            self.settings.election_timeout_max,
+        );
         let timeout = self.rng.random_range(min..=max.max(min));
         self.deadline = self.now + timeout;
     }
@@ -82,7 +85,7 @@
             Part::Leader(_) => true,
             Part::Follower(following) => following
                 .heard
-                .is_some_and(|heard| self.now < heard + self.settings.election_min),
+                .is_some_and(|heard| self.now < heard + self.settings.election_timeout_min),
             Part::PreCandidate(_) | Part::Candidate(_) => false,
         }
     }
--- a/crates/consensus/src/process/io.rs
+++ b/crates/consensus/src/process/io.rs
@@ -28,11 +28,11 @@
     /// A message arrived.
     Message(Message),
     /// The write is synced.
-    Written(WriteId),
+    WriteSynced(WriteId),
     /// The write failed as a whole or in part: any part of it may be on disk.
     WriteFailed(WriteId),
     /// Forms the first group. Every member of it must get the same group.
-    Form(Group),
+    Bootstrap(Group),
     /// Proposes a command.
     Propose {
         /// Names the proposal in its [`Completion`].
@@ -70,11 +70,11 @@
     /// Messages to send now. Any of them may be lost.
     pub messages: Vec<Envelope>,
     /// A state to load in place of the present one.
-    pub installed: Option<Snapshot>,
+    pub installed_snapshot: Option<Snapshot>,
     /// Committed entries in log order, each handed out once per process.
-    pub committed: Vec<LogEntry>,
+    pub committed_entries: Vec<LogEntry>,
     /// Answers.
-    pub events: Vec<Completion>,
+    pub completions: Vec<Completion>,
 }
 
 /// Names a write towards the disk.
@@ -95,9 +95,9 @@
     /// Names the write in its result.
     pub id: WriteId,
     /// Term and vote, if they changed.
-    pub vote: Option<(Term, Option<MemberId>)>,
+    pub term_and_vote: Option<(Term, Option<MemberId>)>,
     /// Entries from this index on are dropped before `entries` are appended.
-    pub from: Option<Revision>,
+    pub truncate_from: Option<Revision>,
     /// A snapshot that replaces the log up to its index.
     pub snapshot: Option<Snapshot>,
     /// Consecutive entries; the first has index `from`.
--- a/crates/consensus/src/process/leader.rs
+++ b/crates/consensus/src/process/leader.rs
@@ -82,7 +82,7 @@
     }
 
     fn is_fresh(&self, peer: &Peer) -> bool {
-        self.now < peer.heard + self.settings.election_max
+        self.now < peer.heard + self.settings.election_timeout_max
     }
 
     /// The members that hold all that is committed and were heard lately.
@@ -123,7 +123,9 @@
     /// Answers what waits for a leadership that has ended.
     pub(super) fn give_up(&mut self, mut leader: Leader) {
         for token in leader.proposals.into_values() {
-            self.out.events.push(Completion::Lost { token });
+            self.out
+                .completions
+                .push(Completion::OutcomeUnknown { token });
         }
         // A change that still waits was never appended.
         let change = leader.change.map(|(token, ..)| token);
@@ -204,7 +206,9 @@
             let later = leader.proposals.split_off(&crate::version::next(index));
             let accepted = std::mem::replace(&mut leader.proposals, later);
             for (index, token) in accepted {
-                self.out.events.push(Completion::Accepted { token, index });
+                self.out
+                    .completions
+                    .push(Completion::Accepted { token, index });
             }
         }
         if had_change && self.log.group_index() <= index {
@@ -247,7 +251,7 @@
         }
         for token in leader.reads.take_confirmed(leader.confirmed) {
             self.out
-                .events
+                .completions
                 .push(Completion::ReadConfirmed { token, index });
         }
         let confirmed = leader.confirmed;
--- a/crates/consensus/src/process/mod.rs
+++ b/crates/consensus/src/process/mod.rs
@@ -107,9 +107,9 @@
         match input {
             Input::Tick => {}
             Input::Message(message) => self.receive(message),
-            Input::Written(id) => self.written(id),
+            Input::WriteSynced(id) => self.written(id),
             Input::WriteFailed(id) => self.write_failed(id),
-            Input::Form(group) => self.form(group),
+            Input::Bootstrap(group) => self.form(group),
             Input::Propose { token, command } => self.propose(token, command),
             Input::ChangeGroup { token, change } => self.change_group(token, change),
             Input::ConfirmRead { token } => self.confirm_read(token),
@@ -149,9 +149,9 @@
             role,
             term: self.term,
             leader: self.leader(),
-            commit: self.commit,
-            last: self.log.last().index,
-            snapshot: self.log.base().index,
+            commit_index: self.commit,
+            last_index: self.log.last().index,
+            snapshot_index: self.log.base().index,
             group: self.log.group().cloned(),
             change_pending: self.log.group_index() > self.commit,
             caught_up,
@@ -236,14 +236,14 @@
         let through = self.commit.min(self.log.durable());
         let base = self.log.base().index;
         if self.applied < base && base <= self.log.durable() {
-            self.out.installed = self.log.snapshot().cloned();
+            self.out.installed_snapshot = self.log.snapshot().cloned();
             self.applied = base;
         }
         while self.applied < through
             && let Some(entry) = self.log.entry(crate::version::next(self.applied))
         {
             self.applied = entry.index;
-            self.out.committed.push(entry.clone());
+            self.out.committed_entries.push(entry.clone());
         }
     }
 
@@ -259,6 +259,8 @@
     }
 
     fn reject(&mut self, token: RequestToken, reason: Rejection) {
-        self.out.events.push(Completion::Rejected { token, reason });
+        self.out
+            .completions
+            .push(Completion::Rejected { token, reason });
     }
 }
--- a/crates/consensus/src/process/replication.rs
+++ b/crates/consensus/src/process/replication.rs
@@ -47,7 +47,7 @@
 
     /// Sends a heartbeat to every peer.
     pub(super) fn begin_round(&mut self) {
-        self.deadline = self.now + self.settings.heartbeat;
+        self.deadline = self.now + self.settings.heartbeat_interval;
         if let Part::Leader(leader) = &mut self.part {
             leader.round += 1;
             self.send_to_peers(true);
@@ -83,8 +83,10 @@
             let due = peer.writable && peer.installing.is_none_or(|(_, again)| now >= again);
             match self.log.snapshot().filter(|_| due) {
                 Some(snapshot) => {
-                    peer.installing =
-                        Some((snapshot.position.index, now + self.settings.election_max));
+                    peer.installing = Some((
+                        snapshot.position.index,
+                        now + self.settings.election_timeout_max,
+                    ));
                     let snapshot = Snapshot::clone(snapshot);
                     MessageBody::Install { snapshot, round }
                 }
@@ -98,11 +100,11 @@
             }
         } else {
             let ahead = peer.next.0 - 1 - peer.matched.0;
-            let open = peer.answered && peer.writable && ahead < self.settings.window;
+            let open = peer.answered && peer.writable && ahead < self.settings.max_inflight_entries;
             let through = self.log.durable();
             let entries = if open {
                 self.log
-                    .slice(peer.next, through, self.settings.batch_bytes)
+                    .slice(peer.next, through, self.settings.max_append_bytes)
             } else {
                 Vec::new()
             };
--- a/crates/consensus/src/process/settings.rs
+++ b/crates/consensus/src/process/settings.rs
@@ -18,28 +18,28 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Settings {
     /// Time between two rounds of heartbeats.
-    pub heartbeat: Duration,
+    pub heartbeat_interval: Duration,
     /// Shortest time without a leader before an election; at least twice
-    /// `heartbeat`, or one lost message costs an election.
-    pub election_min: Duration,
-    /// Longest time without a leader before an election; above `election_min`.
+    /// `heartbeat_interval`, or one lost message costs an election.
+    pub election_timeout_min: Duration,
+    /// Longest time without a leader before an election; above `election_timeout_min`.
     /// A leader that hears no majority for this long steps down.
-    pub election_max: Duration,
+    pub election_timeout_max: Duration,
     /// Bytes of entries after which a message is full; a single larger entry
     /// is still sent.
-    pub batch_bytes: usize,
+    pub max_append_bytes: usize,
     /// Entries sent to a member ahead of its acknowledgement.
-    pub window: u64,
+    pub max_inflight_entries: u64,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Settings {
-            heartbeat: Duration::from_millis(100),
-            election_min: Duration::from_millis(400),
-            election_max: Duration::from_millis(800),
-            batch_bytes: 64 * 1024,
-            window: 1024,
+            heartbeat_interval: Duration::from_millis(100),
+            election_timeout_min: Duration::from_millis(400),
+            election_timeout_max: Duration::from_millis(800),
+            max_append_bytes: 64 * 1024,
+            max_inflight_entries: 1024,
         }
     }
 }
--- a/crates/consensus/src/process/status.rs
+++ b/crates/consensus/src/process/status.rs
@@ -30,11 +30,11 @@
     /// The leader of the term and its address, if known.
     pub leader: Option<(MemberId, SocketAddr)>,
     /// The last index known to be committed.
-    pub commit: Revision,
+    pub commit_index: Revision,
     /// The last index of the log.
-    pub last: Revision,
+    pub last_index: Revision,
     /// The last index covered by the snapshot.
-    pub snapshot: Revision,
+    pub snapshot_index: Revision,
     /// The group in force; `None` in a blank member.
     pub group: Option<Group>,
     /// Whether the last group change is still uncommitted.
--- a/crates/consensus/src/request/event.rs
+++ b/crates/consensus/src/request/event.rs
@@ -18,10 +18,10 @@
 /// one, unless the process ends first.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Completion {
-    /// The entry is committed at `index`; it is in [`committed`] of this output
+    /// The entry is committed at `index`; it is in [`committed_entries`] of this output
     /// or of an earlier one.
     ///
-    /// [`committed`]: crate::Output::committed
+    /// [`committed_entries`]: crate::Output::committed_entries
     Accepted {
         /// The proposal or group change.
         token: RequestToken,
@@ -36,7 +36,7 @@
         reason: Rejection,
     },
     /// Leadership ended before the commit: the outcome is unknown.
-    Lost {
+    OutcomeUnknown {
         /// The proposal or group change.
         token: RequestToken,
     },
--- a/crates/consensus/src/version/group.rs
+++ b/crates/consensus/src/version/group.rs
@@ -17,7 +17,7 @@
 impl Group {
     /// A group of these voters and no learners.
     #[must_use]
-    pub fn of(voters: impl IntoIterator<Item = (MemberId, SocketAddr)>) -> Self {
+    pub fn from_voters(voters: impl IntoIterator<Item = (MemberId, SocketAddr)>) -> Self {
         Group {
             voters: voters.into_iter().collect(),
             learners: BTreeMap::new(),
--- a/crates/consensus/src/version/log.rs
+++ b/crates/consensus/src/version/log.rs
@@ -36,7 +36,7 @@
 /// The part of a write that concerns the log.
 #[derive(Debug)]
 pub(crate) struct LogWrite {
-    pub from: Option<Revision>,
+    pub truncate_from: Option<Revision>,
     pub snapshot: Option<Snapshot>,
     pub entries: Vec<LogEntry>,
 }
@@ -234,7 +234,7 @@
         self.truncated = false;
         self.base_unwritten = false;
         LogWrite {
-            from,
+            truncate_from: from,
             snapshot,
             entries,
         }
--- a/crates/consensus/src/version/snapshot.rs
+++ b/crates/consensus/src/version/snapshot.rs
@@ -7,7 +7,7 @@
 /// The state of the state machine after a prefix of the log.
 ///
 /// The snapshot at index 0 holds the first group and an empty state: it is
-/// what [`Input::Form`](crate::Input::Form) writes, and the state machine
+/// what [`Input::Bootstrap`](crate::Input::Bootstrap) writes, and the state machine
 /// starts empty from it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
--- a/crates/consensus/tests/harness/mod.rs
+++ b/crates/consensus/tests/harness/mod.rs
@@ -58,9 +58,9 @@
 impl Cluster {
     pub fn new(count: u64, seed: u64) -> Self {
         let mut cluster = Cluster::blank(count, seed);
-        let group = Group::of((1..=count).map(|id| (MemberId(id), address(MemberId(id)))));
+        let group = Group::from_voters((1..=count).map(|id| (MemberId(id), address(MemberId(id)))));
         for id in 1..=count {
-            cluster.input(MemberId(id), Input::Form(group.clone()));
+            cluster.input(MemberId(id), Input::Bootstrap(group.clone()));
         }
         cluster
     }
@@ -181,16 +181,16 @@
             assert!(node.pending.is_none(), "{id} has two writes outstanding");
             node.pending = Some(write);
         }
-        if let Some(snapshot) = out.installed {
+        if let Some(snapshot) = out.installed_snapshot {
             node.applied = snapshot.position.index;
         }
-        for entry in out.committed {
+        for entry in out.committed_entries {
             assert_eq!(entry.index.0, node.applied.0 + 1, "{id} skips an entry");
             node.applied = entry.index;
             let first = self.committed.entry(entry.index).or_insert(entry.clone());
             assert_eq!(*first, entry, "a committed entry changed at {id}");
         }
-        for event in out.events {
+        for event in out.completions {
             if let Completion::Accepted { token, index } = event {
                 self.accepted.insert(token, index);
                 if let EntryPayload::Command(command) = &self.committed[&index].payload {
@@ -274,7 +274,7 @@
             return self.input(id, Input::WriteFailed(write.id));
         }
         write_to(&mut node.disk, &write);
-        self.input(id, Input::Written(write.id));
+        self.input(id, Input::WriteSynced(write.id));
     }
 
     fn deliver(&mut self, envelope: Envelope) {
@@ -426,20 +426,28 @@
         let status = self.status(leader);
         for (id, _) in status.group.unwrap().members().collect::<Vec<_>>() {
             if self.nodes.contains_key(&id) {
-                assert_eq!(self.status(id).commit, status.commit, "{id} lags");
+                assert_eq!(
+                    self.status(id).commit_index,
+                    status.commit_index,
+                    "{id} lags"
+                );
             }
         }
         // Nothing that was accepted vanished.
-        assert!(self.accepted.values().all(|index| *index <= status.commit));
+        assert!(
+            self.accepted
+                .values()
+                .all(|index| *index <= status.commit_index)
+        );
     }
 }
 
 pub fn write_to(disk: &mut RestoredState, write: &DiskWrite) {
-    if let Some((term, vote)) = write.vote {
+    if let Some((term, vote)) = write.term_and_vote {
         assert!(term >= disk.term, "the term on disk goes back");
         (disk.term, disk.vote) = (term, vote);
     }
-    if let Some(from) = write.from {
+    if let Some(from) = write.truncate_from {
         disk.entries.retain(|entry| entry.index < from);
     }
     if let Some(snapshot) = &write.snapshot {
--- a/crates/consensus/tests/rules.rs
+++ b/crates/consensus/tests/rules.rs
@@ -411,11 +411,11 @@
     cluster.input(leader, message(b, leader, Term(2), answer(1, 1)));
     cluster.input(leader, message(b, leader, Term(2), answer(2, 1)));
     cluster.sync(leader);
-    assert_eq!(cluster.status(leader).commit, Revision(0));
+    assert_eq!(cluster.status(leader).commit_index, Revision(0));
     // What an earlier leader committed is not known here yet.
     assert!(!cluster.confirmed(read));
     cluster.input(leader, message(b, leader, Term(2), answer(2, 2)));
-    assert_eq!(cluster.status(leader).commit, Revision(2));
+    assert_eq!(cluster.status(leader).commit_index, Revision(2));
     assert!(cluster.confirmed(read));
 }
 
--- a/crates/control/src/process/group.rs
+++ b/crates/control/src/process/group.rs
@@ -167,7 +167,7 @@
     fn handle(&mut self, command: GroupCommand) -> Result<()> {
         match command {
             GroupCommand::Message(message) => self.step(Input::Message(message)),
-            GroupCommand::Form(group) => self.step(Input::Form(group)),
+            GroupCommand::Form(group) => self.step(Input::Bootstrap(group)),
             GroupCommand::Hello(tx) => {
                 let status = self.consensus.status();
                 // Whoever asked may be gone.
@@ -202,7 +202,7 @@
         self.metrics.syncs.set(gauge(report.syncs));
         self.metrics.disk_failed.set(i64::from(!report.synced));
         self.step(if report.synced {
-            Input::Written(report.id)
+            Input::WriteSynced(report.id)
         } else {
             Input::WriteFailed(report.id)
         })
@@ -257,7 +257,7 @@
         let status = self.consensus.status();
         self.note_leadership(&status);
         self.carry_out(output)?;
-        self.compact(status.commit)
+        self.compact(status.commit_index)
     }
 
     fn carry_out(&mut self, output: Output) -> Result<()> {
@@ -271,14 +271,14 @@
         for envelope in output.messages {
             self.peers.send(envelope);
         }
-        if let Some(snapshot) = &output.installed {
+        if let Some(snapshot) = &output.installed_snapshot {
             self.load(snapshot)?;
         }
-        for entry in output.committed {
+        for entry in output.committed_entries {
             self.apply(&entry)?;
         }
         self.inform_registry();
-        for event in output.events {
+        for event in output.completions {
             self.resolve(&event);
         }
         Ok(())
@@ -288,7 +288,7 @@
     fn note_leadership(&mut self, status: &Status) {
         self.metrics.leader.set(i64::from(status.is_leader()));
         self.metrics.term.set(gauge(status.term.0));
-        self.metrics.commit.set(gauge(status.commit.0));
+        self.metrics.commit.set(gauge(status.commit_index.0));
         let term = self.leadership.as_ref().map(|l| l.term);
         if status.is_leader() && term != Some(status.term) {
             log::info!(event = "leader", term:% = status.term; "leads the control group");
@@ -376,7 +376,7 @@
                     pending.reject(reason);
                 }
             }
-            Completion::Lost { token } => {
+            Completion::OutcomeUnknown { token } => {
                 if let Some(pending) = self.pending.remove(&token) {
                     pending.lose();
                 }
--- a/crates/control/src/process/run.rs
+++ b/crates/control/src/process/run.rs
@@ -115,7 +115,9 @@
         if let Some(voters) = blank_hosts(&http, me, &hosts).await {
             log::info!(event = "group_formed", voters = voters.len(); "all hosts are blank; forming the first group");
             // The task ends only with the process.
-            let _ = tx.send(GroupCommand::Form(Group::of(voters))).await;
+            let _ = tx
+                .send(GroupCommand::Form(Group::from_voters(voters)))
+                .await;
             return;
         }
         sleep(FORM_INTERVAL).await;
--- a/crates/replica/src/process/group.rs
+++ b/crates/replica/src/process/group.rs
@@ -130,7 +130,7 @@
             let deadline = self.next_deadline();
             tokio::select! {
                 report = self.disk.reports.recv() => match report {
-                    Some(report) if report.synced => self.step(Input::Written(report.id))?,
+                    Some(report) if report.synced => self.step(Input::WriteSynced(report.id))?,
                     Some(report) => self.step(Input::WriteFailed(report.id))?,
                     None => return Err(Error::DiskEnded),
                 },
@@ -160,7 +160,7 @@
                 let token = self.expect(Pending::Read(tx));
                 self.step(Input::ConfirmRead { token })
             }
-            GroupCommand::Form(group) => self.step(Input::Form(group)),
+            GroupCommand::Form(group) => self.step(Input::Bootstrap(group)),
             GroupCommand::Heard(heard) => {
                 self.heard = heard;
                 Ok(())
@@ -208,13 +208,13 @@
             // A full queue loses the message; the consensus repeats it.
             let _ = self.outgoing.try_send(envelope);
         }
-        if let Some(snapshot) = &output.installed {
+        if let Some(snapshot) = &output.installed_snapshot {
             self.load(snapshot)?;
         }
-        for entry in output.committed {
+        for entry in output.committed_entries {
             self.apply(&entry)?;
         }
-        for event in output.events {
+        for event in output.completions {
             self.resolve(&event);
         }
         Ok(())
@@ -224,7 +224,7 @@
         let status = self.consensus.status();
         self.metrics.leader.set(i64::from(status.is_leader()));
         self.metrics.term.set(gauge(status.term.0));
-        self.metrics.commit.set(gauge(status.commit.0));
+        self.metrics.commit.set(gauge(status.commit_index.0));
         let voters = status.group.as_ref().map_or(0, |group| group.voters.len());
         self.metrics.voters.set(gauge(voters as u64));
         let members = status.group.iter().flat_map(Group::members);
@@ -245,7 +245,7 @@
         }
         log::info!(
             event = "group", leads = u64::from(status.is_leader()), term:% = status.term,
-            voters = voters, commit:% = status.commit;
+            voters = voters, commit:% = status.commit_index;
             "leadership or members of the control group changed"
         );
         if !status.is_leader() {
@@ -319,7 +319,7 @@
                 }
             }
             Completion::Rejected { token, reason } => self.reject(token, reason),
-            Completion::Lost { token } => match self.pending.remove(&token) {
+            Completion::OutcomeUnknown { token } => match self.pending.remove(&token) {
                 Some(Pending::Change(tx)) => drop(tx.send(ChangeReply::Unknown)),
                 Some(Pending::Read(tx)) => {
                     drop(tx.send(QueryReply::NotLeader { leader: None }));
--- a/crates/replica/src/process/nodes/form.rs
+++ b/crates/replica/src/process/nodes/form.rs
@@ -24,7 +24,7 @@
         }
         log::info!(event = "forming", voters = members.len(); "joining the first group");
         let port = self.cfg.member_port;
-        let group = Group::of(
+        let group = Group::from_voters(
             members
                 .iter()
                 .map(|(id, ip)| (*id, SocketAddrV4::new(*ip, port).into())),
--- a/crates/replica/tests/steward.rs
+++ b/crates/replica/tests/steward.rs
@@ -40,7 +40,7 @@
 
 fn check(name: &str, case: &Case) {
     let now = Instant::now() + Duration::from_secs(100);
-    let mut group = Group::of(case.voters.iter().map(|n| (MemberId(*n), address(*n))));
+    let mut group = Group::from_voters(case.voters.iter().map(|n| (MemberId(*n), address(*n))));
     group.learners = case
         .learners
         .iter()
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -26,8 +26,14 @@
 //! let dir = tempfile::tempdir().unwrap();
 //! let (mut store, found) = store::open(store::Dir::new(dir.path())?)?;
 //! assert_eq!(found.restored.term, Term(0));
-//! let vote = Some((Term(1), Some(found.member)));
-//! let write = DiskWrite { id: WriteId(1), vote, from: None, snapshot: None, entries: Vec::new() };
+//! let term_and_vote = Some((Term(1), Some(found.member)));
+//! let write = DiskWrite {
+//!     id: WriteId(1),
+//!     term_and_vote,
+//!     truncate_from: None,
+//!     snapshot: None,
+//!     entries: Vec::new(),
+//! };
 //! store.apply(&[write])?;
 //! drop(store);
 //!
--- a/crates/store/src/process/store.rs
+++ b/crates/store/src/process/store.rs
@@ -106,11 +106,11 @@
             self.repair()?;
         }
         for write in writes {
-            if let Some((term, vote)) = write.vote {
+            if let Some((term, vote)) = write.term_and_vote {
                 self.vote = (term, vote);
                 items.push(Item::Vote(term, vote));
             }
-            if let Some(from) = write.from {
+            if let Some(from) = write.truncate_from {
                 if from <= last {
                     items.push(Item::Truncate(from));
                 }
--- a/crates/store/tests/store.rs
+++ b/crates/store/tests/store.rs
@@ -169,8 +169,8 @@
 fn append(from: u64, count: u64, term: u64) -> DiskWrite {
     DiskWrite {
         id: WriteId(from),
-        vote: Some((Term(term), None)),
-        from: Some(Revision(from)),
+        term_and_vote: Some((Term(term), None)),
+        truncate_from: Some(Revision(from)),
         snapshot: None,
         entries: (from..from + count)
             .map(|index| entry(index, term))
@@ -180,8 +180,8 @@
 
 fn snapshot(index: u64, term: u64) -> DiskWrite {
     DiskWrite {
-        vote: None,
-        from: None,
+        term_and_vote: None,
+        truncate_from: None,
         snapshot: Some(Snapshot {
             position: LogPosition {
                 term: Term(term),
@@ -323,10 +323,10 @@
     let (mut store, _) = open(disk.clone()).unwrap();
     let mut large = append(1, 2, 3);
     large.entries[0].payload = EntryPayload::Command(vec![1; 5 << 20].into());
-    large.vote = Some((Term(3), Some(MemberId(8))));
+    large.term_and_vote = Some((Term(3), Some(MemberId(8))));
     store.apply(&[large]).unwrap();
     let mut plain = append(3, 1, 3);
-    plain.vote = None;
+    plain.term_and_vote = None;
     store.apply(&[plain]).unwrap();
     store.apply(&[snapshot(2, 3)]).unwrap();
     let names: Vec<String> = disk.0.lock().unwrap().files.keys().cloned().collect();
@@ -351,7 +351,7 @@
     let (mut store, _) = open(disk.clone()).unwrap();
     store.apply(&[append(1, 12, 1)]).unwrap();
     let install = DiskWrite {
-        from: Some(Revision(11)),
+        truncate_from: Some(Revision(11)),
         ..snapshot(10, 4)
     };
     store.apply(std::slice::from_ref(&install)).unwrap();
