--- a/crates/consensus/src/process/election.rs
+++ b/crates/consensus/src/process/election.rs
@@ -57,7 +57,12 @@
         };
         self.part = Part::PreCandidate(BTreeSet::from([self.me.id]));
         let last = self.log.durable_position();
-        self.ask_voters(&group, &MessageBody::PreVote { last });
+        self.ask_voters(
+            &group,
+            &MessageBody::PreVote {
+                last_log_position: last,
+            },
+        );
         self.count_pre_votes();
     }
 
@@ -76,7 +81,13 @@
         last: LogPosition,
     ) {
         let granted = asked >= self.term && last >= self.log.last() && !self.hears_leader();
-        self.send(sender, MessageBody::PreVoteReply { asked, granted });
+        self.send(
+            sender,
+            MessageBody::PreVoteReply {
+                request_term: asked,
+                granted,
+            },
+        );
     }
 
     /// Whether a leader was heard within the shortest election timeout.
@@ -118,7 +129,12 @@
         self.part = Part::Candidate(BTreeSet::new());
         self.arm_election();
         let last = self.log.durable_position();
-        self.ask_voters(group, &MessageBody::Vote { last });
+        self.ask_voters(
+            group,
+            &MessageBody::Vote {
+                last_log_position: last,
+            },
+        );
     }
 
     pub(super) fn answer_vote(
--- a/crates/consensus/src/process/follower.rs
+++ b/crates/consensus/src/process/follower.rs
@@ -165,7 +165,7 @@
             leader,
             MessageBody::AppendReply {
                 round,
-                writable,
+                disk_writable: writable,
                 outcome,
             },
         );
--- a/crates/consensus/src/process/message.rs
+++ b/crates/consensus/src/process/message.rs
@@ -37,19 +37,19 @@
     /// Changes nothing at the receiver.
     PreVote {
         /// The end of the sender's log on disk.
-        last: LogPosition,
+        last_log_position: LogPosition,
     },
     /// Answers [`MessageBody::PreVote`].
     PreVoteReply {
         /// The sender's term when it asked.
-        asked: Term,
+        request_term: Term,
         /// Whether a vote would be granted.
         granted: bool,
     },
     /// Asks for a vote in the message's term.
     Vote {
         /// The end of the sender's log on disk.
-        last: LogPosition,
+        last_log_position: LogPosition,
     },
     /// Answers [`MessageBody::Vote`].
     VoteReply {
@@ -59,27 +59,28 @@
     /// Entries, or a heartbeat if empty.
     Append {
         /// The place before the first entry.
-        prev: LogPosition,
+        prev_log_position: LogPosition,
         /// Consecutive entries, on the leader's disk.
         entries: Vec<LogEntry>,
         /// The leader's commit index.
-        commit: Revision,
+        leader_commit: Revision,
         /// The latest round of heartbeats that the leader has begun.
         round: u64,
     },
     /// A snapshot for a member that lacks compacted entries.
-    Install {
+    #[serde(rename = "Install")]
+    InstallSnapshot {
         /// The snapshot.
         snapshot: Snapshot,
         /// The latest round of heartbeats that the leader has begun.
         round: u64,
     },
-    /// Answers [`MessageBody::Append`] and [`MessageBody::Install`].
+    /// Answers [`MessageBody::Append`] and [`MessageBody::InstallSnapshot`].
     AppendReply {
         /// The latest round that the sender received in this term.
         round: u64,
         /// Whether the sender's disk accepts writes.
-        writable: bool,
+        disk_writable: bool,
         /// What the sender holds.
         outcome: AppendOutcome,
     },
--- a/crates/consensus/src/process/mod.rs
+++ b/crates/consensus/src/process/mod.rs
@@ -180,32 +180,39 @@
         let sender = (message.from, message.from_address);
         let current = message.term == self.term;
         match message.body {
-            MessageBody::PreVote { last } => self.answer_pre_vote(sender, message.term, last),
-            MessageBody::PreVoteReply { asked, granted } => {
-                self.take_pre_vote(message.from, asked, granted);
+            MessageBody::PreVote { last_log_position } => {
+                self.answer_pre_vote(sender, message.term, last_log_position);
+            }
+            MessageBody::PreVoteReply {
+                request_term,
+                granted,
+            } => {
+                self.take_pre_vote(message.from, request_term, granted);
+            }
+            MessageBody::Vote { last_log_position } => {
+                self.answer_vote(sender, current, last_log_position);
             }
-            MessageBody::Vote { last } => self.answer_vote(sender, current, last),
             MessageBody::VoteReply { granted } if current => self.take_vote(message.from, granted),
             MessageBody::Append {
-                prev,
+                prev_log_position,
                 entries,
-                commit,
+                leader_commit: commit,
                 round,
             } => {
                 if self.follow(sender, current, round) {
-                    self.take_entries(prev, entries, commit);
+                    self.take_entries(prev_log_position, entries, commit);
                 }
             }
-            MessageBody::Install { snapshot, round } => {
+            MessageBody::InstallSnapshot { snapshot, round } => {
                 if self.follow(sender, current, round) {
                     self.take_snapshot(snapshot);
                 }
             }
             MessageBody::AppendReply {
                 round,
-                writable,
+                disk_writable,
                 outcome,
-            } if current => self.take_reply(message.from, round, writable, outcome),
+            } if current => self.take_reply(message.from, round, disk_writable, outcome),
             MessageBody::VoteReply { .. } | MessageBody::AppendReply { .. } => {}
         }
     }
--- a/crates/consensus/src/process/replication.rs
+++ b/crates/consensus/src/process/replication.rs
@@ -88,12 +88,12 @@
                         now + self.settings.election_timeout_max,
                     ));
                     let snapshot = Snapshot::clone(snapshot);
-                    MessageBody::Install { snapshot, round }
+                    MessageBody::InstallSnapshot { snapshot, round }
                 }
                 None if heartbeat => MessageBody::Append {
-                    prev: self.log.base(),
+                    prev_log_position: self.log.base(),
                     entries: Vec::new(),
-                    commit: self.commit,
+                    leader_commit: self.commit,
                     round,
                 },
                 None => return,
@@ -116,9 +116,9 @@
             };
             peer.next = Revision(peer.next.0 + entries.len() as u64);
             MessageBody::Append {
-                prev,
+                prev_log_position: prev,
                 entries,
-                commit: self.commit,
+                leader_commit: self.commit,
                 round,
             }
         };
--- a/crates/consensus/tests/rules.rs
+++ b/crates/consensus/tests/rules.rs
@@ -39,9 +39,9 @@
 /// A heartbeat if empty; commits nothing.
 fn append(prev: LogPosition, entries: Vec<LogEntry>) -> MessageBody {
     MessageBody::Append {
-        prev,
+        prev_log_position: prev,
         entries,
-        commit: Revision(0),
+        leader_commit: Revision(0),
         round: 1,
     }
 }
@@ -50,7 +50,7 @@
     let outcome = AppendOutcome::Matched(Revision(matched));
     MessageBody::AppendReply {
         round,
-        writable: true,
+        disk_writable: true,
         outcome,
     }
 }
@@ -61,7 +61,7 @@
     cluster.now += std::time::Duration::from_secs(2);
     cluster.input(IDS[0], Input::Tick);
     let granted = MessageBody::PreVoteReply {
-        asked: Term(term),
+        request_term: Term(term),
         granted: true,
     };
     cluster.input(IDS[0], message(IDS[2], IDS[0], Term(term), granted));
@@ -316,7 +316,14 @@
     let last = LogPosition::default();
     cluster.input(
         voter,
-        message(candidate, voter, term, MessageBody::Vote { last }),
+        message(
+            candidate,
+            voter,
+            term,
+            MessageBody::Vote {
+                last_log_position: last,
+            },
+        ),
     );
     assert!(cluster.queue.is_empty(), "the vote is not synced");
     cluster.sync(voter);
@@ -342,7 +349,14 @@
     };
     cluster.input(
         voter,
-        message(rival, voter, term, MessageBody::Vote { last }),
+        message(
+            rival,
+            voter,
+            term,
+            MessageBody::Vote {
+                last_log_position: last,
+            },
+        ),
     );
     let refused = MessageBody::VoteReply { granted: false };
     assert_eq!(cluster.queue[0].message.body, refused);
@@ -350,7 +364,14 @@
     let last = LogPosition::default();
     cluster.input(
         voter,
-        message(rival, voter, Term(2), MessageBody::Vote { last }),
+        message(
+            rival,
+            voter,
+            Term(2),
+            MessageBody::Vote {
+                last_log_position: last,
+            },
+        ),
     );
     cluster.sync(voter);
     assert_eq!(cluster.queue[1].message.body, refused);
@@ -457,7 +478,7 @@
     assert!(cluster.status(blank).is_blank());
     assert_eq!(cluster.status(blank).term, Term(0));
     let body = MessageBody::Vote {
-        last: LogPosition::default(),
+        last_log_position: LogPosition::default(),
     };
     let Input::Message(mut stray) = message(MemberId(1), MemberId(8), Term(7), body) else {
         unreachable!()
--- a/crates/control/src/process/peers.rs
+++ b/crates/control/src/process/peers.rs
@@ -78,7 +78,7 @@
             snapshots: Lane::start(&self.http, address, 1, SEND_SNAPSHOT),
         });
         let lane = match message.body {
-            MessageBody::Install { .. } => &peer.snapshots,
+            MessageBody::InstallSnapshot { .. } => &peer.snapshots,
             _ => &peer.messages,
         };
         let _ = lane.tx.try_send(message);
