--- a/crates/replica/src/error.rs
+++ b/crates/replica/src/error.rs
@@ -16,13 +16,13 @@
     Store(#[from] store::Error),
     /// The thread that writes to the disk has ended.
     #[error("the thread that writes to the data folder has ended")]
-    DiskEnded,
+    DiskThreadEnded,
     /// The state cannot be read or written.
     #[error("cannot read or write a snapshot: {0}")]
     Snapshot(#[from] config::Error),
     /// A log entry cannot be read.
     #[error("cannot read log entry {0}: {1}; a newer version may have written it")]
-    Entry(types::Revision, wire::Error),
+    DecodeEntry(types::Revision, wire::Error),
     /// A metric cannot be registered.
     #[error("cannot register a metric: {0}")]
     Metrics(#[from] prometheus::Error),
--- a/crates/replica/src/lib.rs
+++ b/crates/replica/src/lib.rs
@@ -23,6 +23,6 @@
 pub mod version;
 
 pub use error::{Error, Result};
-pub use process::{Replica, Settings, observe, start};
-pub use request::{Outcome, Reading};
-pub use version::{Heard, RouteHistory, Steward, StewardSettings};
+pub use process::{ReplicaHandle, Settings, start, start_observer};
+pub use request::{ChangeOutcome, ReadOutcome};
+pub use version::{ControlHostContact, MembershipPolicy, MembershipSettings, RouteHistory};
--- a/crates/replica/src/process/group.rs
+++ b/crates/replica/src/process/group.rs
@@ -24,7 +24,7 @@
 use crate::{
     Error, Result,
     request::{Command, Pending},
-    version::{Heard, Steward},
+    version::{ControlHostContact, MembershipPolicy},
 };
 
 /// Pause between two looks at the group by its leader.
@@ -40,7 +40,7 @@
     /// A read of the routing set.
     Read(oneshot::Sender<QueryReply>),
     /// The control hosts that were heard.
-    Heard(BTreeMap<MemberId, Heard>),
+    Heard(BTreeMap<MemberId, ControlHostContact>),
     /// The first group.
     Form(Group),
 }
@@ -48,14 +48,14 @@
 /// The task that owns the consensus and the configuration.
 pub(crate) struct GroupTask {
     cfg: Settings,
-    steward: Steward,
+    steward: MembershipPolicy,
     consensus: Consensus,
     state: State,
     pending: BTreeMap<RequestToken, Pending>,
     next_token: u64,
     /// Answers to entries, until their proposals are reported as accepted.
     answers: BTreeMap<Revision, Answer>,
-    heard: BTreeMap<MemberId, Heard>,
+    heard: BTreeMap<MemberId, ControlHostContact>,
     review_at: Instant,
     /// When the log is to be replaced by a snapshot, if it has grown.
     compact_at: Option<Instant>,
@@ -100,7 +100,7 @@
         metrics: Metrics,
     ) -> Result<Self> {
         let mut task = GroupTask {
-            steward: Steward::new(cfg.steward),
+            steward: MembershipPolicy::new(cfg.membership),
             cfg,
             consensus,
             state: State::default(),
@@ -132,7 +132,7 @@
                 report = self.disk.reports.recv() => match report {
                     Some(report) if report.synced => self.step(Input::WriteSynced(report.id))?,
                     Some(report) => self.step(Input::WriteFailed(report.id))?,
-                    None => return Err(Error::DiskEnded),
+                    None => return Err(Error::DiskThreadEnded),
                 },
                 command = self.commands.recv() => match command {
                     Some(command) => self.handle(command)?,
@@ -202,7 +202,7 @@
         if let Some(write) = output.write {
             // At most one write is outstanding, so the queue has room.
             let sent = self.disk.writes.try_send(write);
-            sent.map_err(|_| Error::DiskEnded)?;
+            sent.map_err(|_| Error::DiskThreadEnded)?;
         }
         for envelope in output.messages {
             // A full queue loses the message; the consensus repeats it.
@@ -288,7 +288,7 @@
             return Ok(());
         };
         let Command { at, req } =
-            wire::decode(command).map_err(|e| Error::Entry(entry.index, e))?;
+            wire::decode(command).map_err(|e| Error::DecodeEntry(entry.index, e))?;
         let answer = self.state.apply(entry.index, at, &req);
         let label = match answer {
             Answer::Accepted(_) => "accepted",
@@ -304,7 +304,7 @@
             self.answers.insert(entry.index, answer);
         }
         self.publish();
-        self.compact_at = Some(Instant::now() + self.cfg.compact_after);
+        self.compact_at = Some(Instant::now() + self.cfg.compaction_delay);
         Ok(())
     }
 
@@ -381,7 +381,7 @@
         }
         let group = status.group.as_ref()?;
         self.steward
-            .next(status.id, group, &status.caught_up, &self.heard, now)
+            .next_change(status.id, group, &status.caught_up, &self.heard, now)
     }
 
     fn change_group(&mut self, change: GroupChange) -> Result<()> {
--- a/crates/replica/src/process/mod.rs
+++ b/crates/replica/src/process/mod.rs
@@ -9,6 +9,6 @@
 mod settings;
 mod transport;
 
-pub use replica::Replica;
-pub use run::{observe, start};
+pub use replica::ReplicaHandle;
+pub use run::{start, start_observer};
 pub use settings::Settings;
--- a/crates/replica/src/process/nodes/mod.rs
+++ b/crates/replica/src/process/nodes/mod.rs
@@ -25,7 +25,7 @@
     group::{GroupCommand, Standing, gauge},
     metrics::Metrics,
 };
-use crate::version::{Heard, RouteHistory};
+use crate::version::{ControlHostContact, RouteHistory};
 
 /// Pause between two messages to the other control hosts.
 const GOSSIP: Duration = Duration::from_millis(250);
@@ -423,9 +423,9 @@
                 let leaving = node.leaving;
                 heard.insert(
                     member,
-                    Heard {
+                    ControlHostContact {
                         address,
-                        at,
+                        last_heard: at,
                         leaving,
                     },
                 );
@@ -436,7 +436,9 @@
         let hosts = hosts.filter(|node| node.is_control() && !node.leaving);
         self.members.send_replace(hosts.map(Node::ip).collect());
         if let Some(member) = &self.member {
-            heard.entry(member.id).and_modify(|host| host.at = now);
+            heard
+                .entry(member.id)
+                .and_modify(|host| host.last_heard = now);
             // A full queue is brought up to date by the next report.
             let _ = member.group.try_send(GroupCommand::Heard(heard));
         }
--- a/crates/replica/src/process/replica.rs
+++ b/crates/replica/src/process/replica.rs
@@ -17,7 +17,7 @@
     http::{CHANGE_PATH, READ_PATH},
     metrics::Metrics,
 };
-use crate::request::{Outcome, Reading};
+use crate::request::{ChangeOutcome, ReadOutcome};
 
 /// Pause before a change is tried again while no leader is known.
 const RETRY: Duration = Duration::from_millis(50);
@@ -31,21 +31,21 @@
 
 /// A control host as a front end for operators sees it. Clones share the host.
 #[derive(Debug, Clone)]
-pub struct Replica {
+pub struct ReplicaHandle {
     pub(crate) group: mpsc::Sender<GroupCommand>,
     pub(crate) metrics: Metrics,
 }
 
-impl Replica {
+impl ReplicaHandle {
     /// Replaces the routing set. Any member can be asked; it goes by way of the
     /// leader. The same set may be given again after a lost answer: sets are
     /// ordered by their numbers.
-    pub async fn replace(
+    pub async fn replace_routes(
         &self,
         author: OperatorName,
         set: RoutingSet,
         deadline: Instant,
-    ) -> Outcome {
+    ) -> ChangeOutcome {
         let timer = self.metrics.change_seconds.start_timer();
         let change = Change::ReplaceRoutes(Box::new(set));
         let mut tried = false;
@@ -61,18 +61,20 @@
                 .try_change(req, deadline.min(Instant::now() + ANSWER))
                 .await
             {
-                ChangeReply::Final(Answer::Accepted(_)) => break Outcome::Accepted,
-                ChangeReply::Final(Answer::Refused(refusal)) => break Outcome::Refused(refusal),
+                ChangeReply::Final(Answer::Accepted(_)) => break ChangeOutcome::Accepted,
+                ChangeReply::Final(Answer::Refused(refusal)) => {
+                    break ChangeOutcome::Refused(refusal);
+                }
                 // Sets are not based on a revision.
-                ChangeReply::Final(Answer::Conflict(_)) => break Outcome::Unknown,
+                ChangeReply::Final(Answer::Conflict(_)) => break ChangeOutcome::Unknown,
                 ChangeReply::Unknown => tried = true,
                 ChangeReply::NotLeader { .. } | ChangeReply::Unavailable => {}
             }
             if Instant::now() + RETRY >= deadline {
                 break if tried {
-                    Outcome::Unknown
+                    ChangeOutcome::Unknown
                 } else {
-                    Outcome::Unavailable
+                    ChangeOutcome::Unavailable
                 };
             }
             actix_rt::time::sleep(RETRY).await;
@@ -83,7 +85,7 @@
 
     /// Voters of the group, as far as this member knows.
     #[must_use]
-    pub fn voters(&self) -> i64 {
+    pub fn voter_count(&self) -> i64 {
         self.metrics.voters.get()
     }
 
@@ -107,11 +109,11 @@
     }
 
     /// The newest routing set, confirmed by a majority after this call began.
-    pub async fn read(&self, deadline: Instant) -> Reading {
+    pub async fn read_routes(&self, deadline: Instant) -> ReadOutcome {
         loop {
             match self.try_read(deadline.min(Instant::now() + ANSWER)).await {
-                Some(QueryReply::Routes(set)) => return Reading::Newest(set),
-                _ if Instant::now() + RETRY >= deadline => return Reading::Unavailable,
+                Some(QueryReply::Routes(set)) => return ReadOutcome::Confirmed(set),
+                _ if Instant::now() + RETRY >= deadline => return ReadOutcome::Unavailable,
                 _ => actix_rt::time::sleep(RETRY).await,
             }
         }
--- a/crates/replica/src/process/run.rs
+++ b/crates/replica/src/process/run.rs
@@ -13,7 +13,7 @@
 };
 
 use super::{
-    Replica, Settings, group, group::Standing, http::Interface, metrics::Metrics, nodes,
+    ReplicaHandle, Settings, group, group::Standing, http::Interface, metrics::Metrics, nodes,
     nodes::NodeTask, transport,
 };
 use crate::{Error, Result, version::RouteHistory};
@@ -31,7 +31,7 @@
     cfg: Settings,
     registry: &Registry,
     stop: watch::Receiver<bool>,
-) -> Result<(Replica, impl Future<Output = Result<()>> + use<>)> {
+) -> Result<(ReplicaHandle, impl Future<Output = Result<()>> + use<>)> {
     let metrics = Metrics::new(registry)?;
     let (store, found) = store::open(Dir::new(&cfg.data_dir)?)?;
     let disk = store::start(store)?;
@@ -105,7 +105,7 @@
     ));
     actix_rt::spawn(node_task.run());
     actix_rt::spawn(net::serve(listener, interface, ServerLimits::default()));
-    let replica = Replica {
+    let replica = ReplicaHandle {
         group: commands_tx,
         metrics,
     };
@@ -118,7 +118,7 @@
 /// # Errors
 ///
 /// The socket cannot be used.
-pub fn observe(
+pub fn start_observer(
     cfg: Settings,
     registry: &Registry,
     stop: watch::Receiver<bool>,
--- a/crates/replica/src/process/settings.rs
+++ b/crates/replica/src/process/settings.rs
@@ -9,7 +9,7 @@
 use tokio::sync::watch;
 use types::DataCentre;
 
-use crate::version::StewardSettings;
+use crate::version::MembershipSettings;
 
 /// Settings of a control host.
 #[derive(Debug, Clone)]
@@ -33,9 +33,9 @@
     /// Times of the consensus.
     pub consensus: consensus::Settings,
     /// How the group is kept complete.
-    pub steward: StewardSettings,
+    pub membership: MembershipSettings,
     /// Pause after a change before the log is replaced by a snapshot.
-    pub compact_after: Duration,
+    pub compaction_delay: Duration,
 }
 
 impl Settings {
@@ -57,8 +57,8 @@
             seeds,
             bootstrap: false,
             consensus: consensus::Settings::default(),
-            steward: StewardSettings::default(),
-            compact_after: Duration::from_millis(300),
+            membership: MembershipSettings::default(),
+            compaction_delay: Duration::from_millis(300),
         }
     }
 
--- a/crates/replica/src/request/mod.rs
+++ b/crates/replica/src/request/mod.rs
@@ -9,7 +9,7 @@
 
 /// What became of a change.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Outcome {
+pub enum ChangeOutcome {
     /// On disk on a majority.
     Accepted,
     /// Not made, and never will be.
@@ -22,9 +22,9 @@
 
 /// What a read brought.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Reading {
+pub enum ReadOutcome {
     /// The newest set, confirmed by a majority; `None` before the first one.
-    Newest(Option<Arc<RoutingSet>>),
+    Confirmed(Option<Arc<RoutingSet>>),
     /// No majority can confirm it now.
     Unavailable,
 }
--- a/crates/replica/src/version/steward.rs
+++ b/crates/replica/src/version/membership.rs
@@ -11,53 +11,53 @@
 
 /// Rules of a [`Steward`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct StewardSettings {
+pub struct MembershipSettings {
     /// Voters that must remain when one that is silent is removed. Twice the
     /// losses to be borne and one more: with fewer, an accepted change could be
     /// on too few disks.
-    pub floor: usize,
+    pub min_voters: usize,
     /// Voters at most. More make each change slower and nothing safer.
-    pub most: usize,
+    pub max_voters: usize,
     /// A voter that was not heard for this long may be removed. Short, because
     /// a voter that comes back is taken in again without loss.
-    pub silent: Duration,
+    pub removal_timeout: Duration,
     /// A host that is to be added was heard within this time.
-    pub present: Duration,
+    pub admission_timeout: Duration,
 }
 
-impl Default for StewardSettings {
+impl Default for MembershipSettings {
     fn default() -> Self {
-        StewardSettings {
-            floor: 3,
-            most: 9,
-            silent: Duration::from_millis(1500),
-            present: Duration::from_secs(1),
+        MembershipSettings {
+            min_voters: 3,
+            max_voters: 9,
+            removal_timeout: Duration::from_millis(1500),
+            admission_timeout: Duration::from_secs(1),
         }
     }
 }
 
 /// A control host that was heard.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Heard {
+pub struct ControlHostContact {
     /// Where members reach it.
     pub address: SocketAddr,
     /// When it was last heard, by whatever way.
-    pub at: Instant,
+    pub last_heard: Instant,
     /// It has said that it ends.
     pub leaving: bool,
 }
 
 /// Decides how the leader changes its group.
 #[derive(Debug, Clone, Copy)]
-pub struct Steward {
-    settings: StewardSettings,
+pub struct MembershipPolicy {
+    settings: MembershipSettings,
 }
 
-impl Steward {
+impl MembershipPolicy {
     /// A steward with these rules.
     #[must_use]
-    pub fn new(settings: StewardSettings) -> Self {
-        Steward { settings }
+    pub fn new(settings: MembershipSettings) -> Self {
+        MembershipPolicy { settings }
     }
 
     /// The next change of the group, one at a time:
@@ -68,12 +68,12 @@
     /// 3. a host that is not in the group becomes a learner;
     /// 4. a silent member is removed, as long as enough voters remain.
     #[must_use]
-    pub fn next(
+    pub fn next_change(
         &self,
         me: MemberId,
         group: &Group,
         caught_up: &BTreeSet<MemberId>,
-        heard: &BTreeMap<MemberId, Heard>,
+        heard: &BTreeMap<MemberId, ControlHostContact>,
         now: Instant,
     ) -> Option<GroupChange> {
         self.promotion(group, caught_up)
@@ -85,19 +85,19 @@
     fn promotion(&self, group: &Group, caught_up: &BTreeSet<MemberId>) -> Option<GroupChange> {
         let ready = |id: &&MemberId| caught_up.contains(id);
         let learner = group.learners.keys().find(ready)?;
-        let room = group.voters.len() < self.settings.most;
+        let room = group.voters.len() < self.settings.max_voters;
         room.then_some(GroupChange::Promote(*learner))
     }
 
-    fn is_present(&self, host: &Heard, now: Instant) -> bool {
-        !host.leaving && now < host.at + self.settings.present
+    fn is_present(&self, host: &ControlHostContact, now: Instant) -> bool {
+        !host.leaving && now < host.last_heard + self.settings.admission_timeout
     }
 
     fn replaced(
         &self,
         me: MemberId,
         group: &Group,
-        heard: &BTreeMap<MemberId, Heard>,
+        heard: &BTreeMap<MemberId, ControlHostContact>,
         now: Instant,
     ) -> Option<GroupChange> {
         let successor = |id: MemberId, address: SocketAddr| {
@@ -115,10 +115,10 @@
     fn addition(
         &self,
         group: &Group,
-        heard: &BTreeMap<MemberId, Heard>,
+        heard: &BTreeMap<MemberId, ControlHostContact>,
         now: Instant,
     ) -> Option<GroupChange> {
-        let room = group.voters.len() + group.learners.len() < self.settings.most;
+        let room = group.voters.len() + group.learners.len() < self.settings.max_voters;
         let (id, host) = heard
             .iter()
             .find(|(id, host)| !group.contains(**id) && self.is_present(host, now))?;
@@ -130,7 +130,7 @@
         me: MemberId,
         group: &Group,
         caught_up: &BTreeSet<MemberId>,
-        heard: &BTreeMap<MemberId, Heard>,
+        heard: &BTreeMap<MemberId, ControlHostContact>,
         now: Instant,
     ) -> Option<GroupChange> {
         // A member that answers the leader is there, whatever else was heard.
@@ -139,12 +139,12 @@
                 && !caught_up.contains(&id)
                 && heard
                     .get(&id)
-                    .is_none_or(|host| now >= host.at + self.settings.silent)
+                    .is_none_or(|host| now >= host.last_heard + self.settings.removal_timeout)
         };
         if let Some(id) = group.learners.keys().find(|id| silent(**id)) {
             return Some(GroupChange::Remove(*id));
         }
-        if group.voters.len() <= self.settings.floor {
+        if group.voters.len() <= self.settings.min_voters {
             return None;
         }
         let id = group.voters.keys().find(|id| silent(**id))?;
--- a/crates/replica/src/version/mod.rs
+++ b/crates/replica/src/version/mod.rs
@@ -1,7 +1,7 @@
 //! What lasts for a version of the configuration or of the group.
 
 mod history;
-mod steward;
+mod membership;
 
 pub use history::RouteHistory;
-pub use steward::{Heard, Steward, StewardSettings};
+pub use membership::{ControlHostContact, MembershipPolicy, MembershipSettings};
--- a/crates/replica/tests/group.rs
+++ b/crates/replica/tests/group.rs
@@ -9,7 +9,7 @@
 use actix_rt::{System, spawn, task::JoinHandle, time::sleep};
 use bytes::Bytes;
 use prometheus::Registry;
-use replica::{Outcome, Reading, Replica, Settings, start};
+use replica::{ChangeOutcome, ReadOutcome, ReplicaHandle, Settings, start};
 use tempfile::TempDir;
 use tokio::sync::watch;
 use types::{Part, RoutingSet, Rule, SetNumber};
@@ -18,7 +18,7 @@
 const LIMIT: Duration = Duration::from_secs(15);
 
 struct Host {
-    replica: Replica,
+    replica: ReplicaHandle,
     task: JoinHandle<()>,
     _stop: watch::Sender<bool>,
 }
@@ -90,14 +90,14 @@
     let author = "mira".parse().unwrap();
     let outcome = host
         .replica
-        .replace(author, set(number), Instant::now() + LIMIT);
-    assert_eq!(outcome.await, Outcome::Accepted, "set {number}");
+        .replace_routes(author, set(number), Instant::now() + LIMIT);
+    assert_eq!(outcome.await, ChangeOutcome::Accepted, "set {number}");
 }
 
 async fn read(host: &Host) -> Option<SetNumber> {
-    match host.replica.read(Instant::now() + LIMIT).await {
-        Reading::Newest(set) => set.map(|set| set.number),
-        Reading::Unavailable => panic!("no majority confirms a read"),
+    match host.replica.read_routes(Instant::now() + LIMIT).await {
+        ReadOutcome::Confirmed(set) => set.map(|set| set.number),
+        ReadOutcome::Unavailable => panic!("no majority confirms a read"),
     }
 }
 
@@ -143,7 +143,7 @@
         // learner already sees three voters.
         for expected in [4, 3] {
             let until = Instant::now() + LIMIT;
-            while hosts[2].replica.voters() != expected {
+            while hosts[2].replica.voter_count() != expected {
                 assert!(
                     Instant::now() < until,
                     "the group does not get to {expected} voters"
--- a/crates/replica/tests/hello.rs
+++ b/crates/replica/tests/hello.rs
@@ -9,7 +9,7 @@
 use actix_rt::{System, time::timeout};
 use directory::{Hello, Mark, Node, Reply, Spoken};
 use prometheus::Registry;
-use replica::{Settings, observe};
+use replica::{Settings, start_observer};
 use tokio::{net::UdpSocket, sync::watch};
 
 /// Nodes of the test.
@@ -40,7 +40,7 @@
         let settings = Settings::new(ip, data_centre, PathBuf::new(), seeds);
         let (_stop, stopped) = watch::channel(false);
         let host = SocketAddr::V4(settings.node_address());
-        let _members = observe(settings, &Registry::new(), stopped).unwrap();
+        let _members = start_observer(settings, &Registry::new(), stopped).unwrap();
 
         let socket = UdpSocket::bind((ip, 0)).await.unwrap();
         let Ok(SocketAddr::V4(reply_to)) = socket.local_addr() else {
--- a/crates/replica/tests/steward.rs
+++ b/crates/replica/tests/membership.rs
@@ -7,7 +7,7 @@
 };
 
 use consensus::{Group, GroupChange};
-use replica::{Heard, Steward, StewardSettings};
+use replica::{ControlHostContact, MembershipPolicy, MembershipSettings};
 use types::MemberId;
 
 const ME: MemberId = MemberId(1);
@@ -46,24 +46,24 @@
         .iter()
         .map(|n| (MemberId(*n), address(*n)))
         .collect();
-    let heard: BTreeMap<MemberId, Heard> = case
+    let heard: BTreeMap<MemberId, ControlHostContact> = case
         .heard
         .iter()
         .map(|(id, at, age)| {
-            let heard = Heard {
+            let heard = ControlHostContact {
                 address: address(*at),
-                at: now.checked_sub(Duration::from_millis(*age)).unwrap(),
+                last_heard: now.checked_sub(Duration::from_millis(*age)).unwrap(),
                 leaving: case.leaving.contains(id),
             };
             (MemberId(*id), heard)
         })
         .collect();
     let caught_up: BTreeSet<MemberId> = case.caught_up.iter().map(|n| MemberId(*n)).collect();
-    let settings = StewardSettings {
-        floor: case.floor,
-        ..StewardSettings::default()
+    let settings = MembershipSettings {
+        min_voters: case.floor,
+        ..MembershipSettings::default()
     };
-    let change = Steward::new(settings).next(ME, &group, &caught_up, &heard, now);
+    let change = MembershipPolicy::new(settings).next_change(ME, &group, &caught_up, &heard, now);
     assert_eq!(change, case.expected, "{name}");
 }
 
