--- a/crates/consensus/src/process/disk.rs
+++ b/crates/consensus/src/process/disk.rs
@@ -1,6 +1,6 @@
 //! What this member knows about its disk.
 
-use super::{Consensus, Envelope, Part, Write, WriteId};
+use super::{Consensus, DiskWrite, Envelope, Part, WriteId};
 use std::time::Instant;
 
 /// The outstanding write, and the messages that wait for a write.
@@ -85,7 +85,7 @@
             return;
         }
         self.disk.failed = true;
-        self.disk.retry_at = self.now + self.settings.election_min;
+        self.disk.retry_at = self.now + self.settings.election_timeout_min;
         let durable = self.disk.vote_durable;
         self.disk.held.retain(|(version, _)| *version <= durable);
         self.log.write_failed();
@@ -108,10 +108,10 @@
         disk.next_id = WriteId(id.0 + 1);
         disk.in_flight = Some((id, disk.vote_version));
         let log = self.log.begin_write();
-        self.out.write = Some(Write {
+        self.out.write = Some(DiskWrite {
             id,
-            vote: vote_needed.then_some((self.term, self.vote)),
-            from: log.from,
+            term_and_vote: vote_needed.then_some((self.term, self.vote)),
+            truncate_from: log.truncate_from,
             snapshot: log.snapshot,
             entries: log.entries,
         });
--- a/crates/consensus/src/process/election.rs
+++ b/crates/consensus/src/process/election.rs
@@ -1,8 +1,8 @@
 //! Elections.
 
 use super::leader::Leader;
-use super::{Body, Consensus, Following, Part};
-use crate::version::{Group, Payload, Position, next};
+use super::{Consensus, Following, MessageBody, Part};
+use crate::version::{EntryPayload, Group, LogPosition, next};
 use rand::Rng;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -12,7 +12,10 @@
     /// Draws the next election deadline. The jitter keeps members from asking
     /// for votes at the same time again and again.
     pub(super) fn arm_election(&mut self) {
-        let (min, max) = (self.settings.election_min, self.settings.election_max);
+        let (min, max) = (
+            self.settings.election_timeout_min,
+            self.settings.election_timeout_max,
+        );
         let timeout = self.rng.random_range(min..=max.max(min));
         self.deadline = self.now + timeout;
     }
@@ -54,11 +57,16 @@
         };
         self.part = Part::PreCandidate(BTreeSet::from([self.me.id]));
         let last = self.log.durable_position();
-        self.ask_voters(&group, &Body::PreVote { last });
+        self.ask_voters(
+            &group,
+            &MessageBody::PreVote {
+                last_log_position: last,
+            },
+        );
         self.count_pre_votes();
     }
 
-    fn ask_voters(&mut self, group: &Group, body: &Body) {
+    fn ask_voters(&mut self, group: &Group, body: &MessageBody) {
         for (id, address) in &group.voters {
             if *id != self.me.id {
                 self.send((*id, *address), body.clone());
@@ -70,10 +78,16 @@
         &mut self,
         sender: (MemberId, SocketAddr),
         asked: Term,
-        last: Position,
+        last: LogPosition,
     ) {
         let granted = asked >= self.term && last >= self.log.last() && !self.hears_leader();
-        self.send(sender, Body::PreVoteReply { asked, granted });
+        self.send(
+            sender,
+            MessageBody::PreVoteReply {
+                request_term: asked,
+                granted,
+            },
+        );
     }
 
     /// Whether a leader was heard within the shortest election timeout.
@@ -82,7 +96,7 @@
             Part::Leader(_) => true,
             Part::Follower(following) => following
                 .heard
-                .is_some_and(|heard| self.now < heard + self.settings.election_min),
+                .is_some_and(|heard| self.now < heard + self.settings.election_timeout_min),
             Part::PreCandidate(_) | Part::Candidate(_) => false,
         }
     }
@@ -115,14 +129,19 @@
         self.part = Part::Candidate(BTreeSet::new());
         self.arm_election();
         let last = self.log.durable_position();
-        self.ask_voters(group, &Body::Vote { last });
+        self.ask_voters(
+            group,
+            &MessageBody::Vote {
+                last_log_position: last,
+            },
+        );
     }
 
     pub(super) fn answer_vote(
         &mut self,
         sender: (MemberId, SocketAddr),
         current: bool,
-        last: Position,
+        last: LogPosition,
     ) {
         let free = self.vote.is_none() || self.vote == Some(sender.0);
         let follows = matches!(self.part, Part::Follower(_));
@@ -132,7 +151,7 @@
             self.disk.vote_changed();
             self.arm_election();
         }
-        self.send(sender, Body::VoteReply { granted });
+        self.send(sender, MessageBody::VoteReply { granted });
     }
 
     pub(super) fn take_vote(&mut self, from: MemberId, granted: bool) {
@@ -167,7 +186,7 @@
         if won {
             let first = next(self.log.last().index);
             self.part = Part::Leader(Leader::new(first));
-            self.append_own(Payload::Noop);
+            self.append_own(EntryPayload::Noop);
             self.begin_round();
         }
     }
--- a/crates/consensus/src/process/group.rs
+++ b/crates/consensus/src/process/group.rs
@@ -1,8 +1,8 @@
 //! Forming and changing the group.
 
 use super::{Consensus, Part};
-use crate::request::{GroupChange, Rejection, Token};
-use crate::version::{Group, Payload, Position, Snapshot};
+use crate::request::{GroupChange, Rejection, RequestToken};
+use crate::version::{EntryPayload, Group, LogPosition, Snapshot};
 use bytes::Bytes;
 
 impl Consensus {
@@ -10,7 +10,7 @@
     pub(super) fn form(&mut self, group: Group) {
         if self.log.snapshot().is_none() && group.is_voter(self.me.id) {
             self.log.install(Snapshot {
-                position: Position::default(),
+                position: LogPosition::default(),
                 group,
                 state: Bytes::new(),
             });
@@ -20,7 +20,7 @@
     /// Keeps the change until a majority has answered a round that began after
     /// it was asked for. Otherwise a leader that is cut off could append a
     /// removal, elect itself in the smaller group and go on alone.
-    pub(super) fn change_group(&mut self, token: Token, change: GroupChange) {
+    pub(super) fn change_group(&mut self, token: RequestToken, change: GroupChange) {
         if let Err(reason) = self.changed_group(change) {
             return self.reject(token, reason);
         }
@@ -34,9 +34,9 @@
     }
 
     /// Appends a change whose round was answered, if it still fits.
-    pub(super) fn append_change(&mut self, token: Token, change: GroupChange) {
+    pub(super) fn append_change(&mut self, token: RequestToken, change: GroupChange) {
         match self.changed_group(change) {
-            Ok(group) => self.append_proposal(token, Payload::Group(group)),
+            Ok(group) => self.append_proposal(token, EntryPayload::Group(group)),
             Err(reason) => self.reject(token, reason),
         }
     }
--- a/crates/consensus/src/process/io.rs
+++ b/crates/consensus/src/process/io.rs
@@ -1,15 +1,15 @@
 //! Inputs, outputs and disk writes.
 
 use super::{Envelope, Message};
-use crate::request::{Event, GroupChange, Token};
-use crate::version::{Entry, Group, Snapshot};
+use crate::request::{Completion, GroupChange, RequestToken};
+use crate::version::{Group, LogEntry, Snapshot};
 use bytes::Bytes;
 use std::fmt;
 use types::{MemberId, Revision, Term};
 
 /// What a member has on disk when it starts. The default is a blank member.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Restored {
+pub struct RestoredState {
     /// The last term written.
     pub term: Term,
     /// The vote written with that term.
@@ -17,7 +17,7 @@
     /// The last snapshot written; `None` only in a member that knows no group.
     pub snapshot: Option<Snapshot>,
     /// The consecutive entries after the snapshot.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<LogEntry>,
 }
 
 /// What happened.
@@ -28,29 +28,29 @@
     /// A message arrived.
     Message(Message),
     /// The write is synced.
-    Written(WriteId),
+    WriteSynced(WriteId),
     /// The write failed as a whole or in part: any part of it may be on disk.
     WriteFailed(WriteId),
     /// Forms the first group. Every member of it must get the same group.
-    Form(Group),
+    Bootstrap(Group),
     /// Proposes a command.
     Propose {
-        /// Names the proposal in its [`Event`].
-        token: Token,
+        /// Names the proposal in its [`Completion`].
+        token: RequestToken,
         /// The command.
         command: Bytes,
     },
     /// Proposes a group change.
     ChangeGroup {
-        /// Names the change in its [`Event`].
-        token: Token,
+        /// Names the change in its [`Completion`].
+        token: RequestToken,
         /// The change.
         change: GroupChange,
     },
     /// Asks whether this member still leads.
     ConfirmRead {
-        /// Names the read in its [`Event`].
-        token: Token,
+        /// Names the read in its [`Completion`].
+        token: RequestToken,
     },
     /// Replaces the log up to `through`, which must have been handed out as
     /// committed, by the state after it. Ignored if it is not.
@@ -66,15 +66,15 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Output {
     /// A write for the disk. The next one comes only after the result of this.
-    pub write: Option<Write>,
+    pub write: Option<DiskWrite>,
     /// Messages to send now. Any of them may be lost.
     pub messages: Vec<Envelope>,
     /// A state to load in place of the present one.
-    pub installed: Option<Snapshot>,
+    pub installed_snapshot: Option<Snapshot>,
     /// Committed entries in log order, each handed out once per process.
-    pub committed: Vec<Entry>,
+    pub committed_entries: Vec<LogEntry>,
     /// Answers.
-    pub events: Vec<Event>,
+    pub completions: Vec<Completion>,
 }
 
 /// Names a write towards the disk.
@@ -91,15 +91,15 @@
 /// holds a snapshot drops entries from `from` on before the snapshot is put in
 /// place, so that entries that contradict the snapshot never follow it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Write {
+pub struct DiskWrite {
     /// Names the write in its result.
     pub id: WriteId,
     /// Term and vote, if they changed.
-    pub vote: Option<(Term, Option<MemberId>)>,
+    pub term_and_vote: Option<(Term, Option<MemberId>)>,
     /// Entries from this index on are dropped before `entries` are appended.
-    pub from: Option<Revision>,
+    pub truncate_from: Option<Revision>,
     /// A snapshot that replaces the log up to its index.
     pub snapshot: Option<Snapshot>,
     /// Consecutive entries; the first has index `from`.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<LogEntry>,
 }
--- a/crates/consensus/src/process/message.rs
+++ b/crates/consensus/src/process/message.rs
@@ -1,6 +1,6 @@
 //! Messages between members.
 
-use crate::version::{Entry, Position, Snapshot};
+use crate::version::{LogEntry, LogPosition, Snapshot};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use types::{MemberId, Revision, Term};
@@ -27,31 +27,31 @@
     /// The term of the sender.
     pub term: Term,
     /// What is asked or answered.
-    pub body: Body,
+    pub body: MessageBody,
 }
 
 /// What a message asks or answers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Body {
+pub enum MessageBody {
     /// Asks whether a vote in the term after the sender's would be granted.
     /// Changes nothing at the receiver.
     PreVote {
         /// The end of the sender's log on disk.
-        last: Position,
+        last_log_position: LogPosition,
     },
-    /// Answers [`Body::PreVote`].
+    /// Answers [`MessageBody::PreVote`].
     PreVoteReply {
         /// The sender's term when it asked.
-        asked: Term,
+        request_term: Term,
         /// Whether a vote would be granted.
         granted: bool,
     },
     /// Asks for a vote in the message's term.
     Vote {
         /// The end of the sender's log on disk.
-        last: Position,
+        last_log_position: LogPosition,
     },
-    /// Answers [`Body::Vote`].
+    /// Answers [`MessageBody::Vote`].
     VoteReply {
         /// Whether the vote was granted.
         granted: bool,
@@ -59,35 +59,36 @@
     /// Entries, or a heartbeat if empty.
     Append {
         /// The place before the first entry.
-        prev: Position,
+        prev_log_position: LogPosition,
         /// Consecutive entries, on the leader's disk.
-        entries: Vec<Entry>,
+        entries: Vec<LogEntry>,
         /// The leader's commit index.
-        commit: Revision,
+        leader_commit: Revision,
         /// The latest round of heartbeats that the leader has begun.
         round: u64,
     },
     /// A snapshot for a member that lacks compacted entries.
-    Install {
+    #[serde(rename = "Install")]
+    InstallSnapshot {
         /// The snapshot.
         snapshot: Snapshot,
         /// The latest round of heartbeats that the leader has begun.
         round: u64,
     },
-    /// Answers [`Body::Append`] and [`Body::Install`].
+    /// Answers [`MessageBody::Append`] and [`MessageBody::InstallSnapshot`].
     AppendReply {
         /// The latest round that the sender received in this term.
         round: u64,
         /// Whether the sender's disk accepts writes.
-        writable: bool,
+        disk_writable: bool,
         /// What the sender holds.
-        outcome: Outcome,
+        outcome: AppendOutcome,
     },
 }
 
 /// What a member holds of the leader's log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Outcome {
+pub enum AppendOutcome {
     /// All entries up to here are on its disk and equal the leader's.
     Matched(Revision),
     /// Its log lacks or contradicts the place before the entries; the leader
--- a/crates/consensus/src/process/mod.rs
+++ b/crates/consensus/src/process/mod.rs
@@ -11,12 +11,12 @@
 mod settings;
 mod status;
 
-pub use io::{Input, Output, Restored, Write, WriteId};
-pub use message::{Body, Envelope, Message, Outcome};
-pub use settings::{Identity, Settings};
+pub use io::{DiskWrite, Input, Output, RestoredState, WriteId};
+pub use message::{AppendOutcome, Envelope, Message, MessageBody};
+pub use settings::{MemberIdentity, Settings};
 pub use status::{Role, Status};
 
-use crate::request::{Event, Rejection, Token};
+use crate::request::{Completion, Rejection, RequestToken};
 use crate::version::Log;
 use disk::Disk;
 use follower::Following;
@@ -32,7 +32,7 @@
 #[derive(Debug)]
 pub struct Consensus {
     settings: Settings,
-    me: Identity,
+    me: MemberIdentity,
     /// Draws election timeouts; seeded by the caller.
     rng: StdRng,
     /// The latest instant passed in.
@@ -71,8 +71,8 @@
     #[must_use]
     pub fn new(
         settings: Settings,
-        me: Identity,
-        restored: Restored,
+        me: MemberIdentity,
+        restored: RestoredState,
         seed: u64,
         now: Instant,
     ) -> Self {
@@ -107,9 +107,9 @@
         match input {
             Input::Tick => {}
             Input::Message(message) => self.receive(message),
-            Input::Written(id) => self.written(id),
+            Input::WriteSynced(id) => self.written(id),
             Input::WriteFailed(id) => self.write_failed(id),
-            Input::Form(group) => self.form(group),
+            Input::Bootstrap(group) => self.form(group),
             Input::Propose { token, command } => self.propose(token, command),
             Input::ChangeGroup { token, change } => self.change_group(token, change),
             Input::ConfirmRead { token } => self.confirm_read(token),
@@ -149,9 +149,9 @@
             role,
             term: self.term,
             leader: self.leader(),
-            commit: self.commit,
-            last: self.log.last().index,
-            snapshot: self.log.base().index,
+            commit_index: self.commit,
+            last_index: self.log.last().index,
+            snapshot_index: self.log.base().index,
             group: self.log.group().cloned(),
             change_pending: self.log.group_index() > self.commit,
             caught_up,
@@ -173,40 +173,47 @@
             return;
         }
         // A question whether a vote would be granted changes nothing here.
-        let asks_only = matches!(message.body, Body::PreVote { .. });
+        let asks_only = matches!(message.body, MessageBody::PreVote { .. });
         if message.term > self.term && !asks_only {
             self.enter_term(message.term);
         }
         let sender = (message.from, message.from_address);
         let current = message.term == self.term;
         match message.body {
-            Body::PreVote { last } => self.answer_pre_vote(sender, message.term, last),
-            Body::PreVoteReply { asked, granted } => {
-                self.take_pre_vote(message.from, asked, granted);
+            MessageBody::PreVote { last_log_position } => {
+                self.answer_pre_vote(sender, message.term, last_log_position);
             }
-            Body::Vote { last } => self.answer_vote(sender, current, last),
-            Body::VoteReply { granted } if current => self.take_vote(message.from, granted),
-            Body::Append {
-                prev,
+            MessageBody::PreVoteReply {
+                request_term,
+                granted,
+            } => {
+                self.take_pre_vote(message.from, request_term, granted);
+            }
+            MessageBody::Vote { last_log_position } => {
+                self.answer_vote(sender, current, last_log_position);
+            }
+            MessageBody::VoteReply { granted } if current => self.take_vote(message.from, granted),
+            MessageBody::Append {
+                prev_log_position,
                 entries,
-                commit,
+                leader_commit: commit,
                 round,
             } => {
                 if self.follow(sender, current, round) {
-                    self.take_entries(prev, entries, commit);
+                    self.take_entries(prev_log_position, entries, commit);
                 }
             }
-            Body::Install { snapshot, round } => {
+            MessageBody::InstallSnapshot { snapshot, round } => {
                 if self.follow(sender, current, round) {
                     self.take_snapshot(snapshot);
                 }
             }
-            Body::AppendReply {
+            MessageBody::AppendReply {
                 round,
-                writable,
+                disk_writable,
                 outcome,
-            } if current => self.take_reply(message.from, round, writable, outcome),
-            Body::VoteReply { .. } | Body::AppendReply { .. } => {}
+            } if current => self.take_reply(message.from, round, disk_writable, outcome),
+            MessageBody::VoteReply { .. } | MessageBody::AppendReply { .. } => {}
         }
     }
 
@@ -236,18 +243,18 @@
         let through = self.commit.min(self.log.durable());
         let base = self.log.base().index;
         if self.applied < base && base <= self.log.durable() {
-            self.out.installed = self.log.snapshot().cloned();
+            self.out.installed_snapshot = self.log.snapshot().cloned();
             self.applied = base;
         }
         while self.applied < through
             && let Some(entry) = self.log.entry(crate::version::next(self.applied))
         {
             self.applied = entry.index;
-            self.out.committed.push(entry.clone());
+            self.out.committed_entries.push(entry.clone());
         }
     }
 
-    fn send(&mut self, (to, address): (MemberId, SocketAddr), body: Body) {
+    fn send(&mut self, (to, address): (MemberId, SocketAddr), body: MessageBody) {
         let message = Message {
             from: self.me.id,
             from_address: self.me.address,
@@ -258,7 +265,9 @@
         self.disk.hold(Envelope { address, message });
     }
 
-    fn reject(&mut self, token: Token, reason: Rejection) {
-        self.out.events.push(Event::Rejected { token, reason });
+    fn reject(&mut self, token: RequestToken, reason: Rejection) {
+        self.out
+            .completions
+            .push(Completion::Rejected { token, reason });
     }
 }
--- a/crates/consensus/src/process/replication.rs
+++ b/crates/consensus/src/process/replication.rs
@@ -1,16 +1,16 @@
 //! Sending the log to other members.
 
 use super::leader::Peer;
-use super::{Body, Consensus, Outcome, Part};
-use crate::version::{Entry, Payload, Snapshot, next};
+use super::{AppendOutcome, Consensus, MessageBody, Part};
+use crate::version::{EntryPayload, LogEntry, Snapshot, next};
 use std::net::SocketAddr;
 use types::{MemberId, Revision};
 
 impl Consensus {
     /// Appends an entry of this leader's term.
-    pub(super) fn append_own(&mut self, payload: Payload) -> Revision {
+    pub(super) fn append_own(&mut self, payload: EntryPayload) -> Revision {
         let index = next(self.log.last().index);
-        self.log.append(Entry {
+        self.log.append(LogEntry {
             index,
             term: self.term,
             payload,
@@ -47,7 +47,7 @@
 
     /// Sends a heartbeat to every peer.
     pub(super) fn begin_round(&mut self) {
-        self.deadline = self.now + self.settings.heartbeat;
+        self.deadline = self.now + self.settings.heartbeat_interval;
         if let Part::Leader(leader) = &mut self.part {
             leader.round += 1;
             self.send_to_peers(true);
@@ -83,26 +83,28 @@
             let due = peer.writable && peer.installing.is_none_or(|(_, again)| now >= again);
             match self.log.snapshot().filter(|_| due) {
                 Some(snapshot) => {
-                    peer.installing =
-                        Some((snapshot.position.index, now + self.settings.election_max));
+                    peer.installing = Some((
+                        snapshot.position.index,
+                        now + self.settings.election_timeout_max,
+                    ));
                     let snapshot = Snapshot::clone(snapshot);
-                    Body::Install { snapshot, round }
+                    MessageBody::InstallSnapshot { snapshot, round }
                 }
-                None if heartbeat => Body::Append {
-                    prev: self.log.base(),
+                None if heartbeat => MessageBody::Append {
+                    prev_log_position: self.log.base(),
                     entries: Vec::new(),
-                    commit: self.commit,
+                    leader_commit: self.commit,
                     round,
                 },
                 None => return,
             }
         } else {
             let ahead = peer.next.0 - 1 - peer.matched.0;
-            let open = peer.answered && peer.writable && ahead < self.settings.window;
+            let open = peer.answered && peer.writable && ahead < self.settings.max_inflight_entries;
             let through = self.log.durable();
             let entries = if open {
                 self.log
-                    .slice(peer.next, through, self.settings.batch_bytes)
+                    .slice(peer.next, through, self.settings.max_append_bytes)
             } else {
                 Vec::new()
             };
@@ -113,10 +115,10 @@
                 return;
             };
             peer.next = Revision(peer.next.0 + entries.len() as u64);
-            Body::Append {
-                prev,
+            MessageBody::Append {
+                prev_log_position: prev,
                 entries,
-                commit: self.commit,
+                leader_commit: self.commit,
                 round,
             }
         };
@@ -128,7 +130,7 @@
         from: MemberId,
         round: u64,
         writable: bool,
-        outcome: Outcome,
+        outcome: AppendOutcome,
     ) {
         let Part::Leader(leader) = &mut self.part else {
             return;
@@ -141,9 +143,9 @@
         peer.writable = writable;
         peer.answered = true;
         match outcome {
-            Outcome::Matched(index) => peer.acknowledge(index),
-            Outcome::Conflict(index) => peer.back_off(next(index)),
-            Outcome::Blank => peer.back_off(Revision(0)),
+            AppendOutcome::Matched(index) => peer.acknowledge(index),
+            AppendOutcome::Conflict(index) => peer.back_off(next(index)),
+            AppendOutcome::Blank => peer.back_off(Revision(0)),
         }
     }
 }
--- a/crates/consensus/tests/harness/mod.rs
+++ b/crates/consensus/tests/harness/mod.rs
@@ -2,8 +2,8 @@
 //! must hold after every step.
 
 use consensus::{
-    Consensus, Entry, Envelope, Event, Group, GroupChange, Identity, Input, Output, Payload,
-    Restored, Settings, Status, Token, Write,
+    Completion, Consensus, DiskWrite, EntryPayload, Envelope, Group, GroupChange, Input, LogEntry,
+    MemberIdentity, Output, RequestToken, RestoredState, Settings, Status,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -18,8 +18,8 @@
 
 pub struct Node {
     pub member: Option<Consensus>,
-    pub disk: Restored,
-    pending: Option<Write>,
+    pub disk: RestoredState,
+    pending: Option<DiskWrite>,
     /// Inputs that wait while the process is frozen.
     waiting: Vec<Input>,
     pub frozen: bool,
@@ -44,12 +44,12 @@
     /// Pairs (from, to) whose messages are lost.
     pub cut: BTreeSet<(MemberId, MemberId)>,
     pub noise: Noise,
-    pub events: Vec<(MemberId, Event)>,
+    pub events: Vec<(MemberId, Completion)>,
     /// All that was ever committed, with its group.
-    pub committed: BTreeMap<Revision, Entry>,
-    pub accepted: BTreeMap<Token, Revision>,
+    pub committed: BTreeMap<Revision, LogEntry>,
+    pub accepted: BTreeMap<RequestToken, Revision>,
     /// The last index accepted when each open read was asked for.
-    reads: BTreeMap<Token, Revision>,
+    reads: BTreeMap<RequestToken, Revision>,
     leaders: BTreeMap<Term, MemberId>,
     random: u64,
     token: u64,
@@ -58,9 +58,9 @@
 impl Cluster {
     pub fn new(count: u64, seed: u64) -> Self {
         let mut cluster = Cluster::blank(count, seed);
-        let group = Group::of((1..=count).map(|id| (MemberId(id), address(MemberId(id)))));
+        let group = Group::from_voters((1..=count).map(|id| (MemberId(id), address(MemberId(id)))));
         for id in 1..=count {
-            cluster.input(MemberId(id), Input::Form(group.clone()));
+            cluster.input(MemberId(id), Input::Bootstrap(group.clone()));
         }
         cluster
     }
@@ -98,7 +98,7 @@
     pub fn join(&mut self, id: MemberId) {
         let node = Node {
             member: None,
-            disk: Restored::default(),
+            disk: RestoredState::default(),
             pending: None,
             waiting: Vec::new(),
             frozen: false,
@@ -123,7 +123,7 @@
 
     pub fn restart(&mut self, id: MemberId) {
         let seed = self.pick(1 << 40);
-        let me = Identity {
+        let me = MemberIdentity {
             id,
             address: address(id),
         };
@@ -181,19 +181,19 @@
             assert!(node.pending.is_none(), "{id} has two writes outstanding");
             node.pending = Some(write);
         }
-        if let Some(snapshot) = out.installed {
+        if let Some(snapshot) = out.installed_snapshot {
             node.applied = snapshot.position.index;
         }
-        for entry in out.committed {
+        for entry in out.committed_entries {
             assert_eq!(entry.index.0, node.applied.0 + 1, "{id} skips an entry");
             node.applied = entry.index;
             let first = self.committed.entry(entry.index).or_insert(entry.clone());
             assert_eq!(*first, entry, "a committed entry changed at {id}");
         }
-        for event in out.events {
-            if let Event::Accepted { token, index } = event {
+        for event in out.completions {
+            if let Completion::Accepted { token, index } = event {
                 self.accepted.insert(token, index);
-                if let Payload::Command(command) = &self.committed[&index].payload {
+                if let EntryPayload::Command(command) = &self.committed[&index].payload {
                     assert_eq!(
                         command[..],
                         token.0.to_be_bytes(),
@@ -202,7 +202,7 @@
                 }
                 self.assert_on_majority(id, index);
             }
-            if let Event::ReadConfirmed { token, index } = event {
+            if let Completion::ReadConfirmed { token, index } = event {
                 let asked = self.reads.remove(&token).expect("one answer");
                 assert!(index >= asked, "a stale read at {id}");
                 assert!(
@@ -274,7 +274,7 @@
             return self.input(id, Input::WriteFailed(write.id));
         }
         write_to(&mut node.disk, &write);
-        self.input(id, Input::Written(write.id));
+        self.input(id, Input::WriteSynced(write.id));
     }
 
     fn deliver(&mut self, envelope: Envelope) {
@@ -334,26 +334,26 @@
         panic!("no leader was elected");
     }
 
-    fn token(&mut self) -> Token {
+    fn token(&mut self) -> RequestToken {
         self.token += 1;
-        Token(self.token)
+        RequestToken(self.token)
     }
 
-    pub fn propose(&mut self, id: MemberId) -> Token {
+    pub fn propose(&mut self, id: MemberId) -> RequestToken {
         let token = self.token();
         let command = token.0.to_be_bytes().to_vec().into();
         self.input(id, Input::Propose { token, command });
         token
     }
 
-    pub fn change(&mut self, id: MemberId, change: GroupChange) -> Token {
+    pub fn change(&mut self, id: MemberId, change: GroupChange) -> RequestToken {
         let token = self.token();
         self.input(id, Input::ChangeGroup { token, change });
         token
     }
 
     /// Proposes until a proposal is accepted.
-    pub fn accept(&mut self) -> Token {
+    pub fn accept(&mut self) -> RequestToken {
         for _ in 0..20 {
             let leader = self.elect();
             let token = self.propose(leader);
@@ -378,7 +378,7 @@
         panic!("{change:?} was not accepted");
     }
 
-    pub fn ask_read(&mut self, id: MemberId) -> Token {
+    pub fn ask_read(&mut self, id: MemberId) -> RequestToken {
         let token = self.token();
         let accepted = self.accepted.values().max().copied();
         self.reads.insert(token, accepted.unwrap_or_default());
@@ -386,9 +386,8 @@
         token
     }
 
-    pub fn confirmed(&self, token: Token) -> bool {
-        let confirmed =
-            |event: &Event| matches!(event, Event::ReadConfirmed { token: t, .. } if *t == token);
+    pub fn confirmed(&self, token: RequestToken) -> bool {
+        let confirmed = |event: &Completion| matches!(event, Completion::ReadConfirmed { token: t, .. } if *t == token);
         self.events.iter().any(|(_, event)| confirmed(event))
     }
 
@@ -427,20 +426,28 @@
         let status = self.status(leader);
         for (id, _) in status.group.unwrap().members().collect::<Vec<_>>() {
             if self.nodes.contains_key(&id) {
-                assert_eq!(self.status(id).commit, status.commit, "{id} lags");
+                assert_eq!(
+                    self.status(id).commit_index,
+                    status.commit_index,
+                    "{id} lags"
+                );
             }
         }
         // Nothing that was accepted vanished.
-        assert!(self.accepted.values().all(|index| *index <= status.commit));
+        assert!(
+            self.accepted
+                .values()
+                .all(|index| *index <= status.commit_index)
+        );
     }
 }
 
-pub fn write_to(disk: &mut Restored, write: &Write) {
-    if let Some((term, vote)) = write.vote {
+pub fn write_to(disk: &mut RestoredState, write: &DiskWrite) {
+    if let Some((term, vote)) = write.term_and_vote {
         assert!(term >= disk.term, "the term on disk goes back");
         (disk.term, disk.vote) = (term, vote);
     }
-    if let Some(from) = write.from {
+    if let Some(from) = write.truncate_from {
         disk.entries.retain(|entry| entry.index < from);
     }
     if let Some(snapshot) = &write.snapshot {
--- a/crates/consensus/tests/rules.rs
+++ b/crates/consensus/tests/rules.rs
@@ -4,7 +4,8 @@
 
 use arbtest::arbtest;
 use consensus::{
-    Body, Entry, Event, GroupChange, Input, Message, Outcome, Payload, Position, Rejection, Role,
+    AppendOutcome, Completion, EntryPayload, GroupChange, Input, LogEntry, LogPosition, Message,
+    MessageBody, Rejection, Role,
 };
 use harness::{Cluster, Noise, address};
 use types::{MemberId, Revision, Term};
@@ -17,7 +18,7 @@
 
 const IDS: [MemberId; 4] = [MemberId(1), MemberId(2), MemberId(3), MemberId(4)];
 
-fn message(from: MemberId, to: MemberId, term: Term, body: Body) -> Input {
+fn message(from: MemberId, to: MemberId, term: Term, body: MessageBody) -> Input {
     Input::Message(Message {
         from,
         from_address: address(from),
@@ -27,29 +28,29 @@
     })
 }
 
-fn entry(index: u64, term: u64) -> Entry {
-    Entry {
+fn entry(index: u64, term: u64) -> LogEntry {
+    LogEntry {
         index: Revision(index),
         term: Term(term),
-        payload: Payload::Noop,
+        payload: EntryPayload::Noop,
     }
 }
 
 /// A heartbeat if empty; commits nothing.
-fn append(prev: Position, entries: Vec<Entry>) -> Body {
-    Body::Append {
-        prev,
+fn append(prev: LogPosition, entries: Vec<LogEntry>) -> MessageBody {
+    MessageBody::Append {
+        prev_log_position: prev,
         entries,
-        commit: Revision(0),
+        leader_commit: Revision(0),
         round: 1,
     }
 }
 
-fn answer(round: u64, matched: u64) -> Body {
-    let outcome = Outcome::Matched(Revision(matched));
-    Body::AppendReply {
+fn answer(round: u64, matched: u64) -> MessageBody {
+    let outcome = AppendOutcome::Matched(Revision(matched));
+    MessageBody::AppendReply {
         round,
-        writable: true,
+        disk_writable: true,
         outcome,
     }
 }
@@ -59,18 +60,18 @@
 fn candidate(cluster: &mut Cluster, term: u64) {
     cluster.now += std::time::Duration::from_secs(2);
     cluster.input(IDS[0], Input::Tick);
-    let granted = Body::PreVoteReply {
-        asked: Term(term),
+    let granted = MessageBody::PreVoteReply {
+        request_term: Term(term),
         granted: true,
     };
     cluster.input(IDS[0], message(IDS[2], IDS[0], Term(term), granted));
-    let granted = Body::VoteReply { granted: true };
+    let granted = MessageBody::VoteReply { granted: true };
     cluster.input(IDS[0], message(IDS[2], IDS[0], Term(term + 1), granted));
 }
 
-fn rejected(cluster: &Cluster, token: consensus::Token) -> Option<Rejection> {
+fn rejected(cluster: &Cluster, token: consensus::RequestToken) -> Option<Rejection> {
     cluster.events.iter().find_map(|(_, event)| match event {
-        Event::Rejected { token: t, reason } if *t == token => Some(*reason),
+        Completion::Rejected { token: t, reason } if *t == token => Some(*reason),
         _ => None,
     })
 }
@@ -113,7 +114,7 @@
         .drain(..)
         .map(|envelope| envelope.message.body);
     let rounds = sent.filter_map(|body| match body {
-        Body::Append { round, .. } => Some(round),
+        MessageBody::Append { round, .. } => Some(round),
         _ => None,
     });
     let round = rounds.max().unwrap();
@@ -312,8 +313,18 @@
         cluster.sync(id);
     }
     let (voter, candidate, term) = (MemberId(1), MemberId(2), Term(1));
-    let last = Position::default();
-    cluster.input(voter, message(candidate, voter, term, Body::Vote { last }));
+    let last = LogPosition::default();
+    cluster.input(
+        voter,
+        message(
+            candidate,
+            voter,
+            term,
+            MessageBody::Vote {
+                last_log_position: last,
+            },
+        ),
+    );
     assert!(cluster.queue.is_empty(), "the vote is not synced");
     cluster.sync(voter);
     assert_eq!(cluster.queue.len(), 1);
@@ -323,25 +334,45 @@
     cluster.input(voter, message(candidate, voter, term, append));
     assert!(cluster.queue.is_empty(), "the entry is not synced");
     cluster.sync(voter);
-    let Body::AppendReply { outcome, .. } = cluster.queue[0].message.body else {
+    let MessageBody::AppendReply { outcome, .. } = cluster.queue[0].message.body else {
         panic!("not an acknowledgement");
     };
-    assert_eq!(outcome, Outcome::Matched(Revision(1)));
+    assert_eq!(outcome, AppendOutcome::Matched(Revision(1)));
     // One vote in a term, also after a restart.
     cluster.kill(voter);
     cluster.restart(voter);
     cluster.queue.clear();
     let rival = MemberId(3);
-    let last = Position {
+    let last = LogPosition {
         term,
         index: Revision(9),
     };
-    cluster.input(voter, message(rival, voter, term, Body::Vote { last }));
-    let refused = Body::VoteReply { granted: false };
+    cluster.input(
+        voter,
+        message(
+            rival,
+            voter,
+            term,
+            MessageBody::Vote {
+                last_log_position: last,
+            },
+        ),
+    );
+    let refused = MessageBody::VoteReply { granted: false };
     assert_eq!(cluster.queue[0].message.body, refused);
     // Nor a vote for a candidate that lacks the entry.
-    let last = Position::default();
-    cluster.input(voter, message(rival, voter, Term(2), Body::Vote { last }));
+    let last = LogPosition::default();
+    cluster.input(
+        voter,
+        message(
+            rival,
+            voter,
+            Term(2),
+            MessageBody::Vote {
+                last_log_position: last,
+            },
+        ),
+    );
     cluster.sync(voter);
     assert_eq!(cluster.queue[1].message.body, refused);
 }
@@ -361,7 +392,7 @@
 
     let mut cluster = Cluster::new(3, 6);
     cluster.sync(id);
-    let start = Position::default();
+    let start = LogPosition::default();
     let old = append(start, vec![entry(1, 1), entry(2, 1)]);
     cluster.input(id, message(a, id, Term(1), old));
     cluster.sync(id);
@@ -389,7 +420,7 @@
     for id in [leader, a, b] {
         cluster.sync(id);
     }
-    let append = append(Position::default(), vec![entry(1, 1)]);
+    let append = append(LogPosition::default(), vec![entry(1, 1)]);
     cluster.input(leader, message(a, leader, Term(1), append));
     cluster.sync(leader);
     candidate(&mut cluster, 1);
@@ -401,11 +432,11 @@
     cluster.input(leader, message(b, leader, Term(2), answer(1, 1)));
     cluster.input(leader, message(b, leader, Term(2), answer(2, 1)));
     cluster.sync(leader);
-    assert_eq!(cluster.status(leader).commit, Revision(0));
+    assert_eq!(cluster.status(leader).commit_index, Revision(0));
     // What an earlier leader committed is not known here yet.
     assert!(!cluster.confirmed(read));
     cluster.input(leader, message(b, leader, Term(2), answer(2, 2)));
-    assert_eq!(cluster.status(leader).commit, Revision(2));
+    assert_eq!(cluster.status(leader).commit_index, Revision(2));
     assert!(cluster.confirmed(read));
 }
 
@@ -446,8 +477,8 @@
     cluster.turns(200);
     assert!(cluster.status(blank).is_blank());
     assert_eq!(cluster.status(blank).term, Term(0));
-    let body = Body::Vote {
-        last: Position::default(),
+    let body = MessageBody::Vote {
+        last_log_position: LogPosition::default(),
     };
     let Input::Message(mut stray) = message(MemberId(1), MemberId(8), Term(7), body) else {
         unreachable!()
--- a/crates/control/src/process/group.rs
+++ b/crates/control/src/process/group.rs
@@ -8,7 +8,8 @@
 use bytes::Bytes;
 use config::State;
 use consensus::{
-    Consensus, Entry, Event, Group, Input, Message, Output, Payload, Snapshot, Status, Token,
+    Completion, Consensus, EntryPayload, Group, Input, LogEntry, Message, Output, RequestToken,
+    Snapshot, Status,
 };
 use rand::Rng;
 use store::Report;
@@ -64,7 +65,7 @@
     consensus: Consensus,
     state: State,
     leadership: Option<Leadership>,
-    pending: BTreeMap<Token, Pending>,
+    pending: BTreeMap<RequestToken, Pending>,
     next_token: u64,
     /// Answers to entries of this leadership, until their proposals are
     /// reported as accepted.
@@ -166,7 +167,7 @@
     fn handle(&mut self, command: GroupCommand) -> Result<()> {
         match command {
             GroupCommand::Message(message) => self.step(Input::Message(message)),
-            GroupCommand::Form(group) => self.step(Input::Form(group)),
+            GroupCommand::Form(group) => self.step(Input::Bootstrap(group)),
             GroupCommand::Hello(tx) => {
                 let status = self.consensus.status();
                 // Whoever asked may be gone.
@@ -201,14 +202,14 @@
         self.metrics.syncs.set(gauge(report.syncs));
         self.metrics.disk_failed.set(i64::from(!report.synced));
         self.step(if report.synced {
-            Input::Written(report.id)
+            Input::WriteSynced(report.id)
         } else {
             Input::WriteFailed(report.id)
         })
     }
 
-    fn expect(&mut self, pending: Pending) -> Token {
-        let token = Token(self.next_token);
+    fn expect(&mut self, pending: Pending) -> RequestToken {
+        let token = RequestToken(self.next_token);
         self.next_token += 1;
         self.pending.insert(token, pending);
         token
@@ -256,7 +257,7 @@
         let status = self.consensus.status();
         self.note_leadership(&status);
         self.carry_out(output)?;
-        self.compact(status.commit)
+        self.compact(status.commit_index)
     }
 
     fn carry_out(&mut self, output: Output) -> Result<()> {
@@ -270,14 +271,14 @@
         for envelope in output.messages {
             self.peers.send(envelope);
         }
-        if let Some(snapshot) = &output.installed {
+        if let Some(snapshot) = &output.installed_snapshot {
             self.load(snapshot)?;
         }
-        for entry in output.committed {
+        for entry in output.committed_entries {
             self.apply(&entry)?;
         }
         self.inform_registry();
-        for event in output.events {
+        for event in output.completions {
             self.resolve(&event);
         }
         Ok(())
@@ -287,7 +288,7 @@
     fn note_leadership(&mut self, status: &Status) {
         self.metrics.leader.set(i64::from(status.is_leader()));
         self.metrics.term.set(gauge(status.term.0));
-        self.metrics.commit.set(gauge(status.commit.0));
+        self.metrics.commit.set(gauge(status.commit_index.0));
         let term = self.leadership.as_ref().map(|l| l.term);
         if status.is_leader() && term != Some(status.term) {
             log::info!(event = "leader", term:% = status.term; "leads the control group");
@@ -322,8 +323,8 @@
 
     /// Applies an entry. One that cannot be read ends the process: to skip it
     /// would make this host's configuration differ from the others'.
-    fn apply(&mut self, entry: &Entry) -> Result<()> {
-        let Payload::Command(command) = &entry.payload else {
+    fn apply(&mut self, entry: &LogEntry) -> Result<()> {
+        let EntryPayload::Command(command) = &entry.payload else {
             return Ok(());
         };
         let Command { at, req } =
@@ -349,9 +350,9 @@
         leadership.learn(&self.state);
     }
 
-    fn resolve(&mut self, event: &Event) {
+    fn resolve(&mut self, event: &Completion) {
         match *event {
-            Event::Accepted { token, index } => {
+            Completion::Accepted { token, index } => {
                 let answer = self.answers.remove(&index);
                 match (self.pending.remove(&token), answer) {
                     (Some(Pending::Change(tx)), Some(answer)) => {
@@ -367,7 +368,7 @@
                     (None, _) => {}
                 }
             }
-            Event::Rejected { token, reason } => {
+            Completion::Rejected { token, reason } => {
                 if let Some(pending) = self.pending.remove(&token) {
                     if let (Pending::Group(call, _), Some(refused)) = (&pending, refusal(reason)) {
                         self.note(call.clone(), Some(refused));
@@ -375,12 +376,12 @@
                     pending.reject(reason);
                 }
             }
-            Event::Lost { token } => {
+            Completion::OutcomeUnknown { token } => {
                 if let Some(pending) = self.pending.remove(&token) {
                     pending.lose();
                 }
             }
-            Event::ReadConfirmed { token, .. } => self.answer_read(token),
+            Completion::ReadConfirmed { token, .. } => self.answer_read(token),
         }
     }
 
@@ -399,7 +400,7 @@
     }
 
     /// Answers a read that a majority has confirmed.
-    fn answer_read(&mut self, token: Token) {
+    fn answer_read(&mut self, token: RequestToken) {
         let Some(pending) = self.pending.remove(&token) else {
             return;
         };
--- a/crates/replica/src/process/group.rs
+++ b/crates/replica/src/process/group.rs
@@ -10,8 +10,8 @@
 use bytes::Bytes;
 use config::State;
 use consensus::{
-    Consensus, Entry, Envelope, Event, Group, GroupChange, Input, Message, Output, Payload,
-    Rejection, Snapshot, Status, Token,
+    Completion, Consensus, EntryPayload, Envelope, Group, GroupChange, Input, LogEntry, Message,
+    Output, Rejection, RequestToken, Snapshot, Status,
 };
 use tokio::{
     sync::{mpsc, oneshot, watch},
@@ -24,7 +24,7 @@
 use crate::{
     Error, Result,
     request::{Command, Pending},
-    version::{Heard, Steward},
+    version::{ControlHostContact, MembershipPolicy},
 };
 
 /// Pause between two looks at the group by its leader.
@@ -40,7 +40,7 @@
     /// A read of the routing set.
     Read(oneshot::Sender<QueryReply>),
     /// The control hosts that were heard.
-    Heard(BTreeMap<MemberId, Heard>),
+    Heard(BTreeMap<MemberId, ControlHostContact>),
     /// The first group.
     Form(Group),
 }
@@ -48,14 +48,14 @@
 /// The task that owns the consensus and the configuration.
 pub(crate) struct GroupTask {
     cfg: Settings,
-    steward: Steward,
+    steward: MembershipPolicy,
     consensus: Consensus,
     state: State,
-    pending: BTreeMap<Token, Pending>,
+    pending: BTreeMap<RequestToken, Pending>,
     next_token: u64,
     /// Answers to entries, until their proposals are reported as accepted.
     answers: BTreeMap<Revision, Answer>,
-    heard: BTreeMap<MemberId, Heard>,
+    heard: BTreeMap<MemberId, ControlHostContact>,
     review_at: Instant,
     /// When the log is to be replaced by a snapshot, if it has grown.
     compact_at: Option<Instant>,
@@ -100,7 +100,7 @@
         metrics: Metrics,
     ) -> Result<Self> {
         let mut task = GroupTask {
-            steward: Steward::new(cfg.steward),
+            steward: MembershipPolicy::new(cfg.membership),
             cfg,
             consensus,
             state: State::default(),
@@ -130,9 +130,9 @@
             let deadline = self.next_deadline();
             tokio::select! {
                 report = self.disk.reports.recv() => match report {
-                    Some(report) if report.synced => self.step(Input::Written(report.id))?,
+                    Some(report) if report.synced => self.step(Input::WriteSynced(report.id))?,
                     Some(report) => self.step(Input::WriteFailed(report.id))?,
-                    None => return Err(Error::DiskEnded),
+                    None => return Err(Error::DiskThreadEnded),
                 },
                 command = self.commands.recv() => match command {
                     Some(command) => self.handle(command)?,
@@ -160,7 +160,7 @@
                 let token = self.expect(Pending::Read(tx));
                 self.step(Input::ConfirmRead { token })
             }
-            GroupCommand::Form(group) => self.step(Input::Form(group)),
+            GroupCommand::Form(group) => self.step(Input::Bootstrap(group)),
             GroupCommand::Heard(heard) => {
                 self.heard = heard;
                 Ok(())
@@ -168,8 +168,8 @@
         }
     }
 
-    fn expect(&mut self, pending: Pending) -> Token {
-        let token = Token(self.next_token);
+    fn expect(&mut self, pending: Pending) -> RequestToken {
+        let token = RequestToken(self.next_token);
         self.next_token += 1;
         self.pending.insert(token, pending);
         token
@@ -202,19 +202,19 @@
         if let Some(write) = output.write {
             // At most one write is outstanding, so the queue has room.
             let sent = self.disk.writes.try_send(write);
-            sent.map_err(|_| Error::DiskEnded)?;
+            sent.map_err(|_| Error::DiskThreadEnded)?;
         }
         for envelope in output.messages {
             // A full queue loses the message; the consensus repeats it.
             let _ = self.outgoing.try_send(envelope);
         }
-        if let Some(snapshot) = &output.installed {
+        if let Some(snapshot) = &output.installed_snapshot {
             self.load(snapshot)?;
         }
-        for entry in output.committed {
+        for entry in output.committed_entries {
             self.apply(&entry)?;
         }
-        for event in output.events {
+        for event in output.completions {
             self.resolve(&event);
         }
         Ok(())
@@ -224,7 +224,7 @@
         let status = self.consensus.status();
         self.metrics.leader.set(i64::from(status.is_leader()));
         self.metrics.term.set(gauge(status.term.0));
-        self.metrics.commit.set(gauge(status.commit.0));
+        self.metrics.commit.set(gauge(status.commit_index.0));
         let voters = status.group.as_ref().map_or(0, |group| group.voters.len());
         self.metrics.voters.set(gauge(voters as u64));
         let members = status.group.iter().flat_map(Group::members);
@@ -245,7 +245,7 @@
         }
         log::info!(
             event = "group", leads = u64::from(status.is_leader()), term:% = status.term,
-            voters = voters, commit:% = status.commit;
+            voters = voters, commit:% = status.commit_index;
             "leadership or members of the control group changed"
         );
         if !status.is_leader() {
@@ -283,12 +283,12 @@
 
     /// Applies an entry. One that cannot be read ends the process: to skip it
     /// would make this host's configuration differ from the others'.
-    fn apply(&mut self, entry: &Entry) -> Result<()> {
-        let Payload::Command(command) = &entry.payload else {
+    fn apply(&mut self, entry: &LogEntry) -> Result<()> {
+        let EntryPayload::Command(command) = &entry.payload else {
             return Ok(());
         };
         let Command { at, req } =
-            wire::decode(command).map_err(|e| Error::Entry(entry.index, e))?;
+            wire::decode(command).map_err(|e| Error::DecodeEntry(entry.index, e))?;
         let answer = self.state.apply(entry.index, at, &req);
         let label = match answer {
             Answer::Accepted(_) => "accepted",
@@ -304,13 +304,13 @@
             self.answers.insert(entry.index, answer);
         }
         self.publish();
-        self.compact_at = Some(Instant::now() + self.cfg.compact_after);
+        self.compact_at = Some(Instant::now() + self.cfg.compaction_delay);
         Ok(())
     }
 
-    fn resolve(&mut self, event: &Event) {
+    fn resolve(&mut self, event: &Completion) {
         match *event {
-            Event::Accepted { token, index } => {
+            Completion::Accepted { token, index } => {
                 let answer = self.answers.remove(&index);
                 if let Some(Pending::Change(tx)) = self.pending.remove(&token) {
                     let reply = answer.map_or(ChangeReply::Unknown, ChangeReply::Final);
@@ -318,15 +318,15 @@
                     let _ = tx.send(reply);
                 }
             }
-            Event::Rejected { token, reason } => self.reject(token, reason),
-            Event::Lost { token } => match self.pending.remove(&token) {
+            Completion::Rejected { token, reason } => self.reject(token, reason),
+            Completion::OutcomeUnknown { token } => match self.pending.remove(&token) {
                 Some(Pending::Change(tx)) => drop(tx.send(ChangeReply::Unknown)),
                 Some(Pending::Read(tx)) => {
                     drop(tx.send(QueryReply::NotLeader { leader: None }));
                 }
                 Some(Pending::Group) | None => {}
             },
-            Event::ReadConfirmed { token, .. } => {
+            Completion::ReadConfirmed { token, .. } => {
                 if let Some(Pending::Read(tx)) = self.pending.remove(&token) {
                     let _ = tx.send(QueryReply::Routes(self.state.routes().cloned()));
                 }
@@ -334,7 +334,7 @@
         }
     }
 
-    fn reject(&mut self, token: Token, reason: Rejection) {
+    fn reject(&mut self, token: RequestToken, reason: Rejection) {
         let leader = match reason {
             Rejection::NotLeader { leader } => leader.map(|(_, address)| address),
             _ => None,
@@ -381,7 +381,7 @@
         }
         let group = status.group.as_ref()?;
         self.steward
-            .next(status.id, group, &status.caught_up, &self.heard, now)
+            .next_change(status.id, group, &status.caught_up, &self.heard, now)
     }
 
     fn change_group(&mut self, change: GroupChange) -> Result<()> {
--- a/crates/replica/src/process/run.rs
+++ b/crates/replica/src/process/run.rs
@@ -2,7 +2,7 @@
 
 use std::{cell::RefCell, future::Future, net::Ipv4Addr, rc::Rc, time::Instant};
 
-use consensus::{Consensus, Identity};
+use consensus::{Consensus, MemberIdentity};
 use net::ServerLimits;
 use prometheus::Registry;
 use rand::Rng;
@@ -13,7 +13,7 @@
 };
 
 use super::{
-    Replica, Settings, group, group::Standing, http::Interface, metrics::Metrics, nodes,
+    ReplicaHandle, Settings, group, group::Standing, http::Interface, metrics::Metrics, nodes,
     nodes::NodeTask, transport,
 };
 use crate::{Error, Result, version::RouteHistory};
@@ -31,7 +31,7 @@
     cfg: Settings,
     registry: &Registry,
     stop: watch::Receiver<bool>,
-) -> Result<(Replica, impl Future<Output = Result<()>> + use<>)> {
+) -> Result<(ReplicaHandle, impl Future<Output = Result<()>> + use<>)> {
     let metrics = Metrics::new(registry)?;
     let (store, found) = store::open(Dir::new(&cfg.data_dir)?)?;
     let disk = store::start(store)?;
@@ -41,7 +41,7 @@
         event = "control_started", member:% = member, address:% = cfg.member_address(),
         blank = u64::from(blank), bootstrap = u64::from(cfg.bootstrap); "control host started"
     );
-    let me = Identity {
+    let me = MemberIdentity {
         id: member,
         address: cfg.member_address().into(),
     };
@@ -105,7 +105,7 @@
     ));
     actix_rt::spawn(node_task.run());
     actix_rt::spawn(net::serve(listener, interface, ServerLimits::default()));
-    let replica = Replica {
+    let replica = ReplicaHandle {
         group: commands_tx,
         metrics,
     };
@@ -118,7 +118,7 @@
 /// # Errors
 ///
 /// The socket cannot be used.
-pub fn observe(
+pub fn start_observer(
     cfg: Settings,
     registry: &Registry,
     stop: watch::Receiver<bool>,
--- a/crates/store/tests/store.rs
+++ b/crates/store/tests/store.rs
@@ -1,7 +1,7 @@
 //! The data folder keeps what was synced, through faults and restarts.
 
 use arbtest::arbtest;
-use consensus::{Entry, Group, Payload, Position, Snapshot, Write, WriteId};
+use consensus::{DiskWrite, EntryPayload, Group, LogEntry, LogPosition, Snapshot, WriteId};
 use std::collections::BTreeMap;
 use std::io;
 use std::sync::{Arc, Mutex};
@@ -158,19 +158,19 @@
     }
 }
 
-fn entry(index: u64, term: u64) -> Entry {
-    Entry {
+fn entry(index: u64, term: u64) -> LogEntry {
+    LogEntry {
         index: Revision(index),
         term: Term(term),
-        payload: Payload::Command(vec![u8::try_from(index % 251).unwrap(); 40].into()),
+        payload: EntryPayload::Command(vec![u8::try_from(index % 251).unwrap(); 40].into()),
     }
 }
 
-fn append(from: u64, count: u64, term: u64) -> Write {
-    Write {
+fn append(from: u64, count: u64, term: u64) -> DiskWrite {
+    DiskWrite {
         id: WriteId(from),
-        vote: Some((Term(term), None)),
-        from: Some(Revision(from)),
+        term_and_vote: Some((Term(term), None)),
+        truncate_from: Some(Revision(from)),
         snapshot: None,
         entries: (from..from + count)
             .map(|index| entry(index, term))
@@ -178,12 +178,12 @@
     }
 }
 
-fn snapshot(index: u64, term: u64) -> Write {
-    Write {
-        vote: None,
-        from: None,
+fn snapshot(index: u64, term: u64) -> DiskWrite {
+    DiskWrite {
+        term_and_vote: None,
+        truncate_from: None,
         snapshot: Some(Snapshot {
-            position: Position {
+            position: LogPosition {
                 term: Term(term),
                 index: Revision(index),
             },
@@ -322,11 +322,11 @@
     let disk = Memory::default();
     let (mut store, _) = open(disk.clone()).unwrap();
     let mut large = append(1, 2, 3);
-    large.entries[0].payload = Payload::Command(vec![1; 5 << 20].into());
-    large.vote = Some((Term(3), Some(MemberId(8))));
+    large.entries[0].payload = EntryPayload::Command(vec![1; 5 << 20].into());
+    large.term_and_vote = Some((Term(3), Some(MemberId(8))));
     store.apply(&[large]).unwrap();
     let mut plain = append(3, 1, 3);
-    plain.vote = None;
+    plain.term_and_vote = None;
     store.apply(&[plain]).unwrap();
     store.apply(&[snapshot(2, 3)]).unwrap();
     let names: Vec<String> = disk.0.lock().unwrap().files.keys().cloned().collect();
@@ -350,14 +350,14 @@
     let disk = Memory::default();
     let (mut store, _) = open(disk.clone()).unwrap();
     store.apply(&[append(1, 12, 1)]).unwrap();
-    let install = Write {
-        from: Some(Revision(11)),
+    let install = DiskWrite {
+        truncate_from: Some(Revision(11)),
         ..snapshot(10, 4)
     };
     store.apply(std::slice::from_ref(&install)).unwrap();
     assert_eq!(indexes(&reopen(&disk).1), []);
     let entries = vec![entry(11, 4)];
-    store.apply(&[Write { entries, ..install }]).unwrap();
+    store.apply(&[DiskWrite { entries, ..install }]).unwrap();
     let found = reopen(&disk).1;
     assert_eq!(indexes(&found), [11]);
     assert_eq!(found.restored.entries[0].term, Term(4));
