--- a/crates/flow/src/connection/flow.rs
+++ b/crates/flow/src/connection/flow.rs
@@ -1,44 +1,45 @@
-//! A flow as its agent sees it.
+//! State of one flow in the flow table of an agent.
 
 use std::{net::SocketAddrV4, time::Instant};
 
 use crate::Segment;
 
-/// How far a flow has come.
+/// State of a flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Stage {
-    /// The opening datagram went to the upstream.
+    /// The opening datagram was delivered to the upstream.
     Opening,
-    /// The upstream has agreed, or has sent on the flow.
+    /// The upstream accepted the flow or sent data on it.
     Open,
-    /// A datagram was tried; the upstream has not reacted yet.
-    Tried,
-    /// Both ends have said that they end, or one has reset the flow.
+    /// A datagram was delivered without knowing whether the upstream holds the
+    /// flow; the upstream has not answered yet.
+    Unconfirmed,
+    /// Both ends have closed the flow, or one of them has reset it.
     Closed,
-    /// The upstream does not hold the flow any more.
+    /// The upstream has lost the flow, for example by a restart.
     Lost,
-    /// The upstream has returned a datagram that was tried.
-    Foreign,
+    /// The upstream returned a datagram of the flow: it does not hold the flow.
+    NotHeld,
 }
 
-/// A flow as its agent sees it.
+/// State of a flow, built from the datagrams of both directions.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Flow {
     pub stage: Stage,
-    /// Number of the opening datagram, if it was seen.
-    pub opening: Option<u32>,
-    /// First number of the upstream and the one after its last byte, if its
-    /// agreement was seen.
-    pub upstream_seq: Option<(u32, u32)>,
-    /// Highest number of the caller's data so far.
+    /// Sequence number of the opening datagram, if it was seen.
+    pub opening_seq: Option<u32>,
+    /// Initial sequence number of the upstream and the sequence number after
+    /// its last byte, if its answer to the opening datagram was seen.
+    pub upstream_range: Option<(u32, u32)>,
+    /// Highest sequence number of the caller's data.
     pub caller_seq: Option<u32>,
     /// A request waits for the first byte of its answer.
-    pub waiting: bool,
+    pub awaiting_answer: bool,
     pub caller_ended: bool,
     pub upstream_ended: bool,
     pub opened_at: Instant,
-    pub last: Instant,
-    /// The balancer that took the caller's last datagram.
+    pub last_datagram_at: Instant,
+    /// The balancer that forwarded the caller's last datagram.
     pub via: Option<SocketAddrV4>,
 }
 
@@ -46,24 +47,25 @@
     pub fn new(stage: Stage, now: Instant) -> Self {
         Flow {
             stage,
-            opening: None,
-            upstream_seq: None,
+            opening_seq: None,
+            upstream_range: None,
             caller_seq: None,
-            waiting: false,
+            awaiting_answer: false,
             caller_ended: false,
             upstream_ended: false,
             opened_at: now,
-            last: now,
+            last_datagram_at: now,
             via: None,
         }
     }
 
-    /// Whether the caller acknowledges what this upstream has sent. Two
-    /// upstreams may have answered copies of one opening datagram; the caller
-    /// goes on with one of them.
-    pub fn fits(&self, seg: &Segment) -> bool {
-        match self.upstream_seq {
-            // The numbers also count the opening and the end.
+    /// Whether the acknowledgement is within the range that this upstream has
+    /// sent. Copies of one opening datagram may reach two upstreams; the caller
+    /// continues with only one of them.
+    pub fn acknowledges_upstream(&self, seg: &Segment) -> bool {
+        match self.upstream_range {
+            // The opening and the closing datagram take one sequence number
+            // each.
             Some((first, next)) if seg.acknowledges => {
                 let sent = next.wrapping_sub(first) + 2;
                 seg.ack.wrapping_sub(first) <= sent
@@ -72,13 +74,14 @@
         }
     }
 
-    pub fn note_upstream(&mut self, seg: &Segment) {
-        // A copy of the agreement does not take back what was sent since.
-        let first = self.upstream_seq.map(|(first, _)| first);
+    pub fn record_upstream_data(&mut self, seg: &Segment) {
+        // A retransmitted answer to the opening datagram must not reset the
+        // range.
+        let first = self.upstream_range.map(|(first, _)| first);
         if seg.opens && first != Some(seg.seq) {
-            self.upstream_seq = Some((seg.seq, seg.seq));
+            self.upstream_range = Some((seg.seq, seg.seq));
         }
-        if let Some((first, next)) = &mut self.upstream_seq {
+        if let Some((first, next)) = &mut self.upstream_range {
             let end = seg.seq.wrapping_add(u32::from(seg.len));
             if end.wrapping_sub(*first) > next.wrapping_sub(*first) {
                 *next = end;
@@ -86,8 +89,9 @@
         }
     }
 
-    /// Notes the caller's data; a higher number starts or goes on with a request.
-    pub fn note_caller(&mut self, seg: &Segment) {
+    /// Records data of the caller. A higher sequence number starts or continues
+    /// a request.
+    pub fn record_caller_data(&mut self, seg: &Segment) {
         self.caller_ended |= seg.ends;
         if seg.len == 0 {
             return;
@@ -95,14 +99,14 @@
         let newer = |seq: u32| seg.seq.wrapping_sub(seq) < u32::MAX / 2 && seg.seq != seq;
         if self.caller_seq.is_none_or(newer) {
             self.caller_seq = Some(seg.seq);
-            self.waiting = true;
+            self.awaiting_answer = true;
         }
     }
 
-    pub fn note_end(&mut self) {
+    pub fn close_if_both_ended(&mut self) {
         if self.caller_ended && self.upstream_ended {
             self.stage = Stage::Closed;
-            self.waiting = false;
+            self.awaiting_answer = false;
         }
     }
 }
--- a/crates/flow/src/connection/key.rs
+++ b/crates/flow/src/connection/key.rs
@@ -1,21 +1,21 @@
-//! Identity of a flow.
+//! Address pair that identifies a flow.
 
 use std::{fmt, net::SocketAddrV4};
 
 use serde::{Deserialize, Serialize};
 use twox_hash::XxHash64;
 
-/// The two ends of a flow as the caller sees them.
+/// The addresses of both ends of a flow, as the caller sees them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct FlowTuple {
-    /// The caller's address.
+    /// Address of the caller.
     pub caller: SocketAddrV4,
-    /// The address that the caller sends to.
+    /// The service address that the caller sends to.
     pub service: SocketAddrV4,
 }
 
 impl FlowTuple {
-    /// A hash that is equal on every host.
+    /// A hash that is the same on every host and in every process.
     #[must_use]
     pub fn stable_hash(&self) -> u64 {
         let mut bytes = [0; 12];
--- a/crates/flow/src/connection/mod.rs
+++ b/crates/flow/src/connection/mod.rs
@@ -1,4 +1,4 @@
-//! What lasts for a flow.
+//! Types that live as long as a flow.
 
 mod flow;
 mod key;
--- a/crates/flow/src/connection/segment.rs
+++ b/crates/flow/src/connection/segment.rs
@@ -1,34 +1,34 @@
-//! What a codec reads from a datagram.
+//! Header fields of a datagram, decoded by a codec.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 use super::FlowTuple;
 
-/// The header of a datagram, as far as decisions need it.
+/// The header fields that the decisions need.
 #[expect(clippy::struct_excessive_bools, reason = "each is a bit of the header")]
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Segment {
-    /// The end that wrote the datagram.
+    /// Address of the sender.
     pub source: SocketAddrV4,
-    /// The end that it is for.
+    /// Address of the receiver.
     pub destination: SocketAddrV4,
-    /// Number of the first byte of data.
+    /// Sequence number of the first byte of data.
     pub seq: u32,
-    /// The next byte expected from the other end, if `acknowledges`; in an
-    /// opening datagram the number of its copy.
+    /// Next sequence number expected from the other end, if `acknowledges` is
+    /// set. In an opening datagram, the number of its retransmission.
     pub ack: u32,
-    /// Bytes of data.
+    /// Length of the data in bytes.
     pub len: u16,
-    /// Opens a flow, or agrees to that if it also acknowledges.
+    /// Opens a flow; together with `acknowledges`, accepts it.
     pub opens: bool,
     /// `ack` holds an acknowledgement.
     pub acknowledges: bool,
-    /// The sender has nothing more to send.
+    /// The sender closes its direction.
     pub ends: bool,
-    /// The flow does not exist or is broken off.
+    /// Resets the flow.
     pub resets: bool,
-    /// An upstream returns the datagram: it does not hold the flow, or cannot
-    /// accept it. The ends are those of the original.
+    /// An upstream returns the datagram because it does not hold the flow or
+    /// cannot accept it. `source` and `destination` are those of the original.
     pub bounced: bool,
 }
 
@@ -51,7 +51,7 @@
 }
 
 impl Segment {
-    /// The flow of a datagram that a caller wrote.
+    /// Addresses of the flow, if a caller sent the datagram.
     #[must_use]
     pub fn key_from_caller(&self) -> FlowTuple {
         FlowTuple {
@@ -60,7 +60,7 @@
         }
     }
 
-    /// The flow of a datagram that an upstream wrote.
+    /// Addresses of the flow, if an upstream sent the datagram.
     #[must_use]
     pub fn key_from_upstream(&self) -> FlowTuple {
         FlowTuple {
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Whether a caller asks for a new flow.
+    /// Whether a caller opens a flow with this datagram.
     #[must_use]
     pub fn is_opening(&self) -> bool {
         self.opens && !self.acknowledges
--- a/crates/flow/src/process/flow_table.rs
+++ b/crates/flow/src/process/flow_table.rs
@@ -1,4 +1,4 @@
-//! What an agent knows of the flows of its upstream.
+//! Flow table of an agent.
 
 use std::{
     collections::BTreeMap,
@@ -14,23 +14,24 @@
     connection::{Flow, Stage},
 };
 
-/// Times and bounds of a [`FlowTable`].
+/// Timeouts and limits of a [`FlowTable`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FlowTableSettings {
-    /// A flow without a datagram for this long is forgotten. Above the time
-    /// after which the ends of a flow discard it.
+    /// An open flow without a datagram for this long is removed. It is longer
+    /// than the timeout after which the ends of a flow discard it.
     pub idle_timeout: Duration,
-    /// A closed flow is kept for this long, for copies of its last datagrams.
+    /// A closed flow is kept for this long, for retransmissions of its last
+    /// datagrams.
     pub linger_timeout: Duration,
-    /// After a start, flows that the upstream may hold from before are looked
-    /// for during this time: the longest pause of an open flow.
+    /// After a start, the table accepts flows that the upstream may hold from
+    /// before, for this long: the longest pause in an open flow.
     pub recovery_period: Duration,
-    /// An upstream that left an opening datagram unanswered for this long
-    /// counts as silent. A living one answers within a few milliseconds.
+    /// An upstream that leaves an opening datagram unanswered for this long
+    /// counts as unresponsive. A healthy one answers within a few milliseconds.
     pub response_timeout: Duration,
-    /// A silent upstream is given one opening datagram in this time.
+    /// An unresponsive upstream gets one opening datagram per interval.
     pub probe_interval: Duration,
-    /// Flows kept at most; beyond that nothing new is accepted.
+    /// Maximum number of flows; above it, no new flow is accepted.
     pub max_flows: usize,
 }
 
@@ -47,40 +48,41 @@
     }
 }
 
-/// What an agent is told of its upstream.
+/// State of the upstream, as its agent learns it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct UpstreamStatus {
-    /// Differs for each run of the upstream; `None` while it has not announced
-    /// itself and is only known to listen.
+    /// Differs for each run of the upstream; `None` if it is only known to
+    /// listen and has not announced itself.
     pub incarnation: Option<u64>,
-    /// Requests that it serves at a time.
+    /// Number of requests that it serves concurrently.
     pub slots: Slots,
-    /// Whether it takes new flows: it is neither leaving nor gone.
+    /// Whether it accepts new flows: it is neither draining nor stopped.
     pub accepting: bool,
-    /// It started before its agent, so it may hold flows that the agent has
-    /// never seen.
+    /// The upstream started before its agent, so it may hold flows that the
+    /// agent has never seen.
     pub started_before_agent: bool,
-    /// It is slow after its start until then.
+    /// The upstream responds slowly after its start, until this instant.
     pub slow_start_until: Option<Instant>,
 }
 
 impl UpstreamStatus {
-    /// An upstream that listens and has not announced itself yet. An agent that
-    /// has restarted need not wait for that to give it flows.
+    /// An upstream that listens and has not announced itself. A restarted agent
+    /// can then give it flows without waiting for the announcement.
     #[must_use]
     pub fn listening() -> Self {
-        /// As few slots as an upstream may have and still serve two callers.
-        const ASSUMED: Slots = Slots(2);
+        /// The smallest number of slots that serves two callers at a time.
+        const ASSUMED_SLOTS: Slots = Slots(2);
         UpstreamStatus {
             incarnation: None,
-            slots: ASSUMED,
+            slots: ASSUMED_SLOTS,
             accepting: true,
             started_before_agent: true,
             slow_start_until: None,
         }
     }
 
-    /// An upstream that takes flows, is not cold and started with its agent.
+    /// An upstream that accepts flows, is past its slow start and started
+    /// together with its agent.
     #[must_use]
     pub fn ready(incarnation: u64, slots: Slots) -> Self {
         UpstreamStatus {
@@ -93,70 +95,72 @@
     }
 }
 
-/// How a datagram of a caller came to this agent.
+/// Why a caller's datagram was sent to this agent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Origin {
-    /// Placed by a balancer.
+    /// A balancer placed a new flow here.
     Placed,
-    /// Passed on by a peer that does not take it. It is not passed on because
-    /// of load again.
+    /// Another agent did not accept the new flow. This agent does not pass it
+    /// on again because of load.
     Passed,
-    /// Sent by a balancer to which this agent claimed the flow.
+    /// The balancer knows this agent as the holder of the flow.
     Held,
-    /// Sent by a balancer that no agent claimed the flow to; this one may hold it.
+    /// No agent claimed the flow, and this agent may hold it.
     Tried,
 }
 
-/// What to do with a datagram of a caller.
+/// Action for a datagram of a caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallerAction {
-    /// Give it to the upstream.
+    /// Deliver it to the upstream.
     Deliver,
-    /// Give it to a peer: the upstream takes no new flow, or is full.
+    /// Pass it on to another agent: the upstream is full or accepts no new
+    /// flows.
     PassOn,
-    /// The flow is not held here: tell the balancer.
+    /// The flow is not in the table: report that to the balancer.
     NotHeld,
-    /// The upstream has lost the flow: break it off towards the caller.
+    /// The upstream has lost the flow: send a reset to the caller.
     Reset,
 }
 
-/// What to do with a datagram of the upstream.
+/// Action for a datagram of the upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UpstreamAction {
-    /// Send it to the caller. `learned` is set if the flow was not known: the
-    /// balancer that asked should be told.
+    /// Send it to the caller.
     ToCaller {
-        /// The flow was not held before.
+        /// The flow was not in the table before; the balancer that sent a
+        /// datagram of it here must be told.
         learned: bool,
     },
-    /// An opening datagram came back: give it to a peer.
+    /// The upstream returned an opening datagram: pass it on to another agent.
     PassOn,
-    /// A datagram came back that was tried here: tell the balancer.
+    /// The upstream returned a datagram of an unconfirmed flow: report to the
+    /// balancer that the flow is not held here.
     NotHeld,
-    /// The upstream has lost the flow: break it off towards the caller.
+    /// The upstream has lost the flow: send a reset to the caller.
     Reset,
-    /// Nothing is left to do.
+    /// Drop the datagram.
     Drop,
 }
 
-/// What an agent answers when it is asked for a flow.
+/// Answer of an agent to a query for the holder of a flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Claim {
-    /// It holds the flow.
+    /// The agent holds the flow.
     Holds,
-    /// It has started beside an upstream that may hold the flow.
+    /// The agent restarted recently, and its upstream may hold the flow.
     Perhaps,
-    /// It does not hold the flow.
+    /// The agent does not hold the flow.
     No,
 }
 
-/// Work of an upstream, as its agent sees it.
+/// Load of an upstream, as its agent measures it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Load {
     /// Requests that wait for the first byte of their answer, and new flows
-    /// whose request is still to come.
+    /// that have not sent a request yet.
     pub busy_requests: u32,
-    /// Open flows.
+    /// Number of open flows.
     pub open_flows: u32,
 }
 
@@ -165,218 +169,236 @@
 pub struct FlowTable {
     settings: FlowTableSettings,
     upstream: Option<UpstreamStatus>,
-    /// Flows that the upstream may hold unseen are looked for until then.
-    relearn_until: Instant,
+    /// Until this instant, the table accepts flows that the upstream may hold
+    /// from before the agent's start.
+    recovery_until: Instant,
     flows: BTreeMap<FlowTuple, Flow>,
-    /// The first opening datagram that the upstream has not answered, since
-    /// its last sign of life.
-    unanswered: Option<Instant>,
-    /// When a silent upstream was last given an opening datagram.
-    probed: Option<Instant>,
+    /// When the first opening datagram was delivered that the upstream has not
+    /// answered, since its last datagram.
+    unanswered_since: Option<Instant>,
+    /// When an unresponsive upstream last got an opening datagram.
+    last_probe_at: Option<Instant>,
 }
 
 impl FlowTable {
-    /// Holds nothing yet.
+    /// An empty table.
     #[must_use]
     pub fn new(settings: FlowTableSettings, now: Instant) -> Self {
         FlowTable {
             settings,
             upstream: None,
-            relearn_until: now + settings.recovery_period,
+            recovery_until: now + settings.recovery_period,
             flows: BTreeMap::new(),
-            unanswered: None,
-            probed: None,
+            unanswered_since: None,
+            last_probe_at: None,
         }
     }
 
-    /// Notes what is known of the upstream. Flows of an earlier run of it are lost.
+    /// Sets the state of the upstream. Flows of an earlier incarnation become
+    /// lost.
     pub fn set_upstream(&mut self, upstream: Option<UpstreamStatus>, now: Instant) {
-        let known = self.upstream.and_then(|upstream| upstream.incarnation);
-        let present = upstream.and_then(|upstream| upstream.incarnation);
-        if known.is_some() && present.is_some() && known != present {
+        let former = self.upstream.and_then(|upstream| upstream.incarnation);
+        let current = upstream.and_then(|upstream| upstream.incarnation);
+        if former.is_some() && current.is_some() && former != current {
             for flow in self.flows.values_mut() {
                 flow.stage = Stage::Lost;
-                flow.waiting = false;
+                flow.awaiting_answer = false;
             }
-            self.unanswered = None;
+            self.unanswered_since = None;
         }
         if upstream.is_some_and(|upstream| !upstream.started_before_agent) {
-            self.relearn_until = now;
+            self.recovery_until = now;
         }
         self.upstream = upstream;
     }
 
-    /// What is known of the upstream.
+    /// Last known state of the upstream.
     #[must_use]
     pub fn upstream(&self) -> Option<&UpstreamStatus> {
         self.upstream.as_ref()
     }
 
-    /// Whether the upstream left an opening datagram unanswered for too long.
+    /// Whether an opening datagram has waited for an answer of the upstream
+    /// longer than `response_timeout`.
     #[must_use]
     pub fn is_unresponsive(&self, now: Instant) -> bool {
-        let limit = self.settings.response_timeout;
-        self.unanswered.is_some_and(|since| now >= since + limit)
+        let timeout = self.settings.response_timeout;
+        self.unanswered_since
+            .is_some_and(|since| now >= since + timeout)
     }
 
-    /// Whether new flows may be given to the upstream.
+    /// Whether the upstream can be given new flows.
     #[must_use]
     pub fn accepts_new_flows(&self, now: Instant) -> bool {
         let accepting = self.upstream.is_some_and(|upstream| upstream.accepting);
         accepting && self.flows.len() < self.settings.max_flows && !self.is_unresponsive(now)
     }
 
-    /// Decides about a datagram of a caller.
+    /// Decides what to do with a datagram of a caller.
     pub fn caller_datagram(&mut self, seg: &Segment, origin: Origin, now: Instant) -> CallerAction {
         if seg.is_opening() {
-            return self.opening(seg, origin, now);
+            return self.on_opening(seg, origin, now);
         }
         let key = seg.key_from_caller();
         let Some(flow) = self.flows.get_mut(&key) else {
-            return self.unknown(seg, origin, now);
+            return self.on_unknown_flow(seg, origin, now);
         };
-        flow.last = now;
-        if !flow.fits(seg) {
+        flow.last_datagram_at = now;
+        if !flow.acknowledges_upstream(seg) {
             return CallerAction::NotHeld;
         }
         match flow.stage {
-            Stage::Opening | Stage::Open | Stage::Closed | Stage::Tried => {
-                flow.note_caller(seg);
-                flow.note_end();
+            Stage::Opening | Stage::Open | Stage::Closed | Stage::Unconfirmed => {
+                flow.record_caller_data(seg);
+                flow.close_if_both_ended();
                 CallerAction::Deliver
             }
             Stage::Lost if seg.resets => CallerAction::NotHeld,
             Stage::Lost => CallerAction::Reset,
-            Stage::Foreign => CallerAction::NotHeld,
+            Stage::NotHeld => CallerAction::NotHeld,
         }
     }
 
-    fn opening(&mut self, seg: &Segment, origin: Origin, now: Instant) -> CallerAction {
+    fn on_opening(&mut self, seg: &Segment, origin: Origin, now: Instant) -> CallerAction {
         let key = seg.key_from_caller();
         if let Some(flow) = self.flows.get_mut(&key)
-            && flow.opening == Some(seg.seq)
+            && flow.opening_seq == Some(seg.seq)
             && matches!(flow.stage, Stage::Opening | Stage::Open)
         {
-            // A copy. A silent upstream will not answer this one either.
-            flow.last = now;
+            // A retransmission. An unresponsive upstream would not answer it
+            // either.
+            flow.last_datagram_at = now;
             return if self.is_unresponsive(now) {
                 CallerAction::PassOn
             } else {
                 CallerAction::Deliver
             };
         }
-        let probes = self.may_probe(now);
-        if !self.accepts_new_flows(now) && !probes {
+        let is_probe = self.may_probe(now);
+        if !self.accepts_new_flows(now) && !is_probe {
             return CallerAction::PassOn;
         }
         if origin == Origin::Placed && self.is_full(now) {
             return CallerAction::PassOn;
         }
-        if probes {
-            self.probed = Some(now);
+        if is_probe {
+            self.last_probe_at = Some(now);
         }
-        self.unanswered.get_or_insert(now);
+        self.unanswered_since.get_or_insert(now);
         let flow = Flow {
-            opening: Some(seg.seq),
+            opening_seq: Some(seg.seq),
             ..Flow::new(Stage::Opening, now)
         };
         self.flows.insert(key, flow);
         CallerAction::Deliver
     }
 
-    /// Whether a silent upstream gets an opening datagram, to see if it is back.
+    /// Whether to send an opening datagram to an unresponsive upstream as a
+    /// probe.
     fn may_probe(&self, now: Instant) -> bool {
         let accepting = self.upstream.is_some_and(|upstream| upstream.accepting);
-        let pause = self.settings.probe_interval;
-        accepting && self.is_unresponsive(now) && self.probed.is_none_or(|at| now >= at + pause)
+        let interval = self.settings.probe_interval;
+        accepting
+            && self.is_unresponsive(now)
+            && self.last_probe_at.is_none_or(|at| now >= at + interval)
     }
 
-    /// Takes back the record of an opening datagram that went to a peer because
-    /// the upstream was full, when no peer takes it.
+    /// Adds the flow of an opening datagram that was to be passed on because
+    /// the upstream was full, when no other agent accepts it.
     pub fn accept_opening(&mut self, seg: &Segment, now: Instant) {
-        self.unanswered.get_or_insert(now);
+        self.unanswered_since.get_or_insert(now);
         let flow = Flow {
-            opening: Some(seg.seq),
+            opening_seq: Some(seg.seq),
             ..Flow::new(Stage::Opening, now)
         };
         self.flows.insert(seg.key_from_caller(), flow);
     }
 
-    fn unknown(&mut self, seg: &Segment, origin: Origin, now: Instant) -> CallerAction {
-        // A balancer whose hint says that this agent holds the flow had it
-        // confirmed, or placed its opening here, before this process started.
+    fn on_unknown_flow(&mut self, seg: &Segment, origin: Origin, now: Instant) -> CallerAction {
+        // For these origins, the balancer has a hint that names this agent,
+        // from a claim or from placing the flow before this process started, or
+        // no agent has claimed the flow.
         let trusted = matches!(origin, Origin::Held | Origin::Tried);
-        if !trusted || !self.is_relearning(now) || seg.resets {
+        if !trusted || !self.is_recovering(now) || seg.resets {
             return CallerAction::NotHeld;
         }
-        let mut flow = Flow::new(Stage::Tried, now);
-        flow.note_caller(seg);
+        let mut flow = Flow::new(Stage::Unconfirmed, now);
+        flow.record_caller_data(seg);
         self.flows.insert(seg.key_from_caller(), flow);
         CallerAction::Deliver
     }
 
-    /// Whether the upstream may hold flows that were never seen here. Every
-    /// agent is young for a while; only beside an older upstream does it matter.
-    fn is_relearning(&self, now: Instant) -> bool {
-        now < self.relearn_until
+    /// Whether the upstream may hold flows that are not in the table. Each
+    /// agent is in this state after its start, but it matters only if the
+    /// upstream started earlier.
+    fn is_recovering(&self, now: Instant) -> bool {
+        now < self.recovery_until
     }
 
-    /// Whether a datagram of the flow was tried and the upstream has not reacted.
+    /// Whether the flow is unconfirmed: a datagram of it was delivered and the
+    /// upstream has not answered yet.
     #[must_use]
     pub fn is_tried(&self, key: &FlowTuple) -> bool {
         let flow = self.flows.get(key);
-        flow.is_some_and(|flow| flow.stage == Stage::Tried)
+        flow.is_some_and(|flow| flow.stage == Stage::Unconfirmed)
     }
 
-    /// Notes the balancer that took a datagram of a flow from its caller.
+    /// Records the balancer that forwarded a datagram of the flow.
     pub fn set_via(&mut self, key: &FlowTuple, via: SocketAddrV4) {
         if let Some(flow) = self.flows.get_mut(key) {
             flow.via = Some(via);
         }
     }
 
-    /// The open flows whose last datagram came by way of a balancer that `by`
-    /// accepts, those in use last first and `most` at most.
+    /// Open flows whose last datagram was forwarded by a balancer that
+    /// `is_selected` accepts, most recently used first, at most `limit`.
     #[must_use]
-    pub fn flows_via(&self, by: impl Fn(SocketAddrV4) -> bool, most: usize) -> Vec<FlowTuple> {
+    pub fn flows_via(
+        &self,
+        is_selected: impl Fn(SocketAddrV4) -> bool,
+        limit: usize,
+    ) -> Vec<FlowTuple> {
         let open = self.flows.iter().filter(|(_, flow)| {
             let held = matches!(flow.stage, Stage::Opening | Stage::Open);
-            held && flow.via.is_some_and(&by)
+            held && flow.via.is_some_and(&is_selected)
         });
-        let mut open: Vec<(Instant, FlowTuple)> =
-            open.map(|(key, flow)| (flow.last, *key)).collect();
+        let mut open: Vec<(Instant, FlowTuple)> = open
+            .map(|(key, flow)| (flow.last_datagram_at, *key))
+            .collect();
         open.sort_unstable_by(|a, b| b.cmp(a));
-        open.into_iter().take(most).map(|(_, key)| key).collect()
+        open.into_iter().take(limit).map(|(_, key)| key).collect()
     }
 
-    /// Answers a balancer that looks for the holder of a flow.
+    /// Answers a balancer's query for the holder of a flow.
     #[must_use]
     pub fn claim(&self, key: &FlowTuple, seg: &Segment, now: Instant) -> Claim {
         match self.flows.get(key) {
-            Some(flow) if !flow.fits(seg) => Claim::No,
+            Some(flow) if !flow.acknowledges_upstream(seg) => Claim::No,
             Some(flow) => match flow.stage {
                 Stage::Opening | Stage::Open | Stage::Closed | Stage::Lost => Claim::Holds,
-                Stage::Tried => Claim::Perhaps,
-                Stage::Foreign => Claim::No,
+                Stage::Unconfirmed => Claim::Perhaps,
+                Stage::NotHeld => Claim::No,
             },
-            None if self.is_relearning(now) => Claim::Perhaps,
+            None if self.is_recovering(now) => Claim::Perhaps,
             None => Claim::No,
         }
     }
 
-    /// Decides about a datagram of the upstream.
+    /// Decides what to do with a datagram of the upstream.
     pub fn upstream_datagram(&mut self, seg: &Segment, now: Instant) -> UpstreamAction {
-        self.unanswered = None;
+        self.unanswered_since = None;
         if seg.bounced {
-            return self.bounced(seg, now);
+            return self.on_bounced(seg, now);
         }
         let key = seg.key_from_upstream();
-        let learned = self
-            .flows
-            .get(&key)
-            .is_none_or(|flow| matches!(flow.stage, Stage::Tried | Stage::Foreign | Stage::Lost));
+        let learned = self.flows.get(&key).is_none_or(|flow| {
+            matches!(
+                flow.stage,
+                Stage::Unconfirmed | Stage::NotHeld | Stage::Lost
+            )
+        });
         if learned && seg.resets {
-            // Says only that the flow is unknown or over.
+            // The reset says only that the flow is unknown or closed.
             self.flows.remove(&key);
             return UpstreamAction::ToCaller { learned: false };
         }
@@ -384,30 +406,30 @@
             .flows
             .entry(key)
             .or_insert_with(|| Flow::new(Stage::Open, now));
-        flow.last = now;
+        flow.last_datagram_at = now;
         if flow.stage != Stage::Closed {
             flow.stage = Stage::Open;
         }
-        flow.note_upstream(seg);
+        flow.record_upstream_data(seg);
         if seg.len > 0 {
-            flow.waiting = false;
+            flow.awaiting_answer = false;
         }
         flow.upstream_ended |= seg.ends;
         if seg.resets {
             flow.stage = Stage::Closed;
-            flow.waiting = false;
+            flow.awaiting_answer = false;
         }
-        flow.note_end();
+        flow.close_if_both_ended();
         UpstreamAction::ToCaller { learned }
     }
 
-    fn bounced(&mut self, seg: &Segment, now: Instant) -> UpstreamAction {
+    fn on_bounced(&mut self, seg: &Segment, now: Instant) -> UpstreamAction {
         let key = seg.key_from_caller();
         let Some(flow) = self.flows.get_mut(&key) else {
             return UpstreamAction::Drop;
         };
-        flow.last = now;
-        flow.waiting = false;
+        flow.last_datagram_at = now;
+        flow.awaiting_answer = false;
         if seg.is_opening() {
             if flow.stage == Stage::Opening {
                 self.flows.remove(&key);
@@ -416,57 +438,60 @@
             return UpstreamAction::Drop;
         }
         match flow.stage {
-            Stage::Tried => {
-                flow.stage = Stage::Foreign;
+            Stage::Unconfirmed => {
+                flow.stage = Stage::NotHeld;
                 UpstreamAction::NotHeld
             }
-            // The upstream had agreed to the flow: it has restarted since.
+            // The upstream had accepted the flow, so it has restarted since.
             Stage::Open if !seg.resets => {
                 flow.stage = Stage::Lost;
                 UpstreamAction::Reset
             }
-            Stage::Opening | Stage::Open | Stage::Closed | Stage::Lost | Stage::Foreign => {
+            Stage::Opening | Stage::Open | Stage::Closed | Stage::Lost | Stage::NotHeld => {
                 UpstreamAction::Drop
             }
         }
     }
 
-    /// Requests that the upstream should serve at a time. A cold one is given
-    /// half: it is slow, so what it is given waits there longer than elsewhere.
+    /// Number of requests that the upstream should serve concurrently: half of
+    /// its slots during its slow start, because requests then queue for longer
+    /// there than at other upstreams.
     #[must_use]
     pub fn slots(&self, now: Instant) -> Slots {
         let Some(upstream) = &self.upstream else {
             return Slots(0);
         };
-        let cold = upstream.slow_start_until.is_some_and(|until| now < until);
-        if cold {
+        let is_cold = upstream.slow_start_until.is_some_and(|until| now < until);
+        if is_cold {
             Slots(upstream.slots.0.div_ceil(2))
         } else {
             upstream.slots
         }
     }
 
-    /// Whether the upstream has as many requests as slots.
+    /// Whether the upstream has at least as many requests as slots.
     #[must_use]
     pub fn is_full(&self, now: Instant) -> bool {
         self.load(now).busy_requests >= self.slots(now).0
     }
 
-    /// The work of the upstream.
+    /// Current load of the upstream.
     #[must_use]
     pub fn load(&self, now: Instant) -> Load {
-        /// An opening that brought no request for this long does not count as
-        /// work: several times the way to a caller and back.
-        const OPENING: Duration = Duration::from_millis(60);
+        /// A new flow without a request stops counting as load after this time:
+        /// several round trips to a caller.
+        const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(60);
         let mut load = Load::default();
         for flow in self.flows.values() {
-            let fresh = flow.caller_seq.is_none() && now < flow.opened_at + OPENING;
+            let is_recent =
+                flow.caller_seq.is_none() && now < flow.opened_at + FIRST_REQUEST_TIMEOUT;
             match flow.stage {
-                Stage::Opening if fresh => load.busy_requests += 1,
+                Stage::Opening if is_recent => load.busy_requests += 1,
                 Stage::Open => {
                     load.open_flows += 1;
-                    load.busy_requests +=
-                        u32::from(flow.waiting || (fresh && flow.opening.is_some()));
+                    load.busy_requests += u32::from(
+                        flow.awaiting_answer || (is_recent && flow.opening_seq.is_some()),
+                    );
                 }
                 _ => {}
             }
@@ -474,24 +499,25 @@
         load
     }
 
-    /// Flows that wait for the first byte of an answer, or have only begun.
+    /// Number of flows that wait for the first byte of an answer or are being
+    /// opened.
     #[must_use]
     pub fn in_progress(&self) -> usize {
         let active = |flow: &&Flow| {
-            flow.waiting || (flow.stage == Stage::Opening && flow.caller_seq.is_none())
+            flow.awaiting_answer || (flow.stage == Stage::Opening && flow.caller_seq.is_none())
         };
         self.flows.values().filter(active).count()
     }
 
-    /// Forgets flows that are idle or over.
+    /// Removes flows that are idle or closed.
     pub fn expire(&mut self, now: Instant) {
         let cfg = self.settings;
         self.flows.retain(|_, flow| {
-            let keep = match flow.stage {
-                Stage::Open | Stage::Tried => cfg.idle_timeout,
-                Stage::Opening | Stage::Closed | Stage::Lost | Stage::Foreign => cfg.linger_timeout,
+            let retention = match flow.stage {
+                Stage::Open | Stage::Unconfirmed => cfg.idle_timeout,
+                Stage::Opening | Stage::Closed | Stage::Lost | Stage::NotHeld => cfg.linger_timeout,
             };
-            now < flow.last + keep
+            now < flow.last_datagram_at + retention
         });
     }
 }
--- a/crates/flow/src/process/mod.rs
+++ b/crates/flow/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! What lasts as long as a process.
+//! Types that live as long as the process.
 
 mod agent_pool;
 mod flow_table;
--- a/crates/flow/src/process/steering/mod.rs
+++ b/crates/flow/src/process/steering/mod.rs
@@ -1,4 +1,4 @@
-//! What a balancer remembers of flows, and how it finds the holder of one.
+//! Hints of a balancer about flows, and its search for the holder of a flow.
 
 mod outcome;
 mod search;
@@ -11,44 +11,49 @@
 
 use bytes::Bytes;
 pub use outcome::{DropReason, FlowQuery, ReleasedDatagram, SearchResults, SteeringDecision};
-use search::{Search, Tries};
+use search::{Search, TryRecord};
 use types::{DataCentre, RoutingSet, ServiceName};
 
 use super::{AgentPool, Origin, RateLimiter};
 use crate::{FlowTuple, Segment};
 
-/// Times and bounds of a [`Steering`].
+/// Timeouts and limits of a [`Steering`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SteeringSettings {
-    /// Hints kept at most. Beyond that new flows are steered without one.
+    /// Maximum number of hints. Above it, new flows are placed without
+    /// recording a hint.
     pub max_hints: usize,
-    /// A hint that was not used for this long is forgotten.
+    /// A hint that was not used for this long is removed.
     pub hint_idle_timeout: Duration,
-    /// Time for agents to claim a flow: twice the way to the farthest agent of
-    /// a region, and time to answer.
+    /// Time for agents to claim a flow: the round trip to the farthest agent of
+    /// a region and the time to answer.
     pub search_timeout: Duration,
-    /// Agents that are asked first, because they are the likeliest holders.
-    /// Only if none of them claims the flow are others asked, each time as
-    /// many as before times `wider`: to ask all for each flow fills a thin link
-    /// when there are many agents.
+    /// Number of agents in the first round of queries, those that most probably
+    /// hold the flow. Each further round queries `fanout_factor` times as many
+    /// as the one before, and only if no agent has claimed the flow: querying
+    /// all agents for each flow saturates a slow link when there are many of
+    /// them.
     pub initial_fanout: usize,
-    /// See `first`.
+    /// Growth of the number of queried agents from one round to the next.
     pub fanout_factor: usize,
-    /// Agents that may be asked in a second by searches that widen. Searches
-    /// beyond that end with the likeliest agents: after a loss of all processes
-    /// there is one for each open flow, and their questions would fill the link.
+    /// Maximum rate of queries in the rounds after the first. A search above it
+    /// ends after its first round: when all processes have failed there is a
+    /// search for each open flow, and the queries of all of them would saturate
+    /// the link.
     pub max_queries_per_second: u32,
-    /// Searches under way at most.
+    /// Maximum number of concurrent searches.
     pub max_searches: usize,
-    /// Datagrams of one flow that wait for its holder: a window of the sender.
+    /// Maximum number of datagrams of one flow that wait for its holder: one
+    /// send window.
     pub max_queued_per_flow: usize,
-    /// Agents that may hold a flow and are tried within `tries_per`. A flow
-    /// that reaches three wrong upstreams in that time counts as broken.
+    /// Maximum number of agents that get a datagram of a flow within
+    /// `tries_window` without having claimed it. A flow that reaches three
+    /// wrong upstreams in that time counts as broken.
     pub max_tries: usize,
-    /// See `tries`.
+    /// Period to which `max_tries` applies.
     pub tries_window: Duration,
-    /// Pause after a search that found nothing, before the next one for the
-    /// same flow. A caller sends again after 200 ms, then ever more rarely.
+    /// Pause between an unsuccessful search and the next one for the same flow.
+    /// A caller retransmits after 200 ms, then with growing intervals.
     pub search_backoff: Duration,
 }
 
@@ -74,64 +79,67 @@
 struct Hint {
     agent: SocketAddrV4,
     service: ServiceName,
-    /// Number of the opening datagram that was placed; `None` once an agent
-    /// has claimed the flow.
-    opening: Option<u32>,
-    last: Instant,
+    /// Sequence number of the opening datagram that was placed; `None` once an
+    /// agent has claimed the flow.
+    opening_seq: Option<u32>,
+    last_used_at: Instant,
 }
 
 /// The decisions of a balancer. See the [crate] documentation.
 #[derive(Debug)]
 pub struct Steering {
     settings: SteeringSettings,
-    near: DataCentre,
+    data_centre: DataCentre,
     routes: Option<RoutingSet>,
     pools: BTreeMap<ServiceName, AgentPool>,
     hints: BTreeMap<FlowTuple, Hint>,
     searches: BTreeMap<FlowTuple, Search>,
-    /// Agents that were tried for a flow and may not hold it.
-    tried: BTreeMap<FlowTuple, Tries>,
-    /// Questions of searches that widen.
-    questions: RateLimiter,
-    /// All processes are listed until then, if the list was ever complete.
-    whole_until: Option<Instant>,
+    /// Agents that got a datagram of a flow without having claimed it.
+    tries: BTreeMap<FlowTuple, TryRecord>,
+    /// Limits the queries of the search rounds after the first.
+    query_limiter: RateLimiter,
+    /// Until this instant, the directory lists all processes; `None` if it
+    /// never did.
+    directory_complete_until: Option<Instant>,
 }
 
 impl Steering {
-    /// A balancer in the data centre `near` that knows nothing yet.
+    /// A balancer in `data_centre` without routes, agents or hints.
     #[must_use]
-    pub fn new(settings: SteeringSettings, near: DataCentre) -> Self {
+    pub fn new(settings: SteeringSettings, data_centre: DataCentre) -> Self {
         Steering {
-            questions: RateLimiter::new(settings.max_queries_per_second),
+            query_limiter: RateLimiter::new(settings.max_queries_per_second),
             settings,
-            near,
+            data_centre,
             routes: None,
             pools: BTreeMap::new(),
             hints: BTreeMap::new(),
             searches: BTreeMap::new(),
-            tried: BTreeMap::new(),
-            whole_until: None,
+            tries: BTreeMap::new(),
+            directory_complete_until: None,
         }
     }
 
-    /// The routing set in force.
+    /// The current routing set, if one is known.
     #[must_use]
     pub fn routes(&self) -> Option<&RoutingSet> {
         self.routes.as_ref()
     }
 
-    /// The routing set in force, to move it on.
+    /// Mutable routing set; created empty if none is known.
     pub fn routes_mut(&mut self) -> &mut RoutingSet {
         self.routes.get_or_insert_default()
     }
 
-    /// Notes that all processes are listed, so that no agent is unknown here.
+    /// Sets the instant until which the directory lists all processes, so that
+    /// each agent is known here.
     pub fn set_directory_complete_until(&mut self, until: Instant) {
-        self.whole_until = Some(until);
+        self.directory_complete_until = Some(until);
     }
 
-    fn is_whole(&self, now: Instant) -> bool {
-        self.whole_until.is_some_and(|until| now < until)
+    fn is_directory_complete(&self, now: Instant) -> bool {
+        self.directory_complete_until
+            .is_some_and(|until| now < until)
     }
 
     /// The agents of a service.
@@ -144,9 +152,9 @@
         self.pools.values_mut()
     }
 
-    /// Whether new flows can be placed: an agent that takes them has reported
-    /// lately. A balancer that is cut off hears none, and must be left by the
-    /// fabric, which may still reach it.
+    /// Whether new flows can be placed: an agent that accepts them has an
+    /// up-to-date report. A partitioned balancer gets no reports; it must stop
+    /// being ready, because the fabric may still reach it.
     #[must_use]
     pub fn can_place(&self, now: Instant) -> bool {
         self.routes.is_some()
@@ -156,25 +164,25 @@
                 .any(|pool| pool.has_available_agent(now))
     }
 
-    /// Decides about a datagram of a caller.
+    /// Decides what to do with a datagram of a caller.
     pub fn steer(&mut self, seg: &Segment, payload: &Bytes, now: Instant) -> SteeringDecision {
         let key = seg.key_from_caller();
         let Some(routes) = &self.routes else {
             return SteeringDecision::Drop(DropReason::NoRoutes);
         };
         let Some(rule) = routes.rules.get(&SocketAddr::V4(key.service)) else {
-            return self.without_rule(&key, seg);
+            return self.handle_missing_rule(&key, seg);
         };
         if !seg.is_opening() {
             return self.continue_flow(key, payload, now);
         }
         if let Some(hint) = self.hints.get_mut(&key)
-            && hint.opening == Some(seg.seq)
+            && hint.opening_seq == Some(seg.seq)
         {
             let pool = self.pools.get(&hint.service);
             let agent = pool.and_then(|pool| pool.get(hint.agent));
             if agent.is_some_and(|a| a.accepting && AgentPool::has_recent_report(a, now)) {
-                hint.last = now;
+                hint.last_used_at = now;
                 return SteeringDecision::Forward {
                     agent: hint.agent,
                     origin: Origin::Placed,
@@ -188,9 +196,10 @@
         self.place(key, seg, service, now)
     }
 
-    fn without_rule(&mut self, key: &FlowTuple, seg: &Segment) -> SteeringDecision {
-        // A flow that is not known here may belong to a set that this balancer
-        // has yet to learn: only flows that were steered here are broken off.
+    fn handle_missing_rule(&mut self, key: &FlowTuple, seg: &Segment) -> SteeringDecision {
+        // A flow without a hint may belong to a routing set that this balancer
+        // has yet to receive, so only flows that were forwarded from here are
+        // reset.
         let known = self.hints.remove(key).is_some();
         if !seg.resets && (known || seg.is_opening()) {
             SteeringDecision::Reset
@@ -206,23 +215,26 @@
         service: ServiceName,
         now: Instant,
     ) -> SteeringDecision {
-        let former = self.hints.get(&key).filter(|h| h.opening == Some(seg.seq));
+        let former = self
+            .hints
+            .get(&key)
+            .filter(|h| h.opening_seq == Some(seg.seq));
         let except: Vec<SocketAddrV4> = former.map(|hint| hint.agent).into_iter().collect();
         let Some(pool) = self.pools.get_mut(&service) else {
             return SteeringDecision::Drop(DropReason::NoAgent);
         };
         let hash = key.stable_hash();
-        let placed = pool.place(&self.near, hash, &except, now);
-        let Some(agent) = placed.or_else(|| pool.place(&self.near, hash, &[], now)) else {
+        let placed = pool.place(&self.data_centre, hash, &except, now);
+        let Some(agent) = placed.or_else(|| pool.place(&self.data_centre, hash, &[], now)) else {
             return SteeringDecision::Drop(DropReason::NoAgent);
         };
         let hint = Hint {
             agent,
             service: service.clone(),
-            opening: Some(seg.seq),
-            last: now,
+            opening_seq: Some(seg.seq),
+            last_used_at: now,
         };
-        self.remember(key, hint);
+        self.insert_hint(key, hint);
         SteeringDecision::Forward {
             agent,
             origin: Origin::Placed,
@@ -230,7 +242,7 @@
         }
     }
 
-    fn remember(&mut self, key: FlowTuple, hint: Hint) {
+    fn insert_hint(&mut self, key: FlowTuple, hint: Hint) {
         if self.hints.len() < self.settings.max_hints || self.hints.contains_key(&key) {
             self.hints.insert(key, hint);
         }
@@ -238,17 +250,17 @@
 
     fn continue_flow(&mut self, key: FlowTuple, payload: &Bytes, now: Instant) -> SteeringDecision {
         if let Some(hint) = self.hints.get_mut(&key) {
-            hint.last = now;
+            hint.last_used_at = now;
             return SteeringDecision::Forward {
                 agent: hint.agent,
                 origin: Origin::Held,
                 service: hint.service.clone(),
             };
         }
-        self.search(key, payload.clone(), now)
+        self.search_or_queue(key, payload.clone(), now)
     }
 
-    /// The services that the address of a flow leads to.
+    /// Services that the address of a flow routes to.
     fn services_of(&self, key: FlowTuple) -> Vec<&ServiceName> {
         let routes = self.routes.as_ref();
         let rule = routes.and_then(|routes| routes.rules.get(&SocketAddr::V4(key.service)));
@@ -256,21 +268,22 @@
         parts.collect()
     }
 
-    /// The agents of the services that the address leads to, the likeliest
-    /// holders first.
+    /// Agents of the services that the address of a flow routes to, those that
+    /// most probably hold the flow first.
     fn agents_for(&self, key: &FlowTuple) -> Vec<(SocketAddrV4, ServiceName)> {
         let hash = key.stable_hash();
         self.services_of(*key)
             .into_iter()
             .filter_map(|service| Some((service, self.pools.get(service)?)))
             .flat_map(|(service, pool)| {
-                let agents = pool.by_preference(&self.near, hash).into_iter();
+                let agents = pool.by_preference(&self.data_centre, hash).into_iter();
                 agents.map(|agent| (agent, service.clone()))
             })
             .collect()
     }
 
-    /// Notes that an agent took a flow, and returns the datagrams that waited.
+    /// Records the holder of a flow and returns the datagrams that waited for
+    /// it.
     pub fn record_holder(
         &mut self,
         key: FlowTuple,
@@ -281,13 +294,19 @@
         let hint = Hint {
             agent,
             service: service.clone(),
-            opening: None,
-            last: now,
+            opening_seq: None,
+            last_used_at: now,
         };
-        let opening = self.hints.get(&key).and_then(|hint| hint.opening);
-        self.remember(key, Hint { opening, ..hint });
-        self.tried.remove(&key);
-        let parked = self.searches.remove(&key).map(|search| search.parked);
+        let opening_seq = self.hints.get(&key).and_then(|hint| hint.opening_seq);
+        self.insert_hint(
+            key,
+            Hint {
+                opening_seq,
+                ..hint
+            },
+        );
+        self.tries.remove(&key);
+        let parked = self.searches.remove(&key).map(|search| search.queued);
         parked
             .into_iter()
             .flatten()
@@ -300,9 +319,9 @@
             .collect()
     }
 
-    /// Notes flows that an agent holds, as it tells without being asked, and
-    /// returns the datagrams that waited for them. What is known already is
-    /// newer.
+    /// Records flows that an agent reports without having been asked, and
+    /// returns the datagrams that waited for them. An existing hint is newer
+    /// and stays.
     pub fn record_reported_flows(
         &mut self,
         keys: Vec<FlowTuple>,
@@ -319,16 +338,16 @@
         released
     }
 
-    /// Forgets hints and tries that were not used for long.
+    /// Removes hints and try records that were not used for long.
     pub fn expire(&mut self, now: Instant) {
         let settings = self.settings;
         self.hints
-            .retain(|_, hint| now < hint.last + settings.hint_idle_timeout);
-        self.tried
-            .retain(|_, tries| now < tries.since + 4 * settings.tries_window);
+            .retain(|_, hint| now < hint.last_used_at + settings.hint_idle_timeout);
+        self.tries
+            .retain(|_, tries| now < tries.window_start + 4 * settings.tries_window);
     }
 
-    /// Number of hints.
+    /// Number of flows with a hint.
     #[must_use]
     pub fn hint_count(&self) -> usize {
         self.hints.len()
--- a/crates/flow/src/process/steering/outcome.rs
+++ b/crates/flow/src/process/steering/outcome.rs
@@ -1,4 +1,4 @@
-//! What a balancer decides.
+//! Decisions of a balancer.
 
 use std::net::SocketAddrV4;
 
@@ -10,42 +10,43 @@
 /// What to do with a datagram of a caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SteeringDecision {
-    /// Send it to an agent.
+    /// Forward it to an agent.
     Forward {
-        /// The agent.
+        /// Address of the agent.
         agent: SocketAddrV4,
-        /// How the agent is to take it.
+        /// Why the datagram goes to this agent.
         origin: Origin,
-        /// The service whose agent it is.
+        /// The agent's service.
         service: ServiceName,
     },
-    /// Ask these agents for the flow; the datagram waits.
+    /// Ask these agents whether they hold the flow; the datagram is queued.
     Query(Vec<(SocketAddrV4, ServiceName)>),
-    /// The datagram waits for a search that is under way.
+    /// The datagram is queued until a running search ends.
     Queued,
-    /// Break off the flow towards the caller.
+    /// Send a reset to the caller.
     Reset,
-    /// Drop it.
+    /// Drop the datagram.
     Drop(DropReason),
 }
 
 /// Why a datagram was dropped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DropReason {
-    /// No routing set is known yet.
+    /// No routing set has arrived yet.
     NoRoutes,
-    /// The address has no rule, and the flow is not known here.
+    /// No rule for the address, and no hint for the flow.
     NoRule,
-    /// No agent of the service takes new flows.
+    /// No agent of the service accepts new flows.
     NoAgent,
-    /// Too many searches or datagrams wait.
+    /// Too many searches are running, or too many datagrams of the flow are
+    /// queued.
     Busy,
     /// No agent has claimed the flow.
     NotFound,
 }
 
 impl DropReason {
-    /// The name in metrics and log lines.
+    /// The reason as a metric label and in log lines.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -58,36 +59,36 @@
     }
 }
 
-/// A parked datagram that can go on.
+/// A queued datagram to forward.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReleasedDatagram {
-    /// The agent to send it to.
+    /// Address of the agent.
     pub agent: SocketAddrV4,
-    /// How the agent is to take it.
+    /// Why the datagram goes to this agent.
     pub origin: Origin,
-    /// The service whose agent it is.
+    /// The agent's service.
     pub service: ServiceName,
     /// The datagram.
     pub payload: Bytes,
 }
 
-/// Agents to ask for the flow of a datagram.
+/// A query to agents for the holder of a flow.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FlowQuery {
     /// A datagram of the flow.
     pub payload: Bytes,
-    /// The agents.
+    /// Addresses and services of the agents.
     pub agents: Vec<(SocketAddrV4, ServiceName)>,
 }
 
-/// What follows from the searches that ended.
+/// Results of the searches whose deadline has passed.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct SearchResults {
-    /// Datagrams that go on.
+    /// Datagrams to forward.
     pub released: Vec<ReleasedDatagram>,
-    /// Searches that are widened.
+    /// Queries of the searches that continue with another round.
     pub queries: Vec<FlowQuery>,
-    /// A datagram of each flow that certainly no agent holds: it is to be
-    /// broken off, so that its caller need not wait.
+    /// A datagram of each flow that no agent holds: the flow is reset at once,
+    /// so that its caller does not wait for a timeout.
     pub lost_flows: Vec<Bytes>,
 }
--- a/crates/flow/src/process/steering/search.rs
+++ b/crates/flow/src/process/steering/search.rs
@@ -1,4 +1,4 @@
-//! How a balancer finds the holder of a flow.
+//! Search for the agent that holds a flow.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -15,59 +15,63 @@
 #[derive(Debug)]
 pub(super) struct Search {
     key: FlowTuple,
-    until: Instant,
-    /// Agents that are asked next, if nobody claims the flow; the likeliest first.
-    others: Vec<(SocketAddrV4, ServiceName)>,
-    /// Agents that were asked last.
-    asked: usize,
-    /// It may ask all agents, step by step.
-    is_wide: bool,
-    waiting_for: BTreeMap<SocketAddrV4, ServiceName>,
-    perhaps: BTreeMap<SocketAddrV4, ServiceName>,
-    pub(super) parked: Vec<Bytes>,
-    /// All processes were listed when it began.
-    whole: bool,
-    /// The agents of other services are asked too, before the flow is broken
-    /// off: its address may have led to them when it was opened.
-    confirming: bool,
+    deadline: Instant,
+    /// Agents that are not queried yet, those that most probably hold the flow
+    /// first.
+    remaining_agents: Vec<(SocketAddrV4, ServiceName)>,
+    /// Number of agents in the last round.
+    queried: usize,
+    /// The query limit was granted for all rounds of this search.
+    may_widen: bool,
+    pending_agents: BTreeMap<SocketAddrV4, ServiceName>,
+    uncertain_agents: BTreeMap<SocketAddrV4, ServiceName>,
+    pub(super) queued: Vec<Bytes>,
+    /// The directory listed all processes when the search began.
+    directory_was_complete: bool,
+    /// Agents of other services are queried too, before the flow is reset: its
+    /// address may have routed to them when the flow was opened.
+    queries_other_services: bool,
 }
 
 impl Search {
-    /// Whether all agents that were asked have said that they do not hold the flow.
-    fn is_denied(&self) -> bool {
-        self.others.is_empty() && self.waiting_for.is_empty() && self.perhaps.is_empty()
+    /// Whether all agents have answered that they do not hold the flow.
+    fn all_denied(&self) -> bool {
+        self.remaining_agents.is_empty()
+            && self.pending_agents.is_empty()
+            && self.uncertain_agents.is_empty()
     }
 
-    /// Whether most agents that were asked have restarted: others will know no
-    /// more than these, the likeliest.
-    fn is_vain(&self) -> bool {
-        self.waiting_for.is_empty() && self.perhaps.len() * 2 > self.asked
+    /// Whether most agents of the last round have restarted. The remaining
+    /// agents are less probable holders, so that querying them would not help.
+    fn is_inconclusive(&self) -> bool {
+        self.pending_agents.is_empty() && self.uncertain_agents.len() * 2 > self.queried
     }
 }
 
 #[derive(Debug)]
-pub(super) struct Tries {
+pub(super) struct TryRecord {
     agents: BTreeSet<SocketAddrV4>,
-    pub(super) since: Instant,
-    /// A search found nothing; there is none until then.
-    pause_until: Instant,
+    pub(super) window_start: Instant,
+    /// After an unsuccessful search, the next one may start at this instant.
+    backoff_until: Instant,
 }
 impl Steering {
-    /// Looks for the holder of a flow, or lets a datagram wait for a search.
-    pub(super) fn search(
+    /// Starts a search for the holder of a flow, or queues the datagram if one
+    /// is running.
+    pub(super) fn search_or_queue(
         &mut self,
         key: FlowTuple,
         payload: Bytes,
         now: Instant,
     ) -> SteeringDecision {
         if let Some(search) = self.searches.get_mut(&key) {
-            if search.parked.len() >= self.settings.max_queued_per_flow {
+            if search.queued.len() >= self.settings.max_queued_per_flow {
                 return SteeringDecision::Drop(DropReason::Busy);
             }
-            search.parked.push(payload);
+            search.queued.push(payload);
             return SteeringDecision::Queued;
         }
-        if self.tried.get(&key).is_some_and(|t| now < t.pause_until) {
+        if self.tries.get(&key).is_some_and(|t| now < t.backoff_until) {
             return SteeringDecision::Drop(DropReason::NotFound);
         }
         if self.searches.len() >= self.settings.max_searches {
@@ -77,24 +81,24 @@
         if agents.is_empty() {
             return SteeringDecision::Drop(DropReason::NoAgent);
         }
-        let others = agents.split_off(agents.len().min(self.settings.initial_fanout));
+        let remaining_agents = agents.split_off(agents.len().min(self.settings.initial_fanout));
         let search = Search {
             key,
-            until: now + self.settings.search_timeout,
-            others,
-            asked: agents.len(),
-            is_wide: false,
-            waiting_for: agents.iter().cloned().collect(),
-            perhaps: BTreeMap::new(),
-            parked: vec![payload],
-            whole: self.is_whole(now),
-            confirming: false,
+            deadline: now + self.settings.search_timeout,
+            remaining_agents,
+            queried: agents.len(),
+            may_widen: false,
+            pending_agents: agents.iter().cloned().collect(),
+            uncertain_agents: BTreeMap::new(),
+            queued: vec![payload],
+            directory_was_complete: self.is_directory_complete(now),
+            queries_other_services: false,
         };
         self.searches.insert(key, search);
         SteeringDecision::Query(agents)
     }
 
-    /// Notes an agent's answer to a question for a flow.
+    /// Handles an agent's answer to a query.
     pub fn handle_claim(
         &mut self,
         key: FlowTuple,
@@ -106,22 +110,22 @@
             self.handle_late_claim(key, agent, claim, now);
             return Vec::new();
         };
-        let Some(service) = search.waiting_for.remove(&agent) else {
+        let Some(service) = search.pending_agents.remove(&agent) else {
             return Vec::new();
         };
         match claim {
             Claim::Holds => return self.record_holder(key, agent, &service, now),
-            Claim::Perhaps => drop(search.perhaps.insert(agent, service)),
+            Claim::Perhaps => drop(search.uncertain_agents.insert(agent, service)),
             Claim::No => {}
         }
-        if search.waiting_for.is_empty() {
-            search.until = now;
+        if search.pending_agents.is_empty() {
+            search.deadline = now;
         }
         Vec::new()
     }
 
-    /// Notes an answer that came after its search: the way may take longer than
-    /// a search waits.
+    /// Records a claim that arrives after its search has ended: the round trip
+    /// may take longer than `search_timeout`.
     fn handle_late_claim(
         &mut self,
         key: FlowTuple,
@@ -139,8 +143,8 @@
         }
     }
 
-    /// Notes that an agent does not hold a flow that was sent to it, and
-    /// searches for the holder with the datagram that came back.
+    /// Removes the hint for a flow that the agent does not hold, and searches
+    /// for the holder with the returned datagram.
     pub fn handle_not_held(
         &mut self,
         key: FlowTuple,
@@ -151,19 +155,20 @@
         if self.hints.get(&key).is_some_and(|hint| hint.agent == agent) {
             self.hints.remove(&key);
         }
-        self.search(key, payload, now)
+        self.search_or_queue(key, payload, now)
     }
 
-    /// Ends the searches that are due. One that has not asked all agents asks
-    /// the next. A flow that all have denied, while all are known, is lost;
-    /// otherwise one agent that may hold the flow gets
-    /// its first datagram, and the caller sends the rest again.
+    /// Ends the searches whose deadline has passed. A search with agents left
+    /// queries the next ones. If all agents have denied the flow and the
+    /// directory is complete, the flow is lost. Otherwise one agent that may
+    /// hold the flow gets the first queued datagram; the caller retransmits the
+    /// others.
     pub fn end_searches(&mut self, now: Instant) -> SearchResults {
         let settings = self.settings;
         let due: Vec<FlowTuple> = self
             .searches
             .iter()
-            .filter(|(_, search)| now >= search.until)
+            .filter(|(_, search)| now >= search.deadline)
             .map(|(key, _)| *key)
             .collect();
         let mut ended = SearchResults::default();
@@ -171,59 +176,71 @@
             let Some(mut search) = self.searches.remove(&key) else {
                 continue;
             };
-            if search.is_vain() && self.may_try(&key, now) {
-                ended.released.extend(self.try_one(key, &search, now));
+            if search.is_inconclusive() && self.may_try(&key, now) {
+                ended
+                    .released
+                    .extend(self.try_next_agent(key, &search, now));
                 continue;
             }
-            let others = self.next_to_ask(&mut search, now);
-            if let (false, Some(payload)) = (others.is_empty(), search.parked.first().cloned()) {
-                search.waiting_for.extend(others.iter().cloned());
-                search.until = now + settings.search_timeout;
+            let next_agents = self.next_agents(&mut search, now);
+            if let (false, Some(payload)) = (next_agents.is_empty(), search.queued.first().cloned())
+            {
+                search.pending_agents.extend(next_agents.iter().cloned());
+                search.deadline = now + settings.search_timeout;
                 self.searches.insert(key, search);
                 ended.queries.push(FlowQuery {
                     payload,
-                    agents: others,
+                    agents: next_agents,
                 });
                 continue;
             }
-            if search.whole && search.is_denied() && self.is_whole(now) {
-                ended.lost_flows.extend(search.parked.into_iter().next());
+            if search.directory_was_complete
+                && search.all_denied()
+                && self.is_directory_complete(now)
+            {
+                ended.lost_flows.extend(search.queued.into_iter().next());
                 continue;
             }
-            let released = self.try_one(key, &search, now);
+            let released = self.try_next_agent(key, &search, now);
             if released.is_none() {
-                self.tries(key, now).pause_until = now + settings.search_backoff;
+                self.tries_for(key, now).backoff_until = now + settings.search_backoff;
             }
             ended.released.extend(released);
         }
         ended
     }
 
-    /// The agents that a search asks next; none once it has asked all.
-    fn next_to_ask(
+    /// Agents of the next round; empty when the search has queried all of them.
+    fn next_agents(
         &mut self,
         search: &mut Search,
         now: Instant,
     ) -> Vec<(SocketAddrV4, ServiceName)> {
-        if !search.others.is_empty() {
-            if !search.is_wide {
-                // Half a search costs as much and finds less.
+        if !search.remaining_agents.is_empty() {
+            if !search.may_widen {
+                // Reserve the queries for all agents: a partial search costs as
+                // much and finds less.
                 let all = self.pools.values().map(|pool| pool.addresses().count());
-                search.is_wide = self.questions.try_acquire(all.sum(), now);
+                search.may_widen = self.query_limiter.try_acquire(all.sum(), now);
             }
-            if !search.is_wide {
+            if !search.may_widen {
                 return Vec::new();
             }
-            search.asked = (search.asked * self.settings.fanout_factor).min(search.others.len());
-            return search.others.drain(..search.asked).collect();
+            search.queried =
+                (search.queried * self.settings.fanout_factor).min(search.remaining_agents.len());
+            return search.remaining_agents.drain(..search.queried).collect();
         }
-        let lost = search.whole && search.is_denied() && self.is_whole(now);
-        if !lost || search.confirming {
+        let lost =
+            search.directory_was_complete && search.all_denied() && self.is_directory_complete(now);
+        if !lost || search.queries_other_services {
             return Vec::new();
         }
-        search.confirming = true;
-        let asked = self.services_of(search.key);
-        let pools = self.pools.iter().filter(|(name, _)| !asked.contains(name));
+        search.queries_other_services = true;
+        let services = self.services_of(search.key);
+        let pools = self
+            .pools
+            .iter()
+            .filter(|(name, _)| !services.contains(name));
         let agents = pools.flat_map(|(service, pool)| {
             let addresses = pool.addresses();
             addresses.map(|address| (address, service.clone()))
@@ -231,57 +248,64 @@
         agents.collect()
     }
 
-    fn tries(&mut self, key: FlowTuple, now: Instant) -> &mut Tries {
-        self.tried.entry(key).or_insert(Tries {
+    fn tries_for(&mut self, key: FlowTuple, now: Instant) -> &mut TryRecord {
+        self.tries.entry(key).or_insert(TryRecord {
             agents: BTreeSet::new(),
-            since: now,
-            pause_until: now,
+            window_start: now,
+            backoff_until: now,
         })
     }
 
-    /// Whether another agent may be tried for a flow.
+    /// Whether another agent may get a datagram of the flow without having
+    /// claimed it.
     fn may_try(&self, key: &FlowTuple, now: Instant) -> bool {
-        self.tried.get(key).is_none_or(|tries| {
+        self.tries.get(key).is_none_or(|tries| {
             tries.agents.len() < self.settings.max_tries
-                || now >= tries.since + self.settings.tries_window
+                || now >= tries.window_start + self.settings.tries_window
         })
     }
 
-    fn try_one(
+    fn try_next_agent(
         &mut self,
         key: FlowTuple,
         search: &Search,
         now: Instant,
     ) -> Option<ReleasedDatagram> {
         let settings = self.settings;
-        // An agent of another service may hold a flow, but is not tried for it.
+        // Agents of other services are queried, but get no datagram without a
+        // claim.
         let likely = self.agents_for(&key);
-        let tries = self.tries(key, now);
-        if now >= tries.since + settings.tries_window {
-            tries.since = now;
-            // Those that were tried come last: start over once all had a turn.
-            if search.perhaps.keys().all(|a| tries.agents.contains(a)) {
+        let tries = self.tries_for(key, now);
+        if now >= tries.window_start + settings.tries_window {
+            tries.window_start = now;
+            // Agents that were tried come last: start over when all of them
+            // were tried.
+            if search
+                .uncertain_agents
+                .keys()
+                .all(|a| tries.agents.contains(a))
+            {
                 tries.agents.clear();
             }
         } else if tries.agents.len() >= settings.max_tries {
             return None;
         }
-        let mut fresh = likely.into_iter().filter(|(agent, _)| {
-            search.perhaps.contains_key(agent) && !tries.agents.contains(agent)
+        let mut untried = likely.into_iter().filter(|(agent, _)| {
+            search.uncertain_agents.contains_key(agent) && !tries.agents.contains(agent)
         });
-        let (agent, service) = fresh.next()?;
+        let (agent, service) = untried.next()?;
         tries.agents.insert(agent);
         Some(ReleasedDatagram {
             agent,
             origin: Origin::Tried,
             service,
-            payload: search.parked.first().cloned()?,
+            payload: search.queued.first().cloned()?,
         })
     }
 
-    /// When the next search ends.
+    /// Deadline of the next search that ends.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Instant> {
-        self.searches.values().map(|search| search.until).min()
+        self.searches.values().map(|search| search.deadline).min()
     }
 }
--- a/crates/flow/tests/common/mod.rs
+++ b/crates/flow/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A balancer, agents and datagrams for the tests of this crate.
+//! Fixtures for the tests of this crate: a balancer, agents and datagrams.
 #![allow(dead_code)]
 
 use std::{
@@ -21,7 +21,7 @@
     SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, n), 7000)
 }
 
-/// An agent that takes flows and has just reported that it is idle.
+/// An agent that accepts flows and has just reported an idle upstream.
 pub fn agent(now: Instant) -> AgentStatus {
     AgentStatus {
         id: UpstreamId(1),
@@ -42,8 +42,8 @@
     )
 }
 
-/// Gives the balancer a set with one rule, for [`service_address`].
-pub fn routes(steering: &mut Steering, number: u64) {
+/// Gives the balancer a routing set with one rule, for [`service_address`].
+pub fn set_routes(steering: &mut Steering, number: u64) {
     let rule = Rule {
         parts: [(SERVICE.parse().unwrap(), Part(1))].into(),
     };
@@ -55,8 +55,8 @@
     assert!(steering.routes_mut().advance(set.delta_from(None)));
 }
 
-/// Takes the rule away again.
-pub fn no_routes(steering: &mut Steering, number: u64) {
+/// Removes the rule.
+pub fn remove_routes(steering: &mut Steering, number: u64) {
     let delta = RoutingDelta {
         number: SetNumber(number),
         ..RoutingSet::default().delta_from(None)
@@ -67,7 +67,7 @@
 /// A balancer with routes and agents 1 to `agents`.
 pub fn ready(agents: u8) -> (Steering, Instant) {
     let (mut steering, now) = steering();
-    routes(&mut steering, 1);
+    set_routes(&mut steering, 1);
     for n in 1..=agents {
         let pool = steering.pool(&SERVICE.parse().unwrap());
         pool.insert(address(n), agent(now));
@@ -94,7 +94,7 @@
     }
 }
 
-/// A datagram of caller `n` with data; `ack` as the upstream numbered it.
+/// A data datagram of caller `n` that acknowledges `ack`.
 pub fn data(n: u8, seq: u32, ack: u32) -> Segment {
     Segment {
         seq,
@@ -106,7 +106,8 @@
     }
 }
 
-/// The upstream agrees to the flow of caller `n`, with its first number.
+/// The upstream's answer to the opening datagram of caller `n`, with its
+/// initial sequence number `seq`.
 pub fn agreement(n: u8, seq: u32) -> Segment {
     Segment {
         source: service_address(),
@@ -140,10 +141,10 @@
     Bytes::from_static(text.as_bytes())
 }
 
-/// An agent's holder beside a ready upstream of 4 slots.
-pub fn holder() -> (FlowTable, Instant) {
+/// The flow table of an agent with a ready upstream of 4 slots.
+pub fn flow_table() -> (FlowTable, Instant) {
     let now = Instant::now();
-    let mut holder = FlowTable::new(FlowTableSettings::default(), now);
-    holder.set_upstream(Some(UpstreamStatus::ready(7, Slots(4))), now);
-    (holder, now)
+    let mut table = FlowTable::new(FlowTableSettings::default(), now);
+    table.set_upstream(Some(UpstreamStatus::ready(7, Slots(4))), now);
+    (table, now)
 }
--- a/crates/flow/tests/flow_table.rs
+++ b/crates/flow/tests/flow_table.rs
@@ -1,61 +1,63 @@
-//! What an agent does with datagrams of its upstream's flows.
+//! Decisions of an agent about the flows of its upstream.
 
 mod common;
 
 use std::time::Duration;
 
-use common::{agreement, answer, bounced, data, holder, opening};
+use common::{agreement, answer, bounced, data, flow_table, opening};
 use flow::{
     CallerAction, Claim, FlowTable, FlowTableSettings, Origin, Segment, UpstreamAction,
     UpstreamStatus,
 };
 use types::Slots;
 
-/// First number of the upstream in these tests.
-const FIRST: u32 = 5000;
+/// Initial sequence number of the upstream in these tests.
+const INITIAL_SEQ: u32 = 5000;
 
-/// A holder with the open flow of caller 1.
-fn open() -> (FlowTable, std::time::Instant) {
-    let (mut holder, now) = holder();
+/// A flow table with the open flow of caller 1.
+fn table_with_open_flow() -> (FlowTable, std::time::Instant) {
+    let (mut table, now) = flow_table();
     assert_eq!(
-        holder.caller_datagram(&opening(1), Origin::Placed, now),
+        table.caller_datagram(&opening(1), Origin::Placed, now),
         CallerAction::Deliver
     );
     let to_caller = UpstreamAction::ToCaller { learned: false };
     assert_eq!(
-        holder.upstream_datagram(&agreement(1, FIRST), now),
+        table.upstream_datagram(&agreement(1, INITIAL_SEQ), now),
         to_caller
     );
-    (holder, now)
+    (table, now)
 }
 
-/// Guards against a flow that reaches an upstream which does not hold it.
+/// Guards against a datagram that is delivered to an upstream which does not
+/// hold its flow.
 #[test]
 fn a_datagram_of_an_unknown_flow_is_not_delivered() {
-    let (mut holder, now) = holder();
-    let verdict = holder.caller_datagram(&data(1, 101, 1), Origin::Placed, now);
+    let (mut table, now) = flow_table();
+    let verdict = table.caller_datagram(&data(1, 101, 1), Origin::Placed, now);
     assert_eq!(verdict, CallerAction::NotHeld);
 }
 
-/// Guards against the case where two upstreams answer copies of one opening:
-/// the flow is open at the one whose number the caller acknowledges. A wide
-/// range of numbers let one in 256 of such flows go to the wrong one, and was
-/// seen as a broken flow on a grown deployment.
+/// Guards against delivery to the wrong upstream after two upstreams have
+/// answered copies of one opening datagram: the flow is open at the one whose
+/// sequence number the caller acknowledges. A wide range of accepted sequence
+/// numbers sent one in 256 of such flows to the wrong upstream, which broke a
+/// flow of a grown deployment.
 #[test]
-fn a_caller_that_goes_on_with_another_upstream_is_not_delivered() {
-    let (mut holder, now) = open();
+fn an_acknowledgement_of_another_upstream_is_not_delivered() {
+    let (mut table, now) = table_with_open_flow();
     let cases = [
-        (FIRST + 1, CallerAction::Deliver),
-        (FIRST, CallerAction::Deliver),
-        (FIRST + 3, CallerAction::NotHeld),
-        (FIRST + (1 << 20), CallerAction::NotHeld),
-        (FIRST - 1, CallerAction::NotHeld),
+        (INITIAL_SEQ + 1, CallerAction::Deliver),
+        (INITIAL_SEQ, CallerAction::Deliver),
+        (INITIAL_SEQ + 3, CallerAction::NotHeld),
+        (INITIAL_SEQ + (1 << 20), CallerAction::NotHeld),
+        (INITIAL_SEQ - 1, CallerAction::NotHeld),
     ];
     for (ack, expected) in cases {
         let seg = data(1, 101, ack);
-        let verdict = holder.caller_datagram(&seg, Origin::Held, now);
+        let verdict = table.caller_datagram(&seg, Origin::Held, now);
         assert_eq!(verdict, expected, "acknowledges {ack}");
-        let claim = holder.claim(&seg.key_from_caller(), &seg, now);
+        let claim = table.claim(&seg.key_from_caller(), &seg, now);
         let holds = if expected == CallerAction::Deliver {
             Claim::Holds
         } else {
@@ -65,232 +67,237 @@
     }
 }
 
-/// Guards against a copy of the agreement that makes an agent forget how much
-/// its upstream has sent: it then disowned the flow, which was tried at others
-/// until it counted as broken (18 flows of a grown deployment).
+/// Guards against a retransmitted answer to the opening datagram that resets
+/// the range of sequence numbers sent by the upstream. The agent then denied
+/// the flow, which was tried at other agents until it counted as broken (18
+/// flows of a grown deployment).
 #[test]
-fn a_copy_of_the_agreement_takes_nothing_back() {
-    let (mut holder, now) = open();
-    holder.upstream_datagram(&answer(1, FIRST + 1), now);
-    holder.upstream_datagram(&agreement(1, FIRST), now);
-    let verdict = holder.caller_datagram(&data(1, 101, FIRST + 11), Origin::Held, now);
+fn a_retransmitted_answer_does_not_reset_the_sent_range() {
+    let (mut table, now) = table_with_open_flow();
+    table.upstream_datagram(&answer(1, INITIAL_SEQ + 1), now);
+    table.upstream_datagram(&agreement(1, INITIAL_SEQ), now);
+    let verdict = table.caller_datagram(&data(1, 101, INITIAL_SEQ + 11), Origin::Held, now);
     assert_eq!(verdict, CallerAction::Deliver);
 }
 
-/// Guards against agents that offer to take any flow because they have just
-/// started, though their upstreams started with them.
+/// Guards against agents that accept any flow because they have just started,
+/// although their upstreams started with them.
 #[test]
-fn an_agent_beside_a_new_upstream_knows_all_its_flows() {
-    let (mut holder, now) = holder();
-    let seg = data(1, 101, FIRST + 1);
-    assert_eq!(holder.claim(&seg.key_from_caller(), &seg, now), Claim::No);
-    let verdict = holder.caller_datagram(&seg, Origin::Tried, now);
+fn an_agent_that_started_with_its_upstream_accepts_no_unknown_flow() {
+    let (mut table, now) = flow_table();
+    let seg = data(1, 101, INITIAL_SEQ + 1);
+    assert_eq!(table.claim(&seg.key_from_caller(), &seg, now), Claim::No);
+    let verdict = table.caller_datagram(&seg, Origin::Tried, now);
     assert_eq!(verdict, CallerAction::NotHeld);
 }
 
-/// A holder whose agent has restarted.
-fn beside_an_older_upstream() -> (FlowTable, std::time::Instant) {
+/// The flow table of a restarted agent.
+fn table_of_restarted_agent() -> (FlowTable, std::time::Instant) {
     let now = std::time::Instant::now();
-    let mut holder = FlowTable::new(FlowTableSettings::default(), now);
+    let mut table = FlowTable::new(FlowTableSettings::default(), now);
     let upstream = UpstreamStatus {
         started_before_agent: true,
         ..UpstreamStatus::ready(7, Slots(4))
     };
-    holder.set_upstream(Some(upstream), now);
-    (holder, now)
+    table.set_upstream(Some(upstream), now);
+    (table, now)
 }
 
-/// Guards against acknowledgements of later answers that are taken for another
-/// upstream's.
+/// Guards against acknowledgements of later answers that are taken for those of
+/// another upstream.
 #[test]
-fn what_the_upstream_has_sent_may_be_acknowledged() {
-    let (mut holder, now) = open();
-    holder.upstream_datagram(&answer(1, FIRST + 1), now);
-    let verdict = holder.caller_datagram(&data(1, 101, FIRST + 11), Origin::Held, now);
+fn acknowledgements_of_sent_data_are_delivered() {
+    let (mut table, now) = table_with_open_flow();
+    table.upstream_datagram(&answer(1, INITIAL_SEQ + 1), now);
+    let verdict = table.caller_datagram(&data(1, 101, INITIAL_SEQ + 11), Origin::Held, now);
     assert_eq!(verdict, CallerAction::Deliver);
 }
 
-/// Guards against work for a leaving upstream, and for one that has gone.
+/// Guards against new flows for an upstream that is leaving or gone.
 #[test]
-fn a_leaving_upstream_gets_no_new_flow_and_keeps_its_own() {
-    let (mut holder, now) = open();
+fn a_leaving_upstream_gets_no_new_flow_and_keeps_open_flows() {
+    let (mut table, now) = table_with_open_flow();
     let leaving = UpstreamStatus {
         accepting: false,
         ..UpstreamStatus::ready(7, Slots(4))
     };
     for upstream in [Some(leaving), None] {
-        holder.set_upstream(upstream, now);
-        let verdict = holder.caller_datagram(&opening(2), Origin::Placed, now);
+        table.set_upstream(upstream, now);
+        let verdict = table.caller_datagram(&opening(2), Origin::Placed, now);
         assert_eq!(verdict, CallerAction::PassOn);
-        let verdict = holder.caller_datagram(&data(1, 101, FIRST + 1), Origin::Held, now);
+        let verdict = table.caller_datagram(&data(1, 101, INITIAL_SEQ + 1), Origin::Held, now);
         assert_eq!(verdict, CallerAction::Deliver);
     }
 }
 
-/// Guards against flows of an earlier run that are given to a new one.
+/// Guards against flows of an earlier incarnation that are delivered to a new
+/// one.
 #[test]
-fn flows_of_an_earlier_run_are_broken_off() {
-    let (mut holder, now) = open();
-    holder.set_upstream(Some(UpstreamStatus::ready(8, Slots(4))), now);
-    let verdict = holder.caller_datagram(&data(1, 101, FIRST + 1), Origin::Held, now);
+fn flows_of_an_earlier_incarnation_are_reset() {
+    let (mut table, now) = table_with_open_flow();
+    table.set_upstream(Some(UpstreamStatus::ready(8, Slots(4))), now);
+    let verdict = table.caller_datagram(&data(1, 101, INITIAL_SEQ + 1), Origin::Held, now);
     assert_eq!(verdict, CallerAction::Reset);
     let seg = data(3, 101, 1);
-    assert_eq!(holder.claim(&seg.key_from_caller(), &seg, now), Claim::No);
+    assert_eq!(table.claim(&seg.key_from_caller(), &seg, now), Claim::No);
 }
 
-/// Guards against callers that wait for an upstream which crashed silently.
+/// Guards against callers that wait for an upstream which crashed without an
+/// announcement.
 #[test]
-fn a_silent_upstream_gets_no_new_flow_but_a_probe() {
-    let (mut holder, now) = holder();
+fn an_unresponsive_upstream_gets_only_probes() {
+    let (mut table, now) = flow_table();
     assert_eq!(
-        holder.caller_datagram(&opening(1), Origin::Placed, now),
+        table.caller_datagram(&opening(1), Origin::Placed, now),
         CallerAction::Deliver
     );
     let later = now + Duration::from_millis(200);
-    assert!(holder.is_unresponsive(later));
+    assert!(table.is_unresponsive(later));
     assert_eq!(
-        holder.caller_datagram(&opening(2), Origin::Placed, later),
+        table.caller_datagram(&opening(2), Origin::Placed, later),
         CallerAction::Deliver
     );
     assert_eq!(
-        holder.caller_datagram(&opening(3), Origin::Placed, later),
+        table.caller_datagram(&opening(3), Origin::Placed, later),
         CallerAction::PassOn
     );
-    holder.upstream_datagram(&agreement(2, FIRST), later);
+    table.upstream_datagram(&agreement(2, INITIAL_SEQ), later);
     assert_eq!(
-        holder.caller_datagram(&opening(4), Origin::Placed, later),
+        table.caller_datagram(&opening(4), Origin::Placed, later),
         CallerAction::Deliver
     );
 }
 
-/// Guards against a queue at one upstream beside free slots at others, and
-/// against datagrams that are passed around among full ones.
+/// Guards against requests that queue at one upstream while others have free
+/// slots, and against datagrams that circulate among full ones.
 #[test]
-fn a_full_upstream_passes_on_once() {
-    let (mut holder, now) = holder();
+fn a_flow_is_passed_on_once_because_of_load() {
+    let (mut table, now) = flow_table();
     for n in 1..=4 {
-        holder.caller_datagram(&opening(n), Origin::Placed, now);
-        holder.upstream_datagram(&agreement(n, FIRST), now);
+        table.caller_datagram(&opening(n), Origin::Placed, now);
+        table.upstream_datagram(&agreement(n, INITIAL_SEQ), now);
     }
-    assert!(holder.is_full(now));
+    assert!(table.is_full(now));
     assert_eq!(
-        holder.caller_datagram(&opening(5), Origin::Placed, now),
+        table.caller_datagram(&opening(5), Origin::Placed, now),
         CallerAction::PassOn
     );
     assert_eq!(
-        holder.caller_datagram(&opening(5), Origin::Passed, now),
+        table.caller_datagram(&opening(5), Origin::Passed, now),
         CallerAction::Deliver
     );
 }
 
-/// Guards against an agent that starts beside a living upstream and never
+/// Guards against an agent that restarts beside a running upstream and never
 /// learns its flows, and against one that keeps a flow of another upstream.
 #[test]
-fn a_restarted_agent_learns_from_what_its_upstream_does() {
-    let (mut holder, now) = beside_an_older_upstream();
-    let seg = data(1, 101, FIRST + 1);
+fn a_restarted_agent_learns_flows_from_its_upstream() {
+    let (mut table, now) = table_of_restarted_agent();
+    let seg = data(1, 101, INITIAL_SEQ + 1);
     let key = seg.key_from_caller();
-    assert_eq!(holder.claim(&key, &seg, now), Claim::Perhaps);
+    assert_eq!(table.claim(&key, &seg, now), Claim::Perhaps);
     assert_eq!(
-        holder.caller_datagram(&seg, Origin::Tried, now),
+        table.caller_datagram(&seg, Origin::Tried, now),
         CallerAction::Deliver
     );
-    assert!(holder.is_tried(&key));
+    assert!(table.is_tried(&key));
     let learned = UpstreamAction::ToCaller { learned: true };
     assert_eq!(
-        holder.upstream_datagram(&answer(1, FIRST + 1), now),
+        table.upstream_datagram(&answer(1, INITIAL_SEQ + 1), now),
         learned
     );
-    assert_eq!(holder.claim(&key, &seg, now), Claim::Holds);
+    assert_eq!(table.claim(&key, &seg, now), Claim::Holds);
 
-    let seg = data(2, 101, FIRST + 1);
+    let seg = data(2, 101, INITIAL_SEQ + 1);
     assert_eq!(
-        holder.caller_datagram(&seg, Origin::Tried, now),
+        table.caller_datagram(&seg, Origin::Tried, now),
         CallerAction::Deliver
     );
     assert_eq!(
-        holder.upstream_datagram(&bounced(seg), now),
+        table.upstream_datagram(&bounced(seg), now),
         UpstreamAction::NotHeld
     );
-    assert_eq!(holder.claim(&seg.key_from_caller(), &seg, now), Claim::No);
+    assert_eq!(table.claim(&seg.key_from_caller(), &seg, now), Claim::No);
     assert_eq!(
-        holder.caller_datagram(&seg, Origin::Tried, now),
+        table.caller_datagram(&seg, Origin::Tried, now),
         CallerAction::NotHeld
     );
 }
 
-/// Guards against a caller that waits for an upstream which has restarted under
-/// the eyes of its agent.
+/// Guards against a caller that waits for an upstream which has restarted while
+/// its agent was running.
 #[test]
-fn a_flow_that_the_upstream_has_lost_is_broken_off() {
-    let (mut holder, now) = open();
-    let seg = data(1, 101, FIRST + 1);
+fn a_flow_that_the_upstream_has_lost_is_reset() {
+    let (mut table, now) = table_with_open_flow();
+    let seg = data(1, 101, INITIAL_SEQ + 1);
     assert_eq!(
-        holder.upstream_datagram(&bounced(seg), now),
+        table.upstream_datagram(&bounced(seg), now),
         UpstreamAction::Reset
     );
     assert_eq!(
-        holder.caller_datagram(&seg, Origin::Held, now),
+        table.caller_datagram(&seg, Origin::Held, now),
         CallerAction::Reset
     );
 }
 
-/// Guards against an opening that the upstream returned and nobody answers.
+/// Guards against an opening datagram that the upstream returned and that gets
+/// no answer.
 #[test]
-fn an_opening_that_comes_back_is_passed_on() {
-    let (mut holder, now) = holder();
-    holder.caller_datagram(&opening(1), Origin::Placed, now);
+fn a_returned_opening_is_passed_on() {
+    let (mut table, now) = flow_table();
+    table.caller_datagram(&opening(1), Origin::Placed, now);
     let back = bounced(opening(1));
-    assert_eq!(holder.upstream_datagram(&back, now), UpstreamAction::PassOn);
-    assert_eq!(holder.upstream_datagram(&back, now), UpstreamAction::Drop);
+    assert_eq!(table.upstream_datagram(&back, now), UpstreamAction::PassOn);
+    assert_eq!(table.upstream_datagram(&back, now), UpstreamAction::Drop);
 }
 
-/// Guards against memory that grows with every flow that ever was.
+/// Guards against a flow table that grows without bound.
 #[test]
-fn idle_and_closed_flows_are_forgotten() {
-    let (mut holder, now) = open();
+fn idle_flows_expire() {
+    let (mut table, now) = table_with_open_flow();
     let settings = FlowTableSettings::default();
-    holder.expire(now + settings.idle_timeout / 2);
-    assert_eq!(holder.load(now).open_flows, 1);
-    holder.expire(now + settings.idle_timeout);
-    assert_eq!(holder.load(now).open_flows, 0);
+    table.expire(now + settings.idle_timeout / 2);
+    assert_eq!(table.load(now).open_flows, 1);
+    table.expire(now + settings.idle_timeout);
+    assert_eq!(table.load(now).open_flows, 0);
 }
 
-/// Guards against a cold upstream that is given as much as a warm one.
+/// Guards against an upstream in its slow start that gets as many requests as
+/// any other.
 #[test]
-fn a_cold_upstream_is_given_half() {
-    let (mut holder, now) = holder();
-    let warm_at = now + Duration::from_secs(2);
-    let cold = UpstreamStatus {
-        slow_start_until: Some(warm_at),
+fn an_upstream_in_slow_start_gets_half_its_slots() {
+    let (mut table, now) = flow_table();
+    let slow_start_ends_at = now + Duration::from_secs(2);
+    let slow = UpstreamStatus {
+        slow_start_until: Some(slow_start_ends_at),
         ..UpstreamStatus::ready(7, Slots(7))
     };
-    holder.set_upstream(Some(cold), now);
-    assert_eq!(holder.slots(now), Slots(4));
-    assert_eq!(holder.slots(warm_at), Slots(7));
-    holder.set_upstream(None, now);
-    assert_eq!(holder.slots(now), Slots(0));
+    table.set_upstream(Some(slow), now);
+    assert_eq!(table.slots(now), Slots(4));
+    assert_eq!(table.slots(slow_start_ends_at), Slots(7));
+    table.set_upstream(None, now);
+    assert_eq!(table.slots(now), Slots(0));
 }
 
-/// Guards against balancers that are told of flows of others, or of flows that
-/// are over.
+/// Guards against reports to a balancer of flows that another balancer
+/// forwards, or of flows that are closed.
 #[test]
-fn flows_are_told_by_the_balancer_that_took_them() {
-    let (mut holder, now) = holder();
+fn open_flows_are_selected_by_balancer() {
+    let (mut table, now) = flow_table();
     for n in 1..=4 {
         let at = now + Duration::from_millis(n.into());
-        holder.caller_datagram(&opening(n), Origin::Placed, at);
-        holder.upstream_datagram(&agreement(n, 500), at);
+        table.caller_datagram(&opening(n), Origin::Placed, at);
+        table.upstream_datagram(&agreement(n, 500), at);
         let via = common::address(if n == 3 { 9 } else { 8 });
-        holder.set_via(&opening(n).key_from_caller(), via);
+        table.set_via(&opening(n).key_from_caller(), via);
     }
     let reset = Segment {
         resets: true,
         opens: false,
         ..agreement(1, 501)
     };
-    holder.upstream_datagram(&reset, now);
-    let via = |address| holder.flows_via(|via| via == address, 10);
+    table.upstream_datagram(&reset, now);
+    let via = |address| table.flows_via(|via| via == address, 10);
     let keys = |flows: &[u8]| -> Vec<_> {
         flows
             .iter()
@@ -299,5 +306,5 @@
     };
     assert_eq!(via(common::address(8)), keys(&[4, 2]));
     assert_eq!(via(common::address(9)), keys(&[3]));
-    assert_eq!(holder.flows_via(|_| true, 1), keys(&[4]));
+    assert_eq!(table.flows_via(|_| true, 1), keys(&[4]));
 }
--- a/crates/flow/tests/hints.rs
+++ b/crates/flow/tests/hints.rs
@@ -1,17 +1,17 @@
-//! What a balancer remembers of flows.
+//! Hints of a balancer, and its search for the holder of a flow.
 
 mod common;
 
 use std::time::Duration;
 
 use bytes::Bytes;
-use common::{SERVICE, address, data, no_routes, opening, payload, ready};
+use common::{SERVICE, address, data, opening, payload, ready, remove_routes};
 use flow::{Claim, DropReason, Origin, Steering, SteeringDecision};
 
-fn to(steer: &SteeringDecision) -> (std::net::SocketAddrV4, Origin) {
+fn forwarded(steer: &SteeringDecision) -> (std::net::SocketAddrV4, Origin) {
     match steer {
         SteeringDecision::Forward { agent, origin, .. } => (*agent, *origin),
-        other => panic!("{other:?}"),
+        other => panic!("not forwarded: {other:?}"),
     }
 }
 
@@ -23,24 +23,28 @@
     steering.steer(seg, &Bytes::new(), now)
 }
 
-/// Guards against copies of one opening that reach several upstreams.
+/// Guards against copies of one opening datagram that reach several upstreams.
 #[test]
 fn copies_of_an_opening_go_to_one_agent() {
     let (mut steering, now) = ready(5);
-    let first = to(&steer(&mut steering, &opening(1), now));
+    let first = forwarded(&steer(&mut steering, &opening(1), now));
     for copy in 1..3 {
         let mut seg = opening(1);
         seg.ack = copy;
-        assert_eq!(to(&steer(&mut steering, &seg, now)), first);
+        assert_eq!(forwarded(&steer(&mut steering, &seg, now)), first);
     }
-    assert_eq!(to(&steer(&mut steering, &data(1, 101, 1), now)).0, first.0);
+    assert_eq!(
+        forwarded(&steer(&mut steering, &data(1, 101, 1), now)).0,
+        first.0
+    );
 }
 
-/// Guards against a caller whose opening waits for an agent that has died.
+/// Guards against a caller whose opening datagram is sent to a failed agent
+/// again.
 #[test]
-fn a_copy_goes_elsewhere_once_its_agent_is_silent() {
+fn a_retransmission_goes_elsewhere_when_reports_of_the_agent_stop() {
     let (mut steering, now) = ready(2);
-    let (first, _) = to(&steer(&mut steering, &opening(1), now));
+    let (first, _) = forwarded(&steer(&mut steering, &opening(1), now));
     let later = now + Duration::from_secs(2);
     let other = if first == address(1) {
         address(2)
@@ -49,14 +53,17 @@
     };
     let pool = steering.pool(&SERVICE.parse().unwrap());
     pool.get_mut(other).unwrap().reported_at = later;
-    assert_eq!(to(&steer(&mut steering, &opening(1), later)).0, other);
+    assert_eq!(
+        forwarded(&steer(&mut steering, &opening(1), later)).0,
+        other
+    );
 }
 
-/// Guards against a wrong hint that is followed again and again.
+/// Guards against a wrong hint that is used again.
 #[test]
-fn a_hint_that_was_wrong_is_forgotten_and_the_holder_found() {
+fn a_wrong_hint_is_removed_and_the_holder_found() {
     let (mut steering, now) = ready(3);
-    let (wrong, _) = to(&steer(&mut steering, &opening(1), now));
+    let (wrong, _) = forwarded(&steer(&mut steering, &opening(1), now));
     let seg = data(1, 101, 1);
     let key = seg.key_from_caller();
     let back = steering.handle_not_held(key, wrong, payload("first"), now);
@@ -69,12 +76,15 @@
     let released = steering.handle_claim(key, holder, Claim::Holds, now);
     let texts: Vec<&[u8]> = released.iter().map(|r| &r.payload[..]).collect();
     assert_eq!(texts, [b"first".as_slice(), b"second"]);
-    assert_eq!(to(&steer(&mut steering, &seg, now)), (holder, Origin::Held));
+    assert_eq!(
+        forwarded(&steer(&mut steering, &seg, now)),
+        (holder, Origin::Held)
+    );
 }
 
 /// Guards against a flow that reaches three upstreams that do not hold it.
 #[test]
-fn at_most_two_agents_are_tried_in_a_while() {
+fn at_most_two_agents_are_tried_per_window() {
     let (mut steering, mut now) = ready(5);
     let seg = data(1, 101, 1);
     let key = seg.key_from_caller();
@@ -96,25 +106,25 @@
     assert_eq!(tried, 2);
 }
 
-/// Guards against flows that are looked for among agents of other services.
+/// Guards against searches that query agents of other services first.
 #[test]
-fn only_agents_of_the_services_of_the_address_are_asked() {
+fn only_agents_of_the_services_of_the_address_are_queried() {
     let (mut steering, now) = ready(2);
     let other = "others".parse().unwrap();
     steering.pool(&other).insert(address(9), common::agent(now));
     let SteeringDecision::Query(agents) = steer(&mut steering, &data(1, 101, 1), now) else {
-        panic!("not asked");
+        panic!("no agent was queried");
     };
     assert!(agents.iter().all(|(agent, _)| *agent != address(9)));
 }
 
-/// Guards against flows that are broken off by a balancer which has yet to
-/// learn their rule, and against callers that wait for a rule that is gone.
+/// Guards against flows that are reset by a balancer which has yet to receive
+/// their rule, and against callers that wait for a removed rule.
 #[test]
-fn only_flows_that_were_steered_here_are_broken_off_without_a_rule() {
+fn without_a_rule_only_flows_with_a_hint_are_reset() {
     let (mut steering, now) = ready(2);
     steer(&mut steering, &opening(1), now);
-    no_routes(&mut steering, 2);
+    remove_routes(&mut steering, 2);
     assert_eq!(
         steer(&mut steering, &data(1, 101, 1), now),
         SteeringDecision::Reset
@@ -127,9 +137,9 @@
     );
 }
 
-/// Guards against a routing set that goes back.
+/// Guards against a routing set that is replaced by an older one.
 #[test]
-fn a_routing_set_never_goes_back() {
+fn an_older_routing_set_is_rejected() {
     let (mut steering, _) = ready(1);
     let set = types::RoutingSet {
         number: types::SetNumber(1),
@@ -139,13 +149,13 @@
     assert_eq!(steering.routes().unwrap().rules.len(), 1);
 }
 
-/// Guards against a search that asks all agents of a large service at once:
-/// its questions fill a thin link.
+/// Guards against a search that queries all agents of a large service at once:
+/// its queries saturate a slow link.
 #[test]
-fn a_search_widens_step_by_step() {
+fn a_search_queries_more_agents_each_round() {
     let (mut steering, mut now) = ready(42);
     let SteeringDecision::Query(first) = steer(&mut steering, &data(1, 101, 1), now) else {
-        panic!("not asked");
+        panic!("no agent was queried");
     };
     let mut asked = vec![first.len()];
     while let Some(deadline) = steering.next_deadline() {
@@ -156,13 +166,13 @@
     assert_eq!(asked, [3, 9, 27, 3]);
 }
 
-/// Guards against a search for a flow that its agent has told of, and against
-/// news that replaces what is known better.
+/// Guards against a search for a flow that its agent has reported, and against
+/// a report that replaces a newer hint.
 #[test]
-fn a_balancer_that_is_told_of_a_flow_does_not_search() {
+fn a_reported_flow_is_not_searched() {
     let (mut steering, now) = ready(5);
     let service = SERVICE.parse().unwrap();
-    let known = to(&steer(&mut steering, &opening(1), now)).0;
+    let known = forwarded(&steer(&mut steering, &opening(1), now)).0;
     let other = address(if known == address(1) { 2 } else { 1 });
     let waiting = data(3, 101, 1);
     steering.steer(&waiting, &payload("first"), now);
@@ -171,27 +181,31 @@
     let released = steering.record_reported_flows(keys, other, &service, now);
     let texts: Vec<&[u8]> = released.iter().map(|r| &r.payload[..]).collect();
     assert_eq!(texts, [b"first".as_slice()]);
-    assert_eq!(to(&steer(&mut steering, &data(1, 101, 1), now)).0, known);
-    let told = to(&steer(&mut steering, &data(2, 101, 1), now));
+    assert_eq!(
+        forwarded(&steer(&mut steering, &data(1, 101, 1), now)).0,
+        known
+    );
+    let told = forwarded(&steer(&mut steering, &data(2, 101, 1), now));
     assert_eq!(told, (other, Origin::Held));
 }
 
-/// How the agents of a balancer answer when a flow is looked for.
+/// Answers of the agents to a search.
 struct Answers {
-    /// The list is complete when the search begins, and when it ends.
-    whole: (bool, bool),
-    /// Answer of agent 1; the other one denies.
+    /// Whether the directory is complete when the search begins, and when it
+    /// ends.
+    directory_complete: (bool, bool),
+    /// Answer of agent 1; agent 2 denies the flow.
     first: Option<Claim>,
     /// Answer of the agent of another service.
     other: Option<Claim>,
 }
 
-/// Returns whether the flow was broken off, and what was sent on.
-fn looked_for(answers: &Answers) -> (bool, usize) {
+/// Returns whether the flow was reset, and how many datagrams were forwarded.
+fn search_result(answers: &Answers) -> (bool, usize) {
     let (mut steering, mut now) = ready(2);
     let other = "others".parse().unwrap();
     steering.pool(&other).insert(address(9), common::agent(now));
-    if answers.whole.0 {
+    if answers.directory_complete.0 {
         steering.set_directory_complete_until(now + Duration::from_secs(1));
     }
     let seg = data(1, 101, 1);
@@ -207,7 +221,11 @@
         }
         now += Duration::from_millis(40);
         steering.set_directory_complete_until(
-            now + Duration::from_millis(if answers.whole.1 { 1000 } else { 0 }),
+            now + Duration::from_millis(if answers.directory_complete.1 {
+                1000
+            } else {
+                0
+            }),
         );
         let ended = steering.end_searches(now);
         lost += ended.lost_flows.len();
@@ -216,89 +234,89 @@
     (lost > 0, released)
 }
 
-/// Guards against a living flow that is broken off, and against a caller that
-/// waits for a flow which no upstream holds.
+/// Guards against the reset of a live flow, and against a caller that waits for
+/// a flow which no upstream holds.
 #[test]
-fn a_flow_is_broken_off_only_if_no_agent_can_hold_it() {
+fn a_flow_is_reset_only_if_no_agent_can_hold_it() {
     let no = Some(Claim::No);
-    let whole = (true, true);
+    let directory_complete = (true, true);
     let cases = [
         (
-            "all deny",
+            "all agents deny",
             Answers {
-                whole,
+                directory_complete,
                 first: no,
                 other: no,
             },
             (true, 0),
         ),
         (
-            "one is silent",
+            "one agent does not answer",
             Answers {
-                whole,
+                directory_complete,
                 first: None,
                 other: no,
             },
             (false, 0),
         ),
         (
-            "one has restarted",
+            "one agent has restarted",
             Answers {
-                whole,
+                directory_complete,
                 first: Some(Claim::Perhaps),
                 other: no,
             },
             (false, 1),
         ),
         (
-            "one holds it",
+            "one agent holds the flow",
             Answers {
-                whole,
+                directory_complete,
                 first: Some(Claim::Holds),
                 other: no,
             },
             (false, 1),
         ),
         (
-            "one of another service is silent",
+            "an agent of another service does not answer",
             Answers {
-                whole,
+                directory_complete,
                 first: no,
                 other: None,
             },
             (false, 0),
         ),
         (
-            "one of another service has restarted",
+            "an agent of another service has restarted",
             Answers {
-                whole,
+                directory_complete,
                 first: no,
                 other: Some(Claim::Perhaps),
             },
             (false, 0),
         ),
         (
-            "one of another service holds it",
+            "an agent of another service holds the flow",
             Answers {
-                whole,
+                directory_complete,
                 first: no,
                 other: Some(Claim::Holds),
             },
             (false, 1),
         ),
         (
-            "agents were unknown",
+            "the directory was incomplete at the start",
             Answers {
-                whole: (false, true),
+                directory_complete: (false, true),
                 first: no,
                 other: no,
             },
             (false, 0),
         ),
         (
-            "the list is out of date",
+            "the directory is incomplete at the end",
             Answers {
-                whole: (true, false),
+                directory_complete: (true, false),
                 first: no,
                 other: no,
             },
@@ -306,31 +324,32 @@
         ),
     ];
     for (what, answers, expected) in cases {
-        assert_eq!(looked_for(&answers), expected, "{what}");
+        assert_eq!(search_result(&answers), expected, "{what}");
     }
 }
 
-/// Guards against searches for one flow that follow on each other: after a loss
-/// of all processes they took the time of all balancers.
+/// Guards against back-to-back searches for one flow: after a failure of all
+/// processes they used up the time of all balancers.
 #[test]
-fn a_search_that_found_nothing_is_not_repeated_at_once() {
+fn an_unsuccessful_search_is_repeated_after_a_backoff() {
     let (mut steering, now) = ready(3);
     let seg = data(1, 101, 1);
     for n in [0, 100, 200, 350] {
         let at = now + Duration::from_millis(n);
-        let steered = steer(&mut steering, &seg, at);
-        let asks = matches!(steered, SteeringDecision::Query(_));
-        assert_eq!(asks, n == 0 || n == 350, "after {n} ms: {steered:?}");
-        if asks {
+        let decision = steer(&mut steering, &seg, at);
+        let queries = matches!(decision, SteeringDecision::Query(_));
+        assert_eq!(queries, n == 0 || n == 350, "after {n} ms: {decision:?}");
+        if queries {
             steering.end_searches(at + Duration::from_millis(31));
         }
     }
 }
 
-/// Guards against a flow that is never found where the way to its agent takes
-/// longer than a search waits: seen in the soak, seed 1003, with slow links.
+/// Guards against a flow that is never found because the round trip to its
+/// agent takes longer than `search_timeout`: seen in the soak with slow links,
+/// seed 1003.
 #[test]
-fn an_answer_that_comes_late_still_tells_the_holder() {
+fn a_late_claim_still_sets_the_hint() {
     let (mut steering, now) = ready(3);
     let seg = data(1, 101, 1);
     let key = seg.key_from_caller();
@@ -346,6 +365,6 @@
         steering.handle_claim(key, address(2), Claim::Holds, late),
         []
     );
-    let steered = steer(&mut steering, &seg, late);
-    assert_eq!(to(&steered), (address(2), Origin::Held));
+    let decision = steer(&mut steering, &seg, late);
+    assert_eq!(forwarded(&decision), (address(2), Origin::Held));
 }
--- a/crates/flow/tests/placement.rs
+++ b/crates/flow/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Where new flows go.
+//! Placement of new flows.
 
 mod common;
 
@@ -9,10 +9,10 @@
 use flow::{AgentPool, Claim, Load, Origin, SteeringDecision};
 use types::Slots;
 
-/// Longer than a search waits for answers.
-const SEARCH: Duration = Duration::from_millis(100);
+/// Longer than `search_timeout`.
+const AFTER_SEARCH: Duration = Duration::from_millis(100);
 
-/// Number, data centre and requests of agents.
+/// Number, data centre and busy requests of each agent.
 type Loads = [(u8, &'static str, u32)];
 
 fn pool(loads: &Loads) -> (AgentPool, std::time::Instant) {
@@ -31,9 +31,9 @@
 }
 
 /// Guards against requests that queue at one upstream beside an idle one, and
-/// against ways to other data centres that save nothing.
+/// against flows to another data centre that save no queueing time.
 #[test]
-fn flows_go_to_free_slots_near_by_first() {
+fn flows_go_to_free_slots_in_the_local_data_centre_first() {
     let cases: [(&Loads, u8); 4] = [
         (&[(1, "near", 0), (2, "far", 0)], 1),
         (&[(1, "near", 4), (2, "far", 0)], 2),
@@ -59,9 +59,9 @@
     }
 }
 
-/// Guards against a burst between two reports that all goes to one upstream.
+/// Guards against a burst between two reports that goes to one upstream.
 #[test]
-fn flows_placed_since_the_last_report_count() {
+fn flows_placed_since_the_last_report_count_as_load() {
     let (mut pool, now) = pool(&[(1, "near", 0), (2, "near", 0), (3, "near", 0)]);
     let near = "near".parse().unwrap();
     let mut placed = BTreeMap::new();
@@ -75,7 +75,7 @@
     );
 }
 
-/// Guards against flows that are given to an agent that has died.
+/// Guards against flows that are placed on a failed agent.
 #[test]
 fn an_agent_that_stopped_reporting_is_used_only_if_no_other_is_left() {
     let (mut pool, now) = pool(&[(1, "near", 0), (2, "near", 4)]);
@@ -87,15 +87,16 @@
 }
 
 /// Guards against open flows that are lost when all balancers and agents have
-/// restarted: the first agent that is tried is where a flow was placed.
+/// restarted: the first agent that is tried must be the one where the flow was
+/// placed.
 #[test]
-fn a_flow_is_first_looked_for_where_it_was_placed() {
+fn a_flow_is_first_tried_where_it_was_placed() {
     let mut found = 0;
     for n in 0..100 {
         let (mut before, now) = ready(5);
         let SteeringDecision::Forward { agent, .. } = before.steer(&opening(n), &Bytes::new(), now)
         else {
-            panic!("not placed");
+            panic!("the flow was not placed");
         };
         let (mut after, now) = ready(5);
         assert!(matches!(
@@ -107,20 +108,21 @@
             assert_eq!(key.caller, caller(n));
             after.handle_claim(key, address(asked), Claim::Perhaps, now);
         }
-        // The likeliest have all restarted: the others know no better, and are
-        // not asked.
+        // All agents of the first round have restarted, so that the search does
+        // not query the others.
         let ended = after.end_searches(now);
         assert_eq!(ended.queries.len(), 0);
         let released = ended.released;
         assert_eq!(released.len(), 1);
-        assert_eq!(after.end_searches(now + SEARCH).released.len(), 0);
+        assert_eq!(after.end_searches(now + AFTER_SEARCH).released.len(), 0);
         assert_eq!(released[0].origin, Origin::Tried);
         found += u32::from(released[0].agent == agent);
     }
     assert_eq!(found, 100);
 }
 
-/// Guards against an upstream of few slots that is filled while others idle.
+/// Guards against an upstream with few slots that is filled while others are
+/// idle.
 #[test]
 fn small_upstreams_are_filled_evenly() {
     let (mut pool, now) = pool(&[(1, "near", 0), (2, "near", 0)]);
--- a/crates/flow/tests/readiness.rs
+++ b/crates/flow/tests/readiness.rs
@@ -1,17 +1,17 @@
-//! When a balancer may be given new flows.
+//! Readiness of a balancer for new flows.
 
 mod common;
 
 use std::time::Duration;
 
-use common::{SERVICE, agent, routes, steering};
+use common::{SERVICE, agent, set_routes, steering};
 
-/// Guards against a balancer that is cut off from all agents and still says
-/// that it is ready: the fabric went on to send it flows for five seconds.
+/// Guards against a balancer that is partitioned from all agents and stays
+/// ready: the fabric kept sending it flows for five seconds.
 #[test]
-fn a_balancer_that_hears_no_agent_is_not_ready() {
+fn a_balancer_without_recent_reports_is_not_ready() {
     let (mut steering, now) = steering();
-    routes(&mut steering, 1);
+    set_routes(&mut steering, 1);
     steering
         .pool(&SERVICE.parse().unwrap())
         .insert(common::address(1), agent(now));
@@ -19,7 +19,8 @@
     assert!(!steering.can_place(now + Duration::from_secs(2)));
 }
 
-/// Guards against flows that are taken before their routes are known.
+/// Guards against flows that are accepted before the first routing set has
+/// arrived.
 #[test]
 fn a_balancer_without_routes_is_not_ready() {
     let (mut steering, now) = steering();
