--- a/crates/directory/src/lib.rs
+++ b/crates/directory/src/lib.rs
@@ -1,10 +1,11 @@
-//! The processes of a deployment, as they are found without a list.
+//! Directory of the processes of a deployment.
 //!
-//! Every process says hello to a control host, which notes it in its
-//! [`Directory`]. Control hosts tell one another what they have heard
-//! ([`Directory::heard_since`]), and tell each process what changed since its last
-//! hello ([`Directory::deltas_since`]); the process keeps a [`View`]. All of it is soft
-//! state: it needs no agreement, and is complete again a hello after a restart.
+//! Every process sends a hello to a control host, which records it in its
+//! [`Directory`]. Control hosts relay the hellos that they receive to one
+//! another ([`Directory::heard_since`]). The reply to a hello carries the changes
+//! since the version that the process has ([`Directory::deltas_since`]); the
+//! process applies them to its [`View`]. All of this is soft state: it needs no
+//! consensus, and is complete again one hello interval after a restart.
 //!
 //! ```
 //! use directory::{Directory, Node, View};
--- a/crates/directory/src/process/mod.rs
+++ b/crates/directory/src/process/mod.rs
@@ -1,11 +1,11 @@
-//! What lasts as long as a process.
+//! Types that live as long as the process.
 
 mod coverage;
+mod directory;
 mod node;
-mod store;
 mod view;
 
 pub use coverage::Coverage;
+pub use directory::{Directory, NODE_LEASE};
 pub use node::{Node, NodeRole};
-pub use store::{Directory, NODE_LEASE};
 pub use view::{View, ViewChanges};
--- a/crates/directory/src/process/node.rs
+++ b/crates/directory/src/process/node.rs
@@ -1,46 +1,46 @@
-//! A process of the deployment.
+//! A process of the deployment, as the directory lists it.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 use serde::{Deserialize, Serialize};
 use types::{DataCentre, MemberId, ServiceName};
 
-/// What a process does.
+/// Role of a process.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum NodeRole {
-    /// A control host with a disk.
+    /// A control host with a disk: a member of the control group once it has joined.
     Control {
-        /// Its identity in the group.
+        /// Id of the member in the group.
         member: MemberId,
-        /// Whether it knows its group.
+        /// Whether the member has joined its group.
         formed: bool,
-        /// Whether it hears the leader, so that what it knows of the
-        /// configuration is the latest.
+        /// Whether it hears the leader, so that its configuration is the
+        /// latest.
         current: bool,
     },
-    /// A control host without a disk: it tells nodes of one another, and
-    /// operators where the others are.
+    /// A control host without a disk: it serves the directory to nodes, and the
+    /// addresses of the other control hosts to operators.
     Observer,
-    /// Takes callers' datagrams.
+    /// Forwards callers' datagrams to agents.
     Balancer,
-    /// Stands beside an upstream of this service.
+    /// Runs beside an upstream of this service.
     Agent(ServiceName),
 }
 
 /// A process of the deployment.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Node {
-    /// Where other processes reach it; no two processes share one.
+    /// Address for other processes; unique among all processes.
     pub address: SocketAddrV4,
     /// Differs for each run of the process; never 0.
     pub incarnation: u64,
-    /// Rises with each change of this record within a run.
+    /// Increases with each change of this record within an incarnation.
     pub seq: u64,
-    /// Where the host is.
+    /// Data centre of the host.
     pub data_centre: DataCentre,
-    /// What the process does.
+    /// Role of the process.
     pub role: NodeRole,
-    /// It ends soon and takes nothing new.
+    /// The process stops soon and accepts no new work.
     pub leaving: bool,
 }
 
@@ -63,32 +63,32 @@
         }
     }
 
-    /// Whether other control hosts are to be told what this one hears.
+    /// Whether control hosts relay the hellos that they receive to this node.
     #[must_use]
     pub fn gossips(&self) -> bool {
         matches!(self.role, NodeRole::Control { .. } | NodeRole::Observer)
     }
 
-    /// Whether it holds the configuration.
+    /// Whether it is a control host with a disk.
     #[must_use]
     pub fn is_control(&self) -> bool {
         matches!(self.role, NodeRole::Control { .. })
     }
 
-    /// Whether it holds a configuration: a control host on an empty disk holds
+    /// Whether it holds a configuration: a control host with an empty disk has
     /// none until it has joined its group.
     #[must_use]
     pub fn is_formed(&self) -> bool {
         matches!(self.role, NodeRole::Control { formed: true, .. })
     }
 
-    /// Whether it holds the latest configuration.
+    /// Whether it holds the latest configuration and is not leaving.
     #[must_use]
     pub fn is_current(&self) -> bool {
         matches!(self.role, NodeRole::Control { current: true, .. }) && !self.leaving
     }
 
-    /// The host of the process.
+    /// IP address of the host.
     #[must_use]
     pub fn ip(&self) -> Ipv4Addr {
         *self.address.ip()
--- a/crates/directory/src/process/view.rs
+++ b/crates/directory/src/process/view.rs
@@ -1,4 +1,4 @@
-//! What a process knows of the others.
+//! A process's copy of the directory.
 
 use std::{
     collections::BTreeMap,
@@ -9,67 +9,67 @@
 use super::{NODE_LEASE, Node};
 use crate::{DirectoryDelta, DirectoryVersion};
 
-/// A node that another control host does not know is kept for this long. A
-/// control host that has just started knows all of them within a lease.
-const DOUBT: Duration = NODE_LEASE.saturating_add(Duration::from_secs(1));
+/// A node that is missing from a full directory is kept for this long: a
+/// control host that has just started has heard from all nodes within a lease.
+const UNLISTED_RETENTION: Duration = NODE_LEASE.saturating_add(Duration::from_secs(1));
 
 #[derive(Debug)]
-struct Seen {
+struct ViewEntry {
     node: Node,
-    /// The control host did not list it; it is forgotten at this instant.
-    forget_at: Option<Instant>,
+    /// When to remove the node, because a full directory did not list it.
+    remove_at: Option<Instant>,
 }
 
-/// What a process knows of the others. It keeps what it has while no control
-/// host can be reached.
+/// A process's copy of the directory. Its nodes stay while no control host can
+/// be reached.
 #[derive(Debug, Default)]
 pub struct View {
     version: DirectoryVersion,
-    nodes: BTreeMap<SocketAddrV4, Seen>,
+    nodes: BTreeMap<SocketAddrV4, ViewEntry>,
 }
 
-/// What news changed.
+/// Changes made by a delta.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct ViewChanges {
     /// Nodes that are new or changed.
     pub changed: Vec<Node>,
-    /// Nodes that are gone.
+    /// Nodes that were removed.
     pub removed: Vec<Node>,
 }
 
 impl View {
-    /// What the next hello says is already known.
+    /// Version that the next hello reports.
     #[must_use]
     pub fn version(&self) -> DirectoryVersion {
         self.version
     }
 
-    /// Applies news and returns what changed. DirectoryDelta that does not follow on
-    /// what is known is left out: the next hello asks again.
-    pub fn apply(&mut self, news: DirectoryDelta, now: Instant) -> ViewChanges {
+    /// Applies a delta and returns the changes. A delta that does not start at
+    /// the current version is ignored: the next hello requests it again.
+    pub fn apply(&mut self, delta: DirectoryDelta, now: Instant) -> ViewChanges {
         let mut changes = ViewChanges::default();
-        let starts_over = news.from == DirectoryVersion::default();
-        let repeated =
-            news.to.incarnation == self.version.incarnation && news.to.seq <= self.version.seq;
-        if repeated || (!starts_over && news.from != self.version) {
+        let is_full = delta.from == DirectoryVersion::default();
+        let is_old =
+            delta.to.incarnation == self.version.incarnation && delta.to.seq <= self.version.seq;
+        if is_old || (!is_full && delta.from != self.version) {
             return changes;
         }
-        self.version = news.to;
-        if starts_over {
-            for seen in self.nodes.values_mut() {
-                seen.forget_at.get_or_insert(now + DOUBT);
+        self.version = delta.to;
+        if is_full {
+            for entry in self.nodes.values_mut() {
+                entry.remove_at.get_or_insert(now + UNLISTED_RETENTION);
             }
         }
-        for address in news.removed {
+        for address in delta.removed {
             let gone = self.nodes.remove(&address);
-            changes.removed.extend(gone.map(|seen| seen.node));
+            changes.removed.extend(gone.map(|entry| entry.node));
         }
-        for node in news.changed {
-            let seen = Seen {
+        for node in delta.changed {
+            let entry = ViewEntry {
                 node: node.clone(),
-                forget_at: None,
+                remove_at: None,
             };
-            let former = self.nodes.insert(node.address, seen);
+            let former = self.nodes.insert(node.address, entry);
             if former.is_none_or(|former| former.node != node) {
                 changes.changed.push(node);
             }
@@ -77,16 +77,17 @@
         changes
     }
 
-    /// Removes the nodes that no control host has listed for long.
+    /// Removes and returns the nodes that were missing from a full directory
+    /// for longer than `UNLISTED_RETENTION`.
     pub fn expire(&mut self, now: Instant) -> Vec<Node> {
         let gone = self
             .nodes
-            .extract_if(.., |_, seen| seen.forget_at.is_some_and(|at| now >= at));
-        gone.map(|(_, seen)| seen.node).collect()
+            .extract_if(.., |_, entry| entry.remove_at.is_some_and(|at| now >= at));
+        gone.map(|(_, entry)| entry.node).collect()
     }
 
-    /// The known processes.
+    /// All nodes.
     pub fn nodes(&self) -> impl Iterator<Item = &Node> {
-        self.nodes.values().map(|seen| &seen.node)
+        self.nodes.values().map(|entry| &entry.node)
     }
 }
--- a/crates/directory/src/version/mod.rs
+++ b/crates/directory/src/version/mod.rs
@@ -1,4 +1,4 @@
-//! What a version of the directory is told by.
+//! Versions of the directory and the messages that carry them.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -8,71 +8,73 @@
 
 use crate::Node;
 
-/// How far a reader has followed the directory of a control host.
+/// Version of a control host's directory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct DirectoryVersion {
-    /// The run of the control host; 0 for none.
+    /// Incarnation of the control host; 0 for none.
     pub incarnation: u64,
-    /// Its last change that the reader has.
+    /// Sequence number of the last change.
     pub seq: u64,
 }
 
-/// ViewChanges of the directory of a control host.
+/// Changes between two versions of a directory.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DirectoryDelta {
-    /// What the reader must have; the default starts from nothing.
+    /// Version that the delta applies to; the default is an empty directory.
     pub from: DirectoryVersion,
-    /// What the reader has afterwards.
+    /// Version after the delta.
     pub to: DirectoryVersion,
     /// Nodes that are new or changed.
     pub changed: Vec<Node>,
-    /// Nodes that are gone.
+    /// Addresses of the nodes that were removed.
     pub removed: Vec<SocketAddrV4>,
 }
 
-/// Path at which a control host gives a node what it lacks of the routing set.
+/// HTTP path at which a control host serves deltas of the routing set.
 pub const ROUTES_PATH: &str = "/v1/routes";
 
-/// A node says that it is there and what it knows.
+/// Periodic message of a node to a control host: its state and the version of
+/// its directory.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
-    /// The node.
+    /// The sender.
     pub node: Node,
-    /// Where the reply goes.
+    /// Address for the reply.
     pub reply_to: SocketAddrV4,
-    /// How far it has followed the directory of this control host; `None` while
-    /// it asks several for one to use, and wants no news yet.
+    /// Version of this control host's directory that the node has; `None` while
+    /// it looks for a control host and needs no delta yet.
     pub version: Option<DirectoryVersion>,
 }
 
-/// What a control host is told.
+/// A message to a control host.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ControlMessage {
-    /// By a node.
+    /// From a node.
     Hello(Hello),
-    /// By another control host: the nodes that it heard, and how many
-    /// milliseconds ago.
+    /// From another control host: the nodes that it heard from, with the time
+    /// since then in milliseconds.
     #[serde(rename = "Heard")]
     Relayed(Vec<(Node, u64)>),
-    /// By the control host that forms the first group: its members.
+    /// From the control host that forms the first group: the members of the
+    /// group.
     #[serde(rename = "Form")]
     FormGroup(Vec<(MemberId, Ipv4Addr)>),
 }
 
-/// What a control host tells a node.
+/// Reply of a control host to a hello.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HelloReply {
-    /// The routing set in force, as far as the control host knows.
+    /// Number of the latest routing set that the control host has.
     pub routing_set: SetNumber,
     /// Whether the control host hears the leader of its group.
     pub current: bool,
-    /// ViewChanges of the directory, if any.
+    /// Changes of the directory that the node lacks, if any.
     pub delta: Option<DirectoryDelta>,
-    /// Other control hosts, for a node that wants no news yet.
+    /// Other control hosts, for a node that has no control host yet.
     pub control_hosts: Vec<SocketAddrV4>,
-    /// The last change of the directory.
+    /// Version of the directory.
     pub version: DirectoryVersion,
-    /// Whether the directory lists all processes: the control host hears all
-    /// others.
+    /// Whether the directory lists all processes, because the control host
+    /// hears all others.
     pub complete: bool,
 }
--- a/crates/directory/tests/coverage.rs
+++ b/crates/directory/tests/coverage.rs
@@ -1,4 +1,4 @@
-//! When the list of a control host counts as complete.
+//! Completeness of a control host's directory.
 
 use std::{
     net::Ipv4Addr,
@@ -12,57 +12,80 @@
 
 const TICK: Duration = Duration::from_millis(250);
 
-/// Has A and B heard at each tick, except as `skip` says, and returns how often
-/// in a row the list counted as complete at the end.
-fn run(ticks: u32, heard: impl Fn(u32, Ipv4Addr) -> bool, current: impl Fn(u32) -> bool) -> u32 {
+/// Records messages of A and B as `heard` returns at each tick, and returns the
+/// number of consecutive ticks at the end at which the directory was complete.
+fn final_streak(
+    ticks: u32,
+    heard: impl Fn(u32, Ipv4Addr) -> bool,
+    hears_leader: impl Fn(u32) -> bool,
+) -> u32 {
     let mut now = Instant::now();
     let mut coverage = Coverage::new(now);
-    let mut whole = 0;
+    let mut streak = 0;
     for tick in 0..ticks {
         for host in [A, B] {
             if heard(tick, host) {
                 coverage.record_contact(host, now);
             }
         }
-        coverage.update(&[A, B], current(tick), now);
-        whole = if coverage.is_complete(now) {
-            whole + 1
+        coverage.update(&[A, B], hears_leader(tick), now);
+        streak = if coverage.is_complete(now) {
+            streak + 1
         } else {
             0
         };
         now += TICK;
     }
-    whole
+    streak
 }
 
-/// Guards against a flow that is broken off because its agent says hello to a
-/// control host that this one does not hear, as in a split of the core: seen
-/// as a broken flow on bbvg-sofia-grown, scale-1 --seed 12933379803.
+/// Guards against the reset of a live flow whose agent sends its hello to a
+/// control host that this one does not hear, as in a partition of the core:
+/// broke a flow on bbvg-sofia-grown, scale-1 --seed 12933379803.
 #[test]
-fn a_list_is_complete_only_while_all_members_are_heard() {
-    assert!(run(20, |_, _| true, |_| true) > 5, "all are heard");
-    assert_eq!(run(4, |_, _| true, |_| true), 0, "just started");
+fn complete_only_while_all_members_are_heard() {
+    assert!(
+        final_streak(20, |_, _| true, |_| true) > 5,
+        "all members are heard"
+    );
+    assert_eq!(
+        final_streak(4, |_, _| true, |_| true),
+        0,
+        "the host has just started"
+    );
     assert_eq!(
-        run(40, |_, host| host == A, |_| true),
+        final_streak(40, |_, host| host == A, |_| true),
         0,
-        "one is never heard"
+        "one member is never heard"
     );
-    let cut = |tick, host| host == A || tick < 14;
-    assert_eq!(run(20, cut, |_| true), 0, "one is cut off");
-    let back = |tick, host| host == A || !(14..20).contains(&tick);
-    assert_eq!(run(24, back, |_| true), 0, "one has just come back");
+    let partitioned = |tick, host| host == A || tick < 14;
     assert_eq!(
-        run(20, |_, _| true, |tick| tick < 18),
+        final_streak(20, partitioned, |_| true),
         0,
-        "no leader is heard"
+        "one member is partitioned"
+    );
+    let returned = |tick, host| host == A || !(14..20).contains(&tick);
+    assert_eq!(
+        final_streak(24, returned, |_| true),
+        0,
+        "one member has just returned"
+    );
+    assert_eq!(
+        final_streak(20, |_, _| true, |tick| tick < 18),
+        0,
+        "the leader is not heard"
     );
     let lost = |tick, host| host == A || tick % 3 != 0;
-    assert!(run(20, lost, |_| true) > 5, "single messages are lost");
+    assert!(
+        final_streak(20, lost, |_| true) > 5,
+        "every third message of one member is lost"
+    );
 }
 
-/// Guards against a host that wakes and passes off an old list as complete.
+/// Guards against a host that resumes after a suspension and reports an
+/// outdated directory as complete.
 #[test]
-fn a_list_is_not_complete_after_a_pause() {
+fn not_complete_after_a_suspension() {
     let mut now = Instant::now();
     let mut coverage = Coverage::new(now);
     for _ in 0..20 {
@@ -72,8 +95,8 @@
     }
     assert!(coverage.is_complete(now));
     now += Duration::from_secs(2);
-    assert!(!coverage.is_complete(now), "before it looks again");
+    assert!(!coverage.is_complete(now), "before the next update");
     coverage.record_contact(A, now);
     coverage.update(&[A], true, now);
-    assert!(!coverage.is_complete(now), "after it has looked");
+    assert!(!coverage.is_complete(now), "after the next update");
 }
