--- a/crates/route/src/connection/decision.rs
+++ b/crates/route/src/connection/decision.rs
@@ -1,4 +1,4 @@
-//! The answers of the table.
+//! Decisions about a datagram.
 
 use std::{fmt, net::SocketAddr};
 
@@ -12,25 +12,25 @@
     /// An agent passes it on to the agent of this upstream, marked as passed
     /// on.
     PassOn(Hop),
-    /// It is dropped and counted by the reason.
+    /// It is dropped and counted by this reason.
     Drop(DropReason),
 }
 
 /// An upstream and the address of its agent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Hop {
-    /// The upstream.
+    /// Id of the upstream.
     pub upstream: UpstreamId,
-    /// Where its agent takes datagrams.
+    /// Address at which its agent receives datagrams.
     pub address: SocketAddr,
 }
 
-/// How a datagram came to an agent.
+/// How a datagram arrived at an agent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Arrival {
     /// From a balancer.
     Forwarded,
-    /// From another agent; never passed on again.
+    /// From another agent; it is never passed on again.
     PassedOn,
 }
 
@@ -39,15 +39,15 @@
 pub enum DropReason {
     /// The service is not in the table.
     UnknownService,
-    /// The upstream is in no service: its lease expired or it never was known.
+    /// The upstream is in no service: it never was, or its lease has expired.
     UnknownUpstream,
     /// The upstream belongs to another service.
     OtherService,
     /// No upstream of the service has a share.
     NoUpstream,
-    /// Neither the agent nor any other that the table names holds the flow.
+    /// The agent does not hold the flow, and the table names no other owner.
     NotHeld,
-    /// The agent does not hold the flow and the datagram was already passed on
+    /// The agent does not hold the flow, and the datagram was already passed on
     /// once.
     PassedOnTwice,
 }
--- a/crates/route/src/connection/key.rs
+++ b/crates/route/src/connection/key.rs
@@ -5,16 +5,16 @@
 use twox_hash::XxHash64;
 use types::{FlowKey, ServiceId};
 
-/// Seed of every hash of this crate; a change of it moves every flow.
-const SEED: u64 = 0x6c69_6d70_6574;
+/// Seed of all hashes of this crate. Changing it moves every flow.
+const HASH_SEED: u64 = 0x6c69_6d70_6574;
 
 /// Hash that is the same in every process and on every platform.
 pub(crate) fn hash(salt: u64, bytes: &[u8]) -> u64 {
-    XxHash64::oneshot(SEED ^ salt, bytes)
+    XxHash64::oneshot(HASH_SEED ^ salt, bytes)
 }
 
-/// Key of a flow that is identified by `bytes`, such as the first destination
-/// id that a QUIC caller chose.
+/// Key of a flow that is identified by `bytes`, such as the initial destination
+/// connection id that a QUIC caller chose.
 #[must_use]
 pub fn flow_key(service: ServiceId, bytes: &[u8]) -> FlowKey {
     FlowKey(hash(u64::from(service.0), bytes))
--- a/crates/route/src/connection/mod.rs
+++ b/crates/route/src/connection/mod.rs
@@ -1,4 +1,4 @@
-//! What belongs to a flow: its key and the decision on its datagrams.
+//! Types of a flow: its key and the decision about its datagrams.
 
 mod decision;
 mod key;
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -1,13 +1,12 @@
 //! Decides where each datagram goes.
 //!
-//! A [`RoutingTable`] is built from the states of the services and answers two
-//! questions without sockets, clock or randomness: a balancer asks
-//! [`RoutingTable::decide`], and an agent that does not hold a flow asks
-//! [`RoutingTable::pass_on`]. Two tables built from the same states are equal, in
-//! every process and on every platform.
+//! A [`RoutingTable`] is built from the states of the services. It needs no
+//! sockets, clock or randomness: a balancer calls [`RoutingTable::decide`], and
+//! an agent that does not hold a flow calls [`RoutingTable::pass_on`]. Two tables
+//! built from the same states are equal, in every process and on every platform.
 //!
-//! - [`version`] holds what changes with a version: the table and the
-//!   placement of buckets on upstreams.
+//! - [`version`] holds what changes with a version: the table and the owners of
+//!   the buckets.
 //! - [`connection`] holds what belongs to a flow: its key and the decision.
 //!
 //! ```
--- a/crates/route/src/version/bucket_owners.rs
+++ b/crates/route/src/version/bucket_owners.rs
@@ -1,10 +1,10 @@
-//! Placement of the buckets of a service on its upstreams.
+//! Owners of the buckets of a service.
 
 use std::collections::BTreeMap;
 
 use types::{FlowKey, ServiceId, Share, UpstreamId};
 
-use super::{assign::assign, packed::Packed};
+use super::{assign::assign, packed_ints::PackedInts};
 use crate::connection::hash;
 
 /// Upstreams with a share above 0, in ascending order of their ids.
@@ -12,14 +12,14 @@
 
 /// Owner of each bucket of a service: a pure function of the share list.
 ///
-/// Every upstream owns exactly its quota of the buckets, which is its part of
-/// the sum of the shares, rounded by largest remainder.
+/// Each upstream owns exactly its quota of the buckets: its fraction of the sum
+/// of the shares, rounded by largest remainder.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BucketOwners {
     shares: ShareList,
-    /// Position in `shares` of the owner of each bucket; the length is a power
-    /// of two, or 0 when `shares` is empty.
-    buckets: Packed,
+    /// Index in `shares` of the owner of each bucket. The length is a power of
+    /// two, or 0 when `shares` is empty.
+    buckets: PackedInts,
 }
 
 impl BucketOwners {
@@ -43,7 +43,7 @@
 
     pub(crate) fn from_list(shares: ShareList) -> Self {
         let buckets = assign(&shares);
-        let buckets = Packed::new(&buckets, shares.len());
+        let buckets = PackedInts::new(&buckets, shares.len());
         BucketOwners { shares, buckets }
     }
 
@@ -51,24 +51,24 @@
         &self.shares
     }
 
-    /// Whether `upstream` has a share.
-    pub(crate) fn has(&self, upstream: UpstreamId) -> bool {
+    /// Whether `upstream` has a share above 0.
+    pub(crate) fn has_share(&self, upstream: UpstreamId) -> bool {
         self.shares.binary_search_by_key(&upstream, |s| s.0).is_ok()
     }
 
-    /// Number of buckets; 0 when nobody has a share.
+    /// Number of buckets; 0 if no upstream has a share.
     #[must_use]
     pub fn bucket_count(&self) -> usize {
         self.buckets.len()
     }
 
-    /// Owner of the bucket of a flow.
+    /// Owner of the flow's bucket; `None` if there are no buckets.
     #[must_use]
     pub fn owner(&self, service: ServiceId, flow: FlowKey) -> Option<UpstreamId> {
         Some(self.shares[self.position(service, flow)?].0)
     }
 
-    /// Position in `shares` of the owner of the bucket of a flow.
+    /// Index in `shares` of the owner of the flow's bucket.
     pub(crate) fn position(&self, service: ServiceId, flow: FlowKey) -> Option<usize> {
         let mask = self.buckets.len().checked_sub(1)?;
         let hash = hash(u64::from(service.0), &flow.0.to_le_bytes());
--- a/crates/route/src/version/mod.rs
+++ b/crates/route/src/version/mod.rs
@@ -1,8 +1,9 @@
-//! What changes with a version: the table and the placement of buckets.
+//! Types that change with the version of a service: the routing table and the
+//! owners of buckets.
 
 mod assign;
 mod bucket_owners;
-mod packed;
+mod packed_ints;
 mod routing_table;
 
 pub use bucket_owners::BucketOwners;
--- a/crates/route/src/version/routing_table.rs
+++ b/crates/route/src/version/routing_table.rs
@@ -1,4 +1,4 @@
-//! The table of services and upstreams.
+//! Routing table of services and upstreams.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -12,41 +12,42 @@
     version::bucket_owners::{BucketOwners, ShareList},
 };
 
-/// Where the datagrams of each service go.
+/// Routes the datagrams of each service to its upstreams.
 ///
-/// Equal after any history of updates that ends in the same states.
+/// Tables are equal if the last state of each service is equal, whatever
+/// updates came before.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct RoutingTable {
-    /// Boxed, because a search reads the keys of many nodes: small nodes stay
-    /// in the cache.
-    services: BTreeMap<ServiceId, Box<Entry>>,
+    /// Boxed, because a lookup reads the keys of many tree nodes: small nodes
+    /// stay in the CPU cache.
+    services: BTreeMap<ServiceId, Box<ServiceEntry>>,
     /// Service of each address. A set of pairs, so that the result does not
-    /// depend on the order in which an address goes from one service to
-    /// another.
+    /// depend on the order in which an address moves between services.
     addresses: BTreeSet<(SocketAddr, ServiceId)>,
-    /// Service of each upstream, read only to name the reason of a drop.
+    /// Service of each upstream, read only to determine the reason of a drop.
     upstreams: BTreeSet<(UpstreamId, ServiceId)>,
 }
 
 /// A service in the table.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Entry {
+struct ServiceEntry {
     address: SocketAddr,
-    /// The upstreams of `present`, in its order, then the others in ascending
-    /// order of their ids. A position in the one is a position in the other,
-    /// which saves a search and a read of memory that is seldom in the cache.
+    /// First the upstreams in `current_owners`, in its order, then the others
+    /// in ascending order of their ids. An index into the shares of
+    /// `current_owners` is also an index into this list, which saves a lookup
+    /// in memory that is rarely in the CPU cache.
     members: Box<[Hop]>,
-    /// BucketOwners by the present shares.
-    present: BucketOwners,
-    /// BucketOwners by the former shares; `None` when they are the present ones.
-    former: Option<BucketOwners>,
+    /// Owners by the current shares.
+    current_owners: BucketOwners,
+    /// Owners by the former shares; `None` if the shares are the same.
+    former_owners: Option<BucketOwners>,
 }
 
 impl RoutingTable {
-    /// Replaces the states of the `changed` services and forgets the `removed`
+    /// Replaces the states of the `changed` services and removes the `removed`
     /// ones.
     ///
-    /// Placement is computed again only for services whose shares changed.
+    /// Owners are computed again only for services whose shares have changed.
     pub fn apply(
         &mut self,
         changed: impl IntoIterator<Item = ServiceState>,
@@ -58,11 +59,11 @@
         for state in changed {
             let id = state.service.id;
             let old = self.remove(id);
-            self.insert(id, Entry::new(&state, old));
+            self.insert(id, ServiceEntry::new(&state, old));
         }
     }
 
-    fn remove(&mut self, id: ServiceId) -> Option<Box<Entry>> {
+    fn remove(&mut self, id: ServiceId) -> Option<Box<ServiceEntry>> {
         let entry = self.services.remove(&id)?;
         self.addresses.remove(&(entry.address, id));
         for hop in &entry.members {
@@ -71,7 +72,7 @@
         Some(entry)
     }
 
-    fn insert(&mut self, id: ServiceId, entry: Entry) {
+    fn insert(&mut self, id: ServiceId, entry: ServiceEntry) {
         self.addresses.insert((entry.address, id));
         self.upstreams
             .extend(entry.members.iter().map(|hop| (hop.upstream, id)));
@@ -80,20 +81,20 @@
 
     /// Service that callers reach at `address`.
     ///
-    /// While a version moves an address from one service to another, the newer
-    /// service (the one with the higher id) has it.
+    /// While a version moves an address between two services, the newer service
+    /// (with the higher id) has it.
     #[must_use]
     pub fn service_by_address(&self, address: SocketAddr) -> Option<ServiceId> {
         let range = (address, ServiceId(0))..=(address, ServiceId(u32::MAX));
         self.addresses.range(range).next_back().map(|(_, id)| *id)
     }
 
-    /// Where a balancer forwards a datagram of `service`.
+    /// Decides where a balancer forwards a datagram of `service`.
     ///
-    /// `upstream` is the one that the connection id names, if any. It keeps its
-    /// flows whatever its state and share. Without it the datagram goes to the
-    /// present owner of the bucket of `flow`, in either phase: an agent that
-    /// does not hold the flow then asks [`RoutingTable::pass_on`].
+    /// `upstream` is the one in the connection id, if any. It keeps its flows
+    /// whatever its state and share. Without it, the datagram goes to the
+    /// current owner of the bucket of `flow`, in either phase: an agent that
+    /// does not hold the flow then calls [`RoutingTable::pass_on`].
     #[must_use]
     pub fn decide(
         &self,
@@ -106,26 +107,26 @@
             return Decision::Drop(DropReason::UnknownService);
         };
         let hop = match upstream {
-            Some(id) => entry.hop(id).ok_or_else(|| self.reason(id)),
+            Some(id) => entry.hop(id).ok_or_else(|| self.drop_reason(id)),
             None => entry
-                .present_hop(service, flow)
+                .current_owner_hop(service, flow)
                 .ok_or(DropReason::NoUpstream),
         };
         hop.map_or_else(Decision::Drop, Decision::Forward)
     }
 
-    /// Where the agent of `own` passes a datagram of a flow that it does not
-    /// hold.
+    /// Decides where the agent of `own` passes on a datagram of a flow that it
+    /// does not hold.
     ///
-    /// - A datagram that was passed on once is dropped, so that two agents with
-    ///   different versions cannot send it back and forth.
-    /// - One that may open a flow goes to the present owner if `own` has no
-    ///   share.
-    /// - One that continues a flow goes to the former owner if `own` is the
-    ///   present one. Else it goes to the present owner: either the balancer
-    ///   has an older version, and the present owner opened the flow, or this
-    ///   table has the older one, and its present owner is the former owner in
-    ///   the newer.
+    /// - A datagram that was already passed on once is dropped, so that two
+    ///   agents with different versions cannot send it back and forth.
+    /// - A datagram that may open a flow goes to the current owner if `own` has
+    ///   no share.
+    /// - A datagram that continues a flow goes to the former owner if `own` is
+    ///   the current owner, and to the current owner otherwise: either the
+    ///   balancer has an older version and the current owner opened the flow,
+    ///   or this table has the older version and its current owner is the
+    ///   former owner in the newer one.
     #[must_use]
     pub fn pass_on(
         &self,
@@ -141,20 +142,21 @@
         if arrival == Arrival::PassedOn {
             return Decision::Drop(DropReason::PassedOnTwice);
         }
-        let present = entry.present_hop(service, flow);
-        let owns = present.is_some_and(|hop| hop.upstream == own);
+        let current = entry.current_owner_hop(service, flow);
+        let is_owner = current.is_some_and(|hop| hop.upstream == own);
         let hop = match phase {
-            FlowPhase::Opens if entry.present.has(own) => None,
-            FlowPhase::Continues if owns => entry.former_hop(service, flow),
-            _ if present.is_none() => return Decision::Drop(DropReason::NoUpstream),
-            _ => present,
+            FlowPhase::Opens if entry.current_owners.has_share(own) => None,
+            FlowPhase::Continues if is_owner => entry.former_owner_hop(service, flow),
+            _ if current.is_none() => return Decision::Drop(DropReason::NoUpstream),
+            _ => current,
         };
         hop.filter(|hop| hop.upstream != own)
             .map_or(Decision::Drop(DropReason::NotHeld), Decision::PassOn)
     }
 
-    /// Why `upstream`, which is not of the service asked for, gets nothing.
-    fn reason(&self, upstream: UpstreamId) -> DropReason {
+    /// Why a datagram for `upstream`, which is not in the requested service, is
+    /// dropped.
+    fn drop_reason(&self, upstream: UpstreamId) -> DropReason {
         let range = (upstream, ServiceId(0))..=(upstream, ServiceId(u32::MAX));
         if self.upstreams.range(range).next().is_some() {
             DropReason::OtherService
@@ -164,26 +166,27 @@
     }
 }
 
-impl Entry {
-    /// Builds the entry of `state`, with the owners of `old` where the share
-    /// lists are the same.
-    fn new(state: &ServiceState, old: Option<Box<Entry>>) -> Self {
-        let list = |share: fn(&Member) -> Share| -> ShareList {
+impl ServiceEntry {
+    /// Creates the entry of `state`. Owners in `old` are reused where the share
+    /// lists are equal.
+    fn new(state: &ServiceState, old: Option<Box<ServiceEntry>>) -> Self {
+        let share_list = |share: fn(&Member) -> Share| -> ShareList {
             let shares = state.members.iter().map(|(id, m)| (*id, share(m)));
             shares.filter(|(_, share)| share.0 > 0).collect()
         };
-        let (present, former) = (list(|m| m.share), list(|m| m.former_share));
+        let (current, former) = (share_list(|m| m.share), share_list(|m| m.former_share));
         let old: Vec<BucketOwners> = old
             .into_iter()
-            .flat_map(|old| [Some(old.present), old.former])
+            .flat_map(|old| [Some(old.current_owners), old.former_owners])
             .flatten()
             .collect();
-        let place = |shares: ShareList| {
-            let same = old.iter().find(|owners| owners.shares() == &*shares);
-            same.cloned()
+        let owners_for = |shares: ShareList| {
+            let unchanged = old.iter().find(|owners| owners.shares() == &*shares);
+            unchanged
+                .cloned()
                 .unwrap_or_else(|| BucketOwners::from_list(shares))
         };
-        let (first, rest): (Vec<Hop>, Vec<Hop>) = state
+        let (with_share, without_share): (Vec<Hop>, Vec<Hop>) = state
             .members
             .iter()
             .map(|(id, member)| Hop {
@@ -191,28 +194,28 @@
                 address: member.data,
             })
             .partition(|hop| state.members[&hop.upstream].share.0 > 0);
-        Entry {
+        ServiceEntry {
             address: state.service.address,
-            members: first.into_iter().chain(rest).collect(),
-            former: (present != former).then(|| place(former)),
-            present: place(present),
+            members: with_share.into_iter().chain(without_share).collect(),
+            former_owners: (current != former).then(|| owners_for(former)),
+            current_owners: owners_for(current),
         }
     }
 
     fn hop(&self, id: UpstreamId) -> Option<Hop> {
-        let (first, rest) = self.members.split_at(self.present.shares().len());
-        [first, rest].into_iter().find_map(|part| {
+        let (with_share, without_share) = self.members.split_at(self.current_owners.shares().len());
+        [with_share, without_share].into_iter().find_map(|part| {
             let at = part.binary_search_by_key(&id, |hop| hop.upstream);
             at.ok().map(|at| part[at])
         })
     }
 
-    fn present_hop(&self, service: ServiceId, flow: FlowKey) -> Option<Hop> {
-        Some(self.members[self.present.position(service, flow)?])
+    fn current_owner_hop(&self, service: ServiceId, flow: FlowKey) -> Option<Hop> {
+        Some(self.members[self.current_owners.position(service, flow)?])
     }
 
-    fn former_hop(&self, service: ServiceId, flow: FlowKey) -> Option<Hop> {
-        let former = self.former.as_ref().unwrap_or(&self.present);
+    fn former_owner_hop(&self, service: ServiceId, flow: FlowKey) -> Option<Hop> {
+        let former = self.former_owners.as_ref().unwrap_or(&self.current_owners);
         self.hop(former.owner(service, flow)?)
     }
 }
--- a/crates/route/tests/placement.rs
+++ b/crates/route/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Placement of buckets: quotas, determinism and moves.
+//! Owners of buckets: quotas, determinism and the number of moves.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 /// Number of random cases; the case number is the seed.
 const CASES: u64 = 64;
 
-/// Bytes of random input of each case; the low half of an arbtest seed.
+/// Bytes of random input per case; the low half of an arbtest seed.
 const INPUT_BYTES: u64 = 512;
 
 fn counts(owners: &BucketOwners) -> BTreeMap<UpstreamId, u64> {
@@ -19,14 +19,14 @@
     })
 }
 
-fn equal(ids: std::ops::Range<u64>) -> BTreeMap<UpstreamId, Share> {
+fn equal_shares(ids: std::ops::Range<u64>) -> BTreeMap<UpstreamId, Share> {
     ids.map(|id| (UpstreamId(id), Share::FULL)).collect()
 }
 
-/// Guards against an upstream that gets a bucket more or less than its part
-/// rounded, or any without a share.
+/// Guards against an upstream that owns more or fewer buckets than its rounded
+/// quota, or any without a share.
 #[test]
-fn quotas_are_exact() {
+fn each_upstream_owns_its_quota() {
     for case in 0..CASES {
         arbtest(|u| {
             let shares: BTreeMap<UpstreamId, Share> = (0..u.int_in_range(0..=24)?)
@@ -65,11 +65,11 @@
     }
 }
 
-/// Guards against a change of the hash or of the order: hosts of two releases
-/// would place flows differently.
+/// Guards against a change of the hash or of the order: hosts with two releases
+/// would route flows differently.
 #[test]
-fn placement_is_fixed() {
-    let owners: Vec<u64> = BucketOwners::new(&equal(0..7))
+fn owners_do_not_change_between_releases() {
+    let owners: Vec<u64> = BucketOwners::new(&equal_shares(0..7))
         .iter()
         .map(|id| id.0)
         .collect();
@@ -79,21 +79,24 @@
     );
 }
 
-/// Guards against a change that moves more buckets than the target of 1.5
-/// times the least possible number at the median, at today's sizes.
+/// Guards against a change that moves more buckets than the target: a median of
+/// 1.5 times the minimum number, at the sizes in use.
 #[test]
-fn few_buckets_move() {
+fn few_buckets_move_on_a_change() {
     for n in [3, 7, 14] {
         let mut ratios: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
         for trial in 0..21 {
             let ids = trial * 100..trial * 100 + n;
             let with = |share| {
-                let mut shares = equal(ids.clone());
+                let mut shares = equal_shares(ids.clone());
                 shares.insert(UpstreamId(ids.end), Share(share));
                 shares
             };
             let lowered = [(UpstreamId(ids.start), Share(512))];
-            let lowered = equal(ids.clone()).into_iter().chain(lowered).collect();
+            let lowered = equal_shares(ids.clone())
+                .into_iter()
+                .chain(lowered)
+                .collect();
             let cases = [
                 ("leaves", with(1024), with(0)),
                 ("joins", with(0), with(128)),
@@ -101,7 +104,7 @@
                 ("load report", with(0), lowered),
             ];
             for (name, before, after) in cases {
-                let ratio = ratio(&before, &after);
+                let ratio = move_ratio(&before, &after);
                 ratios.entry(name).or_default().push(ratio);
             }
         }
@@ -113,8 +116,8 @@
     }
 }
 
-/// Moved buckets over the least number that exact quotas need.
-fn ratio(before: &BTreeMap<UpstreamId, Share>, after: &BTreeMap<UpstreamId, Share>) -> f64 {
+/// Number of moved buckets relative to the minimum that exact quotas need.
+fn move_ratio(before: &BTreeMap<UpstreamId, Share>, after: &BTreeMap<UpstreamId, Share>) -> f64 {
     let (before, after) = (BucketOwners::new(before), BucketOwners::new(after));
     let moved = before
         .iter()
@@ -123,6 +126,6 @@
         .count();
     let old = counts(&before);
     let gain = |(id, n): (&UpstreamId, &u64)| n.saturating_sub(*old.get(id).unwrap_or(&0));
-    let least: u64 = counts(&after).iter().map(gain).sum();
-    f64::from(u32::try_from(moved).unwrap()) / f64::from(u32::try_from(least).unwrap())
+    let minimum: u64 = counts(&after).iter().map(gain).sum();
+    f64::from(u32::try_from(moved).unwrap()) / f64::from(u32::try_from(minimum).unwrap())
 }
--- a/crates/route/tests/routing_table.rs
+++ b/crates/route/tests/routing_table.rs
@@ -1,4 +1,5 @@
-//! Decisions of the table, by reason and over histories of updates.
+//! Decisions of the routing table: their reasons, and properties over random
+//! updates.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
@@ -10,10 +11,10 @@
     UpstreamState, Version,
 };
 
-/// Number of random cases of each property; the case number is the seed.
+/// Number of random cases per property; the case number is the seed.
 const CASES: u64 = 128;
 
-/// Bytes of random input of each case; the low half of an arbtest seed.
+/// Bytes of random input per case; the low half of an arbtest seed.
 const INPUT_BYTES: u64 = 256;
 
 const PHASES: [FlowPhase; 2] = [FlowPhase::Opens, FlowPhase::Continues];
@@ -22,7 +23,7 @@
     format!("10.0.{service}.{at}:443").parse().unwrap()
 }
 
-/// A service whose members are given as id, present and former share.
+/// A service whose members are given by id, current share and former share.
 fn state(id: u32, members: &[(u64, u32, u32)]) -> ServiceState {
     let member = |&(upstream, share, former): &(u64, u32, u32)| {
         let member = Member {
@@ -63,8 +64,8 @@
     }
 }
 
-/// Up to four services; an id may be in several, as a forged announcement
-/// could make it.
+/// Up to four services. An upstream id may be in several of them, as a forged
+/// announcement could cause.
 fn arbitrary_states(u: &mut Unstructured<'_>) -> Result<Vec<ServiceState>> {
     let mut states = Vec::new();
     for id in 0..u.int_in_range(0..=4)? {
@@ -78,10 +79,10 @@
     Ok(states)
 }
 
-/// Guards against a wrong reason, and against a leaving or down upstream that
-/// loses the flows that name it.
+/// Guards against a wrong reason, and against an upstream that is leaving or
+/// down and loses the flows whose connection id contains it.
 #[test]
-fn decide_forwards_or_names_the_reason() {
+fn decide_forwards_or_returns_the_reason() {
     let mut down = state(1, &[(1, 1024, 1024), (2, 0, 1024), (3, 0, 0)]);
     down.members.get_mut(&UpstreamId(2)).unwrap().state = UpstreamState::Leaving;
     down.members.get_mut(&UpstreamId(3)).unwrap().state = UpstreamState::Down;
@@ -118,14 +119,14 @@
     }
 }
 
-/// Guards against an agent that drops what another agent holds, or keeps a
-/// first packet while it leaves.
+/// Guards against an agent that drops a datagram of a flow that another agent
+/// holds, or accepts an opening datagram while it leaves.
 #[test]
-fn pass_on_names_the_other_owner() {
+fn pass_on_returns_the_other_owner() {
     let moved = table(&[state(1, &[(1, 0, 1), (2, 1, 0), (3, 0, 0)])]);
-    let still = table(&[state(1, &[(1, 1, 1), (3, 0, 0)])]);
-    let closed = table(&[state(1, &[(1, 0, 1)])]);
-    let new = table(&[state(1, &[(1, 1, 0)])]);
+    let unchanged = table(&[state(1, &[(1, 1, 1), (3, 0, 0)])]);
+    let without_owner = table(&[state(1, &[(1, 0, 1)])]);
+    let without_former = table(&[state(1, &[(1, 1, 0)])]);
     let [opens, continues] = PHASES;
     let cases = [
         (&moved, 1, 2, continues, Ok(1)),
@@ -135,10 +136,10 @@
         (&moved, 1, 1, opens, Ok(2)),
         (&moved, 1, 3, opens, Ok(2)),
         (&moved, 1, 2, opens, Err(DropReason::NotHeld)),
-        (&still, 1, 1, continues, Err(DropReason::NotHeld)),
-        (&new, 1, 1, continues, Err(DropReason::NotHeld)),
-        (&closed, 1, 1, opens, Err(DropReason::NoUpstream)),
-        (&closed, 1, 1, continues, Err(DropReason::NoUpstream)),
+        (&unchanged, 1, 1, continues, Err(DropReason::NotHeld)),
+        (&without_former, 1, 1, continues, Err(DropReason::NotHeld)),
+        (&without_owner, 1, 1, opens, Err(DropReason::NoUpstream)),
+        (&without_owner, 1, 1, continues, Err(DropReason::NoUpstream)),
         (&moved, 2, 1, opens, Err(DropReason::UnknownService)),
     ];
     for (table, service, own, phase, expected) in cases {
@@ -151,10 +152,10 @@
     }
 }
 
-/// Guards against first packets that travel on although the agent takes new
-/// work: a balancer with an older version sent them.
+/// Guards against an opening datagram that is passed on although the agent
+/// accepts new flows: a balancer with an older version had sent it.
 #[test]
-fn an_upstream_with_a_share_passes_no_first_packet_on() {
+fn an_upstream_with_a_share_does_not_pass_on_opening_datagrams() {
     let table = table(&[state(1, &[(1, 1, 1), (2, 1, 1)])]);
     let flow = flow_key(ServiceId(1), b"flow");
     for own in [1, 2].map(UpstreamId) {
@@ -166,7 +167,7 @@
 
 /// Guards against a datagram that reaches another service (P2).
 #[test]
-fn no_hop_is_of_another_service() {
+fn a_hop_belongs_to_the_requested_service() {
     for case in 0..CASES {
         arbtest(|u| {
             let states = arbitrary_states(u)?;
@@ -195,9 +196,9 @@
     }
 }
 
-/// Guards against hosts that disagree because they saw other updates.
+/// Guards against hosts that differ because they received different updates.
 #[test]
-fn tables_depend_on_the_last_states_alone() {
+fn tables_depend_only_on_the_last_states() {
     for case in 0..CASES {
         arbtest(|u| {
             let mut last = arbitrary_states(u)?;
@@ -207,7 +208,7 @@
                 let mut earlier = arbitrary_states(u)?;
                 earlier.reverse();
                 if let Some(state) = earlier.first_mut() {
-                    // An address that was another service's for a while.
+                    // The service has the address of another one for a while.
                     state.service.address = address(gone, 255);
                 }
                 other.apply(earlier, [ServiceId(gone)]);
@@ -229,9 +230,9 @@
     }
 }
 
-/// Guards against an address that goes to a deleted service.
+/// Guards against an address that routes to a deleted service.
 #[test]
-fn a_reused_service_address_finds_the_newer_service() {
+fn a_reused_service_address_belongs_to_the_newer_service() {
     let old = state(1, &[(1, 1, 1)]);
     let mut new = state(2, &[(2, 1, 1)]);
     new.service.address = old.service.address;
@@ -247,8 +248,8 @@
     }
 }
 
-/// Guards against new work for a leaving upstream (P6) and against flows that
-/// it loses (P1), over every bucket that the flows reach.
+/// Guards against new flows for a leaving upstream (P6) and against the loss of
+/// its flows (P1), over all buckets that the flows map to.
 #[test]
 fn a_leaving_upstream_keeps_its_flows_and_gets_no_new_ones() {
     let before = table(&[state(1, &[(1, 1, 1), (2, 1, 1), (3, 1, 1)])]);
@@ -274,8 +275,8 @@
     assert!(held > 200, "{held}");
 }
 
-/// Guards against two agents that send a datagram back and forth because
-/// their versions differ.
+/// Guards against two agents that send a datagram back and forth because their
+/// versions differ.
 #[test]
 fn a_datagram_is_passed_on_at_most_once() {
     for case in 0..CASES {
@@ -301,10 +302,10 @@
     }
 }
 
-/// Guards against flows of a restarted agent that reach its successor at the
-/// same address.
+/// Guards against flows of an earlier incarnation of an agent that reach its
+/// successor at the same address.
 #[test]
-fn a_reused_upstream_address_is_not_its_predecessor() {
+fn a_reused_address_does_not_receive_flows_of_the_former_upstream() {
     let mut table = table(&[state(1, &[(1, 1, 1)])]);
     let mut next = state(1, &[(2, 1, 1)]);
     next.members.get_mut(&UpstreamId(2)).unwrap().data = address(1, 1);
@@ -322,7 +323,8 @@
     assert!(matches!(decide(2), Decision::Forward(to) if to.address == address(1, 1)));
 }
 
-/// Guards against an entry that keeps owners or addresses of an old state.
+/// Guards against an entry that keeps the owners or addresses of an older
+/// state.
 #[test]
 fn a_changed_address_of_an_upstream_is_used_at_once() {
     let mut table = table(&[state(1, &[(1, 1, 1), (2, 0, 0)])]);
@@ -334,7 +336,7 @@
     assert!(matches!(decision, Decision::Forward(to) if to.address == address(1, 7)));
 }
 
-/// Guards against labels that collide in the metrics.
+/// Guards against duplicate metric labels.
 #[test]
 fn reasons_are_ordered_and_have_distinct_labels() {
     let labels: std::collections::BTreeSet<_> = DropReason::ALL.map(DropReason::as_str).into();
@@ -343,10 +345,10 @@
     assert_eq!(DropReason::NotHeld.to_string(), "not_held");
 }
 
-/// Guards against flow keys that differ between hosts or releases, and between
-/// the two forms of an IPv4 address.
+/// Guards against flow keys that differ between hosts, between releases, or
+/// between the two forms of an IPv4 address.
 #[test]
-fn flow_keys_are_fixed() {
+fn flow_keys_do_not_change_between_releases() {
     let [v4, mapped, other] = ["192.0.2.1:7", "[::ffff:192.0.2.1]:7", "192.0.2.1:8"]
         .map(|caller| address_flow_key(ServiceId(1), caller.parse().unwrap(), address(1, 255)));
     assert_eq!(v4, mapped);
