--- a/crates/directory/src/process/view.rs
+++ b/crates/directory/src/process/view.rs
@@ -61,8 +61,8 @@
             }
         }
         for address in delta.removed {
-            let gone = self.nodes.remove(&address);
-            changes.removed.extend(gone.map(|entry| entry.node));
+            let removed = self.nodes.remove(&address);
+            changes.removed.extend(removed.map(|entry| entry.node));
         }
         for node in delta.changed {
             let entry = ViewEntry {
@@ -80,10 +80,10 @@
     /// Removes and returns the nodes that were missing from a full directory
     /// for longer than `UNLISTED_RETENTION`.
     pub fn expire(&mut self, now: Instant) -> Vec<Node> {
-        let gone = self
+        let removed = self
             .nodes
             .extract_if(.., |_, entry| entry.remove_at.is_some_and(|at| now >= at));
-        gone.map(|(_, entry)| entry.node).collect()
+        removed.map(|(_, entry)| entry.node).collect()
     }
 
     /// All nodes.
--- a/crates/flow/src/process/flow_table.rs
+++ b/crates/flow/src/process/flow_table.rs
@@ -103,7 +103,7 @@
     /// Another agent did not accept the new flow. This agent does not pass it
     /// on again because of load.
     Passed,
-    /// The balancer knows this agent as the holder of the flow.
+    /// The balancer has a hint that this agent holds the flow.
     Held,
     /// No agent claimed the flow, and this agent may hold it.
     Tried,
--- a/crates/flow/src/process/steering/mod.rs
+++ b/crates/flow/src/process/steering/mod.rs
@@ -200,8 +200,8 @@
         // A flow without a hint may belong to a routing set that this balancer
         // has yet to receive, so only flows that were forwarded from here are
         // reset.
-        let known = self.hints.remove(key).is_some();
-        if !seg.resets && (known || seg.is_opening()) {
+        let has_hint = self.hints.remove(key).is_some();
+        if !seg.resets && (has_hint || seg.is_opening()) {
             SteeringDecision::Reset
         } else {
             SteeringDecision::Drop(DropReason::NoRule)
@@ -306,8 +306,8 @@
             },
         );
         self.tries.remove(&key);
-        let parked = self.searches.remove(&key).map(|search| search.queued);
-        parked
+        let queued = self.searches.remove(&key).map(|search| search.queued);
+        queued
             .into_iter()
             .flatten()
             .map(|payload| ReleasedDatagram {
--- a/crates/flow/tests/hints.rs
+++ b/crates/flow/tests/hints.rs
@@ -157,13 +157,13 @@
     let SteeringDecision::Query(first) = steer(&mut steering, &data(1, 101, 1), now) else {
         panic!("no agent was queried");
     };
-    let mut asked = vec![first.len()];
+    let mut queried = vec![first.len()];
     while let Some(deadline) = steering.next_deadline() {
         now = deadline;
         let ended = steering.end_searches(now);
-        asked.extend(ended.queries.iter().map(|question| question.agents.len()));
+        queried.extend(ended.queries.iter().map(|query| query.agents.len()));
     }
-    assert_eq!(asked, [3, 9, 27, 3]);
+    assert_eq!(queried, [3, 9, 27, 3]);
 }
 
 /// Guards against a search for a flow that its agent has reported, and against
@@ -172,8 +172,8 @@
 fn a_reported_flow_is_not_searched() {
     let (mut steering, now) = ready(5);
     let service = SERVICE.parse().unwrap();
-    let known = forwarded(&steer(&mut steering, &opening(1), now)).0;
-    let other = address(if known == address(1) { 2 } else { 1 });
+    let hinted = forwarded(&steer(&mut steering, &opening(1), now)).0;
+    let other = address(if hinted == address(1) { 2 } else { 1 });
     let waiting = data(3, 101, 1);
     steering.steer(&waiting, &payload("first"), now);
     let keys = [data(1, 101, 1), data(2, 101, 1), waiting];
@@ -183,10 +183,10 @@
     assert_eq!(texts, [b"first".as_slice()]);
     assert_eq!(
         forwarded(&steer(&mut steering, &data(1, 101, 1), now)).0,
-        known
+        hinted
     );
-    let told = forwarded(&steer(&mut steering, &data(2, 101, 1), now));
-    assert_eq!(told, (other, Origin::Held));
+    let reported = forwarded(&steer(&mut steering, &data(2, 101, 1), now));
+    assert_eq!(reported, (other, Origin::Held));
 }
 
 /// Answers of the agents to a search.
--- a/crates/flow/tests/placement.rs
+++ b/crates/flow/tests/placement.rs
@@ -43,10 +43,10 @@
     for (loads, expected) in cases {
         let (mut pool, now) = pool(loads);
         for hash in 0..50 {
-            let (mut one, _) = self::pool(loads);
+            let (mut other_pool, _) = self::pool(loads);
             let near = "near".parse().unwrap();
             assert_eq!(
-                one.place(&near, hash, &[], now),
+                other_pool.place(&near, hash, &[], now),
                 Some(address(expected)),
                 "{loads:?}"
             );
