--- a/crates/relay/src/process/balancer.rs
+++ b/crates/relay/src/process/balancer.rs
@@ -359,7 +359,7 @@
         match update {
             ControlUpdate::Nodes(changes) => self.nodes_changed(changes, Instant::now()),
             ControlUpdate::NodeListComplete(until) => {
-                self.steering.set_directory_complete_until(until)
+                self.steering.set_directory_complete_until(until);
             }
             ControlUpdate::Routes(delta) => {
                 let (number, changed) = (delta.number, delta.changed.len());
@@ -391,7 +391,7 @@
         let pool = self.steering.pool(service);
         match pool.get_mut(node.address) {
             Some(known) if known.id == UpstreamId(node.incarnation) => {
-                known.accepting &= !node.leaving
+                known.accepting &= !node.leaving;
             }
             _ => pool.insert(
                 node.address,
