--- a/crates/admit/src/lib.rs
+++ b/crates/admit/src/lib.rs
@@ -1,19 +1,19 @@
 //! Decides what an agent does with each request: run it on its upstream, hand
 //! it off to a peer, queue it or refuse it.
 //!
-//! Everything here is pure: no sockets, no clock, no randomness beyond a seed.
-//! The agent's task owns one [`Admission`], tells it what happened at which
-//! instant and carries out the [`Decision`]s.
+//! The crate does no I/O and reads no clock; its random numbers come from a
+//! seeded generator. The agent's task owns one [`Admission`], passes it each
+//! event with its instant and carries out the returned [`Decision`]s.
 //!
 //! - [`process`]: [`Admission`], [`Settings`] and [`RetryBudget`];
-//! - [`version`]: what a version of the configuration or membership sets, the
-//!   slots of each class of work and the peers;
-//! - [`request`]: the decisions, and [`decide_retry`], which says how a failed
-//!   attempt ends without ever running a request twice.
+//! - [`version`]: state that a configuration or membership version sets: the
+//!   slots of each class of work, and the peers;
+//! - [`request`]: the decisions, and [`decide_retry`], which decides whether a
+//!   failed attempt is retried without running a request twice.
 //!
 //! Invariants: requests in progress plus reservations never exceed the slots
-//! of a class, except after the slots were lowered, when they only sink; each
-//! request gets exactly one final decision; a handed-off request is neither
+//! of a class, except after the slots were lowered, when the sum only decreases;
+//! each request gets exactly one final decision; a handed-off request is neither
 //! queued nor handed off again.
 //!
 //! ```
--- a/crates/admit/src/process/admission.rs
+++ b/crates/admit/src/process/admission.rs
@@ -1,4 +1,4 @@
-//! The admission of one agent.
+//! Admission control of one agent.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -14,15 +14,15 @@
     Decision, DeferredDecision, LoadReport, PeerAnswer, RefusalReason, RequestInfo, RequestOutcome,
     Settings,
     process::health::Health,
-    request::state::{Reservation, Running, State},
+    request::state::{RequestState, Reservation, Running},
     version::{Class, Peers},
 };
 
-/// Decides about the requests of one agent.
+/// Admission control for the requests of one agent.
 ///
-/// Local requests and reservations of peers compete for a slot in the order in
-/// which they ask for it. A slot that becomes free goes to the local queue
-/// first, so a reservation is granted only while no local request is queued.
+/// Local requests and reservations of peers get slots in order of arrival. A
+/// freed slot goes to the local queue first, so a reservation is granted only
+/// while no local request is queued.
 #[derive(Debug, Clone)]
 pub struct Admission {
     pub(crate) settings: Settings,
@@ -31,19 +31,19 @@
     pub(crate) health: Health,
     pub(crate) connections: u32,
     pub(crate) max_connections: u32,
-    /// Every class with a target, and deleted ones until nothing is left.
+    /// Classes with a target, and deleted ones until their last request ends.
     pub(crate) classes: BTreeMap<ClassName, Class>,
     pub(crate) peers: Peers,
-    /// Requests that wait or run here.
-    pub(crate) requests: BTreeMap<RequestId, State>,
-    /// `until` of every waiting request.
+    /// Requests that wait or run at this agent.
+    pub(crate) requests: BTreeMap<RequestId, RequestState>,
+    /// `timeout_at` of every waiting request.
     pub(crate) timeouts: BTreeSet<(Instant, RequestId)>,
     pub(crate) reservations: BTreeMap<ReservationId, Reservation>,
 }
 
 impl Admission {
-    /// An admission without targets or peers. `seed` drives the choice among
-    /// peers.
+    /// Creates an admission without targets or peers. `seed` seeds the random
+    /// choice among peers.
     #[must_use]
     pub fn new(settings: Settings, seed: u64) -> Self {
         Admission {
@@ -61,9 +61,9 @@
         }
     }
 
-    /// Applies the targets of a configuration version. Requests in progress
-    /// are never cut: under a lowered target they sink. Queued requests of a
-    /// deleted class are refused.
+    /// Applies the targets of a configuration version. A lowered target does
+    /// not abort requests in progress: their number decreases as they finish.
+    /// Queued requests of a deleted class are refused.
     pub fn set_targets(
         &mut self,
         now: Instant,
@@ -80,51 +80,53 @@
                 .or_insert_with(|| Class::new(now))
                 .set_target(Some(target.carry.0));
         }
-        let mut wakes = Vec::new();
+        let mut decisions = Vec::new();
         let names: Vec<ClassName> = self.classes.keys().cloned().collect();
         for name in names {
             if targets.contains_key(&name) {
-                wakes.extend(self.start_queued(now, &name));
+                decisions.extend(self.start_queued(now, &name));
             } else {
-                wakes.extend(self.refuse_waiting(&name, RefusalReason::UnknownClass));
-                self.forget_if_gone(&name);
+                decisions.extend(self.refuse_waiting(&name, RefusalReason::UnknownClass));
+                self.remove_unused_class(&name);
             }
         }
-        wakes
+        decisions
     }
 
-    /// Sets whether the upstream leaves. Queued requests are then handed off.
+    /// Sets whether the upstream is leaving. If it is, queued requests are
+    /// handed off.
     pub fn set_leaving(&mut self, now: Instant, leaving: bool) -> Vec<DeferredDecision> {
         self.leaving = leaving;
-        self.serving_changed(now)
+        self.handle_serving_change(now)
     }
 
-    /// Notes that a connection to the upstream could not be opened; enough of
-    /// them in a row make the upstream `Down`.
+    /// Records that a connection to the upstream could not be opened. After
+    /// `down_after_failures` consecutive failures the upstream is `Down`.
     pub fn connect_failed(&mut self, now: Instant) -> Vec<DeferredDecision> {
-        if self.health.failed(now, &self.settings) {
-            return self.serving_changed(now);
+        if self.health.record_failure(now, &self.settings) {
+            return self.handle_serving_change(now);
         }
         Vec::new()
     }
 
-    /// Notes that a connection to the upstream was opened; ends `Down`.
+    /// Records that a connection to the upstream was opened, which ends `Down`.
     pub fn connect_succeeded(&mut self, now: Instant) -> Vec<DeferredDecision> {
         let was_down = self.health.is_down();
-        self.health.succeeded();
+        self.health.record_success();
         if was_down {
-            return self.serving_changed(now);
+            return self.handle_serving_change(now);
         }
         Vec::new()
     }
 
-    /// Whether an upstream that is down is to be probed now. The probe counts
-    /// as begun; report it with `connect_failed` or `connect_succeeded`.
+    /// Returns true if the upstream is down and a probe is due, and schedules
+    /// the next probe. The caller runs the probe and reports its result with
+    /// `connect_failed` or `connect_succeeded`.
     pub fn start_due_probe(&mut self, now: Instant) -> bool {
         self.health.begin_probe(now)
     }
 
-    /// State of the upstream; leaving goes before down.
+    /// State of the upstream. `Leaving` takes precedence over `Down`.
     #[must_use]
     pub fn state(&self) -> UpstreamState {
         match (self.leaving, self.health.is_down()) {
@@ -134,9 +136,9 @@
         }
     }
 
-    /// Notes what the upstream says of a class. It lowers the slots until it
-    /// is replaced or `report_lifetime` passes, and never raises them over the
-    /// target.
+    /// Applies a load report of the upstream for a class. It lowers the slots
+    /// until the next report or until `report_lifetime` has passed, and never
+    /// raises them above the target.
     pub fn apply_report(
         &mut self,
         now: Instant,
@@ -149,7 +151,7 @@
         self.start_queued(now, class)
     }
 
-    /// Whether one more connection may be accepted.
+    /// Returns true if one more connection may be accepted.
     #[must_use]
     pub fn may_accept_connection(&self) -> bool {
         !self.leaving && self.connections < self.max_connections
@@ -166,26 +168,27 @@
     }
 
     /// Sets the peers of the service, each with its data centre; `own` is the
-    /// data centre of this agent. Known loads of peers that stay are kept.
+    /// data centre of this agent. The loads of peers that remain are kept.
     pub fn set_peers(&mut self, own: &DataCentre, peers: &BTreeMap<UpstreamId, DataCentre>) {
         self.peers.set(own, peers);
     }
 
-    /// Notes the loads of a peer. A queued request may be woken to ask it.
+    /// Updates the loads of a peer. If it has free slots, a queued request may
+    /// ask it.
     pub fn update_peer_loads(
         &mut self,
         now: Instant,
         peer: UpstreamId,
         loads: &Loads,
     ) -> Vec<DeferredDecision> {
-        self.peers.note_loads(peer, loads);
+        self.peers.update_loads(peer, loads);
         let free = loads.iter().filter(|(_, load)| load.free().0 > 0);
         free.filter_map(|(class, _)| self.ask_again(now, class))
             .collect()
     }
 
-    /// Own loads, as announced and as sent with refusals to peers. Slots that
-    /// are held for peers count as in flight; an upstream that takes no new
+    /// Loads of the local upstream, as announced and as sent with refusals to
+    /// peers. Reserved slots count as in flight; an upstream that takes no new
     /// work offers no slots.
     #[must_use]
     pub fn loads(&self) -> Loads {
@@ -196,7 +199,7 @@
             .collect()
     }
 
-    /// Decides about a new request. A retry arrives under a new id.
+    /// Decides about a new request. A retry has a new request id.
     pub fn arrive(&mut self, now: Instant, request: RequestInfo) -> Decision {
         let serving = self.is_serving();
         if self.requests.contains_key(&request.id) {
@@ -210,11 +213,11 @@
             return Decision::Refuse(RefusalReason::UnknownClass);
         };
         if serving && !request.exclude_local && class.has_free_slot() {
-            self.run(now, request.id, request.class);
+            self.start(now, request.id, request.class);
             return Decision::Run;
         }
         if !request.handed_off {
-            return self.wait(now, request);
+            return self.queue_or_ask(now, request);
         }
         Decision::Refuse(if serving {
             RefusalReason::NoFreeSlot
@@ -223,8 +226,9 @@
         })
     }
 
-    /// Notes the answer of a peer that was asked. `None` if the request got
-    /// another decision meanwhile and nothing is to be done.
+    /// Handles the answer of a peer that was asked for a reservation. Returns
+    /// `None` if the request got another decision meanwhile and no action is
+    /// needed.
     pub fn handle_peer_answer(
         &mut self,
         now: Instant,
@@ -233,68 +237,68 @@
         answer: PeerAnswer,
     ) -> Option<Decision> {
         let awaited = match self.requests.get_mut(&id) {
-            Some(State::Waiting(waiting)) if waiting.asked == Some(peer) => {
-                waiting.asked = None;
+            Some(RequestState::Waiting(waiting)) if waiting.awaited_peer == Some(peer) => {
+                waiting.awaited_peer = None;
                 Some(waiting.class.clone())
             }
             _ => None,
         };
         match (answer, awaited) {
             (PeerAnswer::Granted, Some(class)) => {
-                self.peers.note_granted(peer, &class);
+                self.peers.record_granted(peer, &class);
                 self.stop_waiting(id);
                 Some(Decision::Forward { peer })
             }
             (PeerAnswer::Granted, None) => Some(Decision::Release { peer }),
             (PeerAnswer::Refused(loads), awaited) => {
-                self.peers.note_loads(peer, &loads);
+                self.peers.update_loads(peer, &loads);
                 let class = awaited?;
-                self.peers.note_full(now, peer, &class, &self.settings);
+                self.peers.record_full(now, peer, &class, &self.settings);
                 Some(self.ask_next(now, id))
             }
             (PeerAnswer::Unreachable, awaited) => {
-                self.peers.note_unreachable(now, peer);
+                self.peers.record_unreachable(now, peer);
                 awaited?;
                 Some(self.ask_next(now, id))
             }
         }
     }
 
-    /// Releases the slot of a request that ran here.
+    /// Releases the slot of a request that ran on the local upstream.
     pub fn finish(
         &mut self,
         now: Instant,
         id: RequestId,
         outcome: RequestOutcome,
     ) -> Vec<DeferredDecision> {
-        let Some(State::Running(running)) = self.requests.get(&id) else {
+        let Some(RequestState::Running(running)) = self.requests.get(&id) else {
             return Vec::new();
         };
         let running = running.clone();
         if let Some(class) = self.classes.get_mut(&running.class) {
             match outcome {
                 RequestOutcome::Completed => {
-                    class.note_service_time(now.saturating_duration_since(running.since));
+                    class.record_service_time(now.saturating_duration_since(running.started_at));
                 }
-                RequestOutcome::Shed => class.note_shed(now, &self.settings),
+                RequestOutcome::Shed => class.apply_shed(now, &self.settings),
                 RequestOutcome::Failed | RequestOutcome::NotStarted => {}
             }
         }
         self.requests.remove(&id);
-        self.free_slot(now, &running.class)
+        self.release_slot(now, &running.class)
     }
 
-    /// Forgets a request that the caller cancelled, whether it waits or runs.
-    /// For one that runs, call it when the connection to the upstream is
+    /// Removes a waiting or running request that the caller cancelled. For a
+    /// running request, call this once the connection to the upstream is
     /// closed.
     pub fn cancel(&mut self, now: Instant, id: RequestId) -> Vec<DeferredDecision> {
         match self.requests.get(&id) {
-            Some(State::Running(running)) => {
+            Some(RequestState::Running(running)) => {
                 let class = running.class.clone();
                 self.requests.remove(&id);
-                self.free_slot(now, &class)
+                self.release_slot(now, &class)
             }
-            Some(State::Waiting(_)) => {
+            Some(RequestState::Waiting(_)) => {
                 self.stop_waiting(id);
                 Vec::new()
             }
@@ -302,40 +306,49 @@
         }
     }
 
-    /// Ends what has passed its deadline and asks peers again.
+    /// Refuses requests that timed out, expires reservations and load reports,
+    /// and asks peers for queued requests.
     pub fn tick(&mut self, now: Instant) -> Vec<DeferredDecision> {
-        let mut wakes = self.refuse_overdue(now);
+        let mut decisions = self.refuse_timed_out(now);
         let lapsed = self.reservations.iter().filter(|(_, r)| r.expires <= now);
         let lapsed: Vec<ReservationId> = lapsed.map(|(id, _)| *id).collect();
         for id in lapsed {
-            wakes.extend(self.release(now, id));
+            decisions.extend(self.release(now, id));
         }
         let names: Vec<ClassName> = self.classes.keys().cloned().collect();
         for name in &names {
             let class = self.classes.get_mut(name);
             let (old, ask) = class.map_or((false, false), |class| {
-                (class.drop_old_limit(now), class.ask_at <= now)
+                (class.drop_expired_limit(now), class.next_ask_at <= now)
             });
             if old {
-                wakes.extend(self.start_queued(now, name));
+                decisions.extend(self.start_queued(now, name));
             }
             if ask {
-                wakes.extend(self.ask_again(now, name));
+                decisions.extend(self.ask_again(now, name));
             }
-            self.forget_if_gone(name);
+            self.remove_unused_class(name);
         }
-        wakes
+        decisions
     }
 
-    /// When `tick` or `start_due_probe` has something to do next.
+    /// Next instant at which `tick` or `start_due_probe` is due.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Instant> {
         let timeout = self.timeouts.first().map(|(at, _)| *at);
-        let lapse = self.reservations.values().map(|held| held.expires).min();
-        let limit = self.classes.values().filter_map(Class::limit_ends).min();
-        let asks = self.may_ask() && self.settings.ask_interval.is_some();
+        let lapse = self
+            .reservations
+            .values()
+            .map(|reservation| reservation.expires)
+            .min();
+        let limit = self
+            .classes
+            .values()
+            .filter_map(Class::limit_expires_at)
+            .min();
+        let asks = self.can_ask_peers() && self.settings.ask_interval.is_some();
         let waits = self.classes.values().filter(|c| !c.is_queue_empty());
-        let ask = waits.map(|class| class.ask_at).min().filter(|_| asks);
+        let ask = waits.map(|class| class.next_ask_at).min().filter(|_| asks);
         [timeout, lapse, limit, ask, self.health.next_probe()]
             .into_iter()
             .flatten()
@@ -346,20 +359,23 @@
         self.state() == UpstreamState::Ready
     }
 
-    pub(crate) fn may_ask(&self) -> bool {
+    pub(crate) fn can_ask_peers(&self) -> bool {
         self.settings.hand_off_enabled && !self.peers.is_empty()
     }
 
-    pub(crate) fn run(&mut self, now: Instant, id: RequestId, class: ClassName) {
+    pub(crate) fn start(&mut self, now: Instant, id: RequestId, class: ClassName) {
         if let Some(known) = self.classes.get_mut(&class) {
             known.in_flight += 1;
         }
-        let running = Running { class, since: now };
-        self.requests.insert(id, State::Running(running));
+        let running = Running {
+            class,
+            started_at: now,
+        };
+        self.requests.insert(id, RequestState::Running(running));
     }
 
-    pub(crate) fn forget_if_gone(&mut self, name: &ClassName) {
-        if self.classes.get(name).is_some_and(Class::is_gone) {
+    pub(crate) fn remove_unused_class(&mut self, name: &ClassName) {
+        if self.classes.get(name).is_some_and(Class::is_unused) {
             self.classes.remove(name);
         }
     }
--- a/crates/admit/src/process/budget.rs
+++ b/crates/admit/src/process/budget.rs
@@ -1,43 +1,43 @@
-//! Bound on retries.
+//! Retry budget.
 
-/// Retries in proportion to requests, so that a failing service is not flooded
-/// by repeats: a tenth of the requests, and a few from the start.
+/// Token bucket that limits retries to a tenth of the requests plus a small
+/// initial allowance, so that retries do not overload a failing service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RetryBudget {
-    /// Tenths of a token; at most `MAX_TENTHS`.
+    /// Balance in tenths of a token; at most `MAX_TENTHS`.
     tenths: u32,
 }
 
-/// Tenths of a token that one retry costs.
-const RETRY: u32 = 10;
+/// Cost of one retry in tenths of a token.
+const TENTHS_PER_RETRY: u32 = 10;
 
-/// Tokens at the start, so that a quiet agent can retry at all.
-const START_TENTHS: u32 = 3 * RETRY;
+/// Initial balance, so that an agent with few requests can retry.
+const INITIAL_TENTHS: u32 = 3 * TENTHS_PER_RETRY;
 
-/// Most tokens that are kept: a burst of retries after a long quiet run must
-/// stay small.
-const MAX_TENTHS: u32 = 20 * RETRY;
+/// Maximum balance, which bounds the burst of retries after a long run without
+/// failures.
+const MAX_TENTHS: u32 = 20 * TENTHS_PER_RETRY;
 
 impl RetryBudget {
-    /// A budget with a few tokens.
+    /// Creates a budget with the initial balance.
     #[must_use]
     pub fn new() -> Self {
         RetryBudget {
-            tenths: START_TENTHS,
+            tenths: INITIAL_TENTHS,
         }
     }
 
-    /// Counts a request that arrived: earns a tenth of a token.
+    /// Adds a tenth of a token for a request that arrived.
     pub fn deposit(&mut self) {
         self.tenths = (self.tenths + 1).min(MAX_TENTHS);
     }
 
-    /// Takes a token if there is one.
+    /// Withdraws one token. Returns false if the balance is too low.
     #[must_use]
     pub fn withdraw(&mut self) -> bool {
-        let enough = self.tenths >= RETRY;
+        let enough = self.tenths >= TENTHS_PER_RETRY;
         if enough {
-            self.tenths -= RETRY;
+            self.tenths -= TENTHS_PER_RETRY;
         }
         enough
     }
--- a/crates/admit/src/process/health.rs
+++ b/crates/admit/src/process/health.rs
@@ -1,63 +1,65 @@
-//! Health of the upstream by what the agent saw.
+//! Passive health check of the local upstream.
 
 use std::time::{Duration, Instant};
 
 use crate::Settings;
 
-/// Counts failures to connect and paces the probes of an upstream that is down.
+/// Counts connection failures and schedules the probes of an upstream that is
+/// down.
 ///
-/// Only failures to connect count. A slow answer alone lowers nothing: the
-/// slots already bound what a slow upstream holds.
+/// Only connection failures count. Slow answers do not mark the upstream as
+/// down, because the slots already bound the number of requests it holds.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Health {
-    /// Failures to connect since the last success.
-    failures: u32,
-    down: Option<Down>,
+    /// Connection failures since the last success.
+    connect_failures: u32,
+    probes: Option<ProbeSchedule>,
 }
 
 #[derive(Debug, Clone)]
-struct Down {
+struct ProbeSchedule {
     next_probe: Instant,
-    /// Between probes; at most `max_probe_delay`.
+    /// Delay between probes; at most `max_probe_delay`.
     delay: Duration,
 }
 
 impl Health {
     pub(crate) fn is_down(&self) -> bool {
-        self.down.is_some()
+        self.probes.is_some()
     }
 
     pub(crate) fn next_probe(&self) -> Option<Instant> {
-        self.down.as_ref().map(|down| down.next_probe)
+        self.probes.as_ref().map(|probes| probes.next_probe)
     }
 
-    /// Returns whether the upstream went down by this failure.
-    pub(crate) fn failed(&mut self, now: Instant, settings: &Settings) -> bool {
-        self.failures = self.failures.saturating_add(1);
-        if let Some(down) = &mut self.down {
-            down.delay = (down.delay * 2).min(settings.max_probe_delay);
-            down.next_probe = now + down.delay;
+    /// Counts a connection failure. Returns true if the upstream is down as of
+    /// this failure.
+    pub(crate) fn record_failure(&mut self, now: Instant, settings: &Settings) -> bool {
+        self.connect_failures = self.connect_failures.saturating_add(1);
+        if let Some(probes) = &mut self.probes {
+            probes.delay = (probes.delay * 2).min(settings.max_probe_delay);
+            probes.next_probe = now + probes.delay;
             return false;
         }
-        if self.failures < settings.down_after_failures {
+        if self.connect_failures < settings.down_after_failures {
             return false;
         }
-        self.down = Some(Down {
+        self.probes = Some(ProbeSchedule {
             next_probe: now + settings.initial_probe_delay,
             delay: settings.initial_probe_delay,
         });
         true
     }
 
-    pub(crate) fn succeeded(&mut self) {
+    pub(crate) fn record_success(&mut self) {
         *self = Health::default();
     }
 
-    /// Whether a probe is due; it then counts as begun.
+    /// Returns true if a probe is due, and schedules the next one.
     pub(crate) fn begin_probe(&mut self, now: Instant) -> bool {
-        match &mut self.down {
-            Some(down) if down.next_probe <= now => {
-                down.next_probe = now + down.delay;
+        match &mut self.probes {
+            Some(probes) if probes.next_probe <= now => {
+                probes.next_probe = now + probes.delay;
                 true
             }
             _ => false,
--- a/crates/admit/src/process/mod.rs
+++ b/crates/admit/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as the agent.
+//! State with the lifetime of the agent.
 
 mod admission;
 mod budget;
--- a/crates/admit/src/process/settings.rs
+++ b/crates/admit/src/process/settings.rs
@@ -2,52 +2,56 @@
 
 use std::time::Duration;
 
-/// Which queued request gets a slot that becomes free.
+/// Order in which queued requests get free slots.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum QueueOrder {
-    /// The oldest.
+    /// The oldest request first.
     Fifo,
-    /// The newest.
+    /// The newest request first.
     Lifo,
-    /// The oldest, or the newest while the oldest has waited for longer than
-    /// half of [`Settings::queue_timeout`].
+    /// The oldest request first, or the newest one while the oldest has waited
+    /// for more than half of [`Settings::queue_timeout`].
     Adaptive,
 }
 
 /// Settings of the admission.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Settings {
-    /// Longest time that a request waits for a slot.
+    /// Maximum time for which a request waits for a slot.
     pub queue_timeout: Duration,
-    /// Queued requests of a class for each of its slots.
+    /// Maximum number of queued requests per slot of a class.
     pub max_queued_per_slot: u32,
     /// Order in which queued requests get slots.
     pub queue_order: QueueOrder,
-    /// Requests of a class that ask peers while the queue is full. Bounds the
-    /// memory when peers answer slowly.
+    /// Maximum number of requests of a class that ask peers without being
+    /// queued. Bounds the memory when peers answer slowly.
     pub max_unqueued_asking: u32,
     /// Whether requests are handed off to peers.
     pub hand_off_enabled: bool,
-    /// Time between two questions to peers for the queued requests of a class,
-    /// in case an offer is lost. `None` leaves them to local slots and offers.
+    /// Interval at which a peer is asked for the queued requests of a class, in
+    /// case an offer is lost. With `None`, queued requests only wait for local
+    /// slots and offers.
     pub ask_interval: Option<Duration>,
-    /// Time for which a peer that was full is not asked again. Longer pauses
-    /// save messages and lengthen the wait.
+    /// Time for which a full peer is not asked again. Longer values save
+    /// messages and increase the waiting time.
     pub full_peer_backoff: Duration,
-    /// Time after a refusal in which a slot that becomes free is offered to the
-    /// peer that was refused.
+    /// Time after a refusal during which a free slot is offered to the refused
+    /// peer.
     pub offer_window: Duration,
-    /// Longest time that a reservation is held for a peer.
+    /// Maximum lifetime of a reservation.
     pub reservation_timeout: Duration,
-    /// Time after which a report of the upstream is dropped.
+    /// Time after which a load report of the upstream expires.
     pub report_lifetime: Duration,
-    /// Consecutive failures to connect after which the upstream is down.
+    /// Number of consecutive connection failures after which the upstream is
+    /// down.
     pub down_after_failures: u32,
-    /// Delay before the first probe of an upstream that is down; doubles.
+    /// Delay before the first probe of an upstream that is down. The delay
+    /// doubles after each failed probe.
     pub initial_probe_delay: Duration,
-    /// Longest delay between probes.
+    /// Maximum delay between probes.
     pub max_probe_delay: Duration,
-    /// Connections that the process accepts whatever the targets say.
+    /// Maximum number of connections of the process, which targets cannot
+    /// raise.
     pub max_connections: u32,
 }
 
--- a/crates/admit/src/request/decision.rs
+++ b/crates/admit/src/request/decision.rs
@@ -7,17 +7,17 @@
 /// A request as it arrives.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestInfo {
-    /// Number of the request; not in use by another one.
+    /// Id of the request; unique among the waiting and running requests.
     pub id: RequestId,
     /// Class of work.
     pub class: ClassName,
-    /// Instant after which the caller no longer waits.
+    /// Deadline of the caller.
     pub deadline: Option<Instant>,
     /// Whether a peer handed the request off. Such a request runs at once or
-    /// is refused, so it never goes round among agents.
+    /// is refused, which prevents forwarding loops among agents.
     pub handed_off: bool,
-    /// Whether an earlier attempt failed at this upstream. Such a request is
-    /// only handed off.
+    /// Whether an earlier attempt failed at the local upstream. Such a request
+    /// may only be handed off to a peer.
     pub exclude_local: bool,
 }
 
@@ -35,43 +35,43 @@
     }
 }
 
-/// What the agent does next with a request.
+/// Next action of the agent for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Decision {
-    /// Send it to the upstream. A slot is taken until
+    /// Send the request to the local upstream. It holds a slot until
     /// [`finish`](crate::Admission::finish) or
     /// [`cancel`](crate::Admission::cancel). Final.
     Run,
-    /// Ask this peer for a reservation and report the answer with
+    /// Ask this peer for a reservation and pass its answer to
     /// [`handle_peer_answer`](crate::Admission::handle_peer_answer). The request may
     /// meanwhile get another decision by a [`DeferredDecision`].
     AskPeer {
         /// Peer to ask.
         peer: UpstreamId,
     },
-    /// The peer holds a slot: send the request there. The request is
-    /// forgotten here. Final.
+    /// The peer has reserved a slot: send the request there. The admission
+    /// drops the request. Final.
     Forward {
         /// Peer that granted the reservation.
         peer: UpstreamId,
     },
-    /// The peer holds a slot that is no longer needed: tell it to release the
-    /// reservation. The request itself got its final decision before.
+    /// The peer has reserved a slot that is no longer needed: tell it to
+    /// release the reservation. The request already got its final decision.
     Release {
         /// Peer that granted the reservation.
         peer: UpstreamId,
     },
-    /// Keep it; a [`DeferredDecision`] with another decision comes by `until`.
+    /// Keep the request; a [`DeferredDecision`] for it follows by `until`.
     Queue {
-        /// Instant by which the request has got its final decision.
+        /// Instant by which the request gets its final decision.
         until: Instant,
     },
-    /// Refuse it as not run. Final.
+    /// Refuse the request, which was not run. Final.
     Refuse(RefusalReason),
 }
 
 impl Decision {
-    /// Whether no further decision follows for the request.
+    /// Returns true if no further decision follows for the request.
     #[must_use]
     pub fn is_final(&self) -> bool {
         matches!(
@@ -81,19 +81,19 @@
     }
 }
 
-/// Why a request was refused; it was not run in any of these cases.
+/// Reason for a refusal. A refused request was not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 pub enum RefusalReason {
-    /// No target names the class.
+    /// The service has no target for the class.
     #[error("the class of work has no target")]
     UnknownClass,
     /// No slot is free and the queue is full.
     #[error("no slot is free and the queue is full")]
     QueueFull,
-    /// No slot became free in the longest time a request is queued.
+    /// No slot became free within `queue_timeout`.
     #[error("no slot became free in time")]
     QueueTimeout,
-    /// The deadline passed, or would pass before the request is done.
+    /// The deadline has passed, or would pass before the request completes.
     #[error("the deadline cannot be met")]
     Deadline,
     /// A handed-off request found no free slot.
@@ -107,67 +107,67 @@
     DuplicateId,
 }
 
-/// A decision about a request that was waiting.
+/// A decision about a request that was queued or waiting for a peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DeferredDecision {
-    /// The request.
+    /// Id of the request.
     pub id: RequestId,
-    /// What to do with it.
+    /// Next action for the request.
     pub decision: Decision,
 }
 
 /// Answer of a peer that was asked for a reservation.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PeerAnswer {
-    /// The peer holds a slot.
+    /// The peer has reserved a slot.
     Granted,
-    /// The peer holds no slot; its present loads.
+    /// The peer reserved no slot; carries its current loads.
     Refused(Loads),
-    /// No answer in time, or no connection.
+    /// The peer did not answer in time, or no connection could be opened.
     Unreachable,
 }
 
 /// Answer to a peer that asks for a reservation.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ReservationAnswer {
-    /// A slot is held until this instant.
+    /// A slot is reserved until this instant.
     Granted {
-        /// When the reservation lapses.
+        /// Instant at which the reservation expires.
         expires: Instant,
     },
-    /// No slot is held; the present loads.
+    /// No slot is reserved; carries the current loads.
     Refused(Loads),
 }
 
-/// A slot held for a peer that was refused before.
+/// A slot reserved for a peer that was refused earlier.
 ///
-/// The peer passes a queued request against the reservation or releases it.
+/// The peer forwards a queued request under the reservation, or releases it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Offer {
-    /// Peer to tell.
+    /// Peer that receives the offer.
     pub peer: UpstreamId,
     /// Class of the slot.
     pub class: ClassName,
-    /// The reservation.
+    /// Id of the reservation.
     pub id: ReservationId,
 }
 
-/// Answer to a peer that sends a request against a reservation.
+/// Answer to a peer that sends a request under a reservation.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimAnswer {
-    /// The request takes the reserved slot: send it to the upstream.
+    /// The request uses the reserved slot: send it to the upstream.
     Run,
-    /// The reservation is unknown or has lapsed, or the upstream is down: the
-    /// request was not run, and the agent that sent it decides again.
+    /// The reservation is unknown or expired, or the upstream is down. The
+    /// request was not run, and the sending agent decides again.
     Lapsed,
 }
 
-/// How a request that ran here ended.
+/// Outcome of a request that ran on the local upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// The whole answer came; its time is a sample of the service time.
+    /// The whole answer was received; its duration is a service time sample.
     Completed,
-    /// The upstream answered that it sheds load.
+    /// The upstream answered that it is shedding load.
     Shed,
     /// The upstream failed after the first byte was sent.
     Failed,
--- a/crates/admit/src/request/mod.rs
+++ b/crates/admit/src/request/mod.rs
@@ -1,4 +1,4 @@
-//! What lives for one request.
+//! State and decisions with the lifetime of one request.
 
 mod decision;
 mod outcome;
--- a/crates/admit/src/request/outcome.rs
+++ b/crates/admit/src/request/outcome.rs
@@ -1,81 +1,81 @@
-//! How an attempt to run a request ends.
+//! Retry decisions after failed attempts.
 
 use std::time::Instant;
 
 use crate::RetryBudget;
 
-/// How far one attempt to run a request has come.
+/// Progress of one attempt to run a request.
 ///
-/// A request that was sent to a peer has started with its first byte, unless
-/// the peer answers that it was not run.
+/// A request sent to a peer counts as started once its first byte is sent,
+/// unless the peer answers that it was not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Progress {
-    /// No byte of the request has gone to an upstream.
+    /// No byte of the request was sent to an upstream.
     NotStarted,
-    /// The first byte has gone to an upstream; no part of an answer came back.
+    /// The first byte was sent to an upstream; no part of an answer was received.
     Started,
-    /// The head of the answer has gone to the caller.
+    /// The head of the answer was sent to the caller.
     Answered,
-    /// The whole answer has gone to the caller.
+    /// The whole answer was sent to the caller.
     Complete,
-    /// The answer broke off after its head.
+    /// The answer was truncated after its head.
     Truncated,
 }
 
-/// Why an attempt came to an end.
+/// Reason for which an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Failure {
     /// The connection to the upstream or peer could not be opened.
     Connect,
     /// A peer refused the reservation or the claim.
     PeerRefused,
-    /// The connection broke, or the answer was malformed.
+    /// The connection was lost, or the answer was malformed.
     Broken,
     /// The caller's deadline passed.
     Deadline,
     /// The caller cancelled the request.
     Cancelled,
-    /// The upstream answered that it sheds load.
+    /// The upstream answered that it is shedding load.
     Shed,
 }
 
-/// One attempt that came to an end.
+/// An attempt that ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Attempt {
-    /// How far it came.
+    /// How far the attempt got.
     pub progress: Progress,
-    /// Why it ended.
+    /// Why the attempt ended.
     pub failure: Failure,
     /// Whether the method is idempotent (RFC 9110).
     pub idempotent: bool,
-    /// Instant after which the caller no longer waits.
+    /// Deadline of the caller.
     pub deadline: Option<Instant>,
 }
 
-/// What the caller is told, or that the request is tried again.
+/// Whether a request is retried, and otherwise how it is answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// Try again elsewhere; a token of the retry budget was taken.
+    /// Retry at another upstream; a retry token was withdrawn.
     Retry,
-    /// Tell the caller that the request was not run.
+    /// Answer that the request was not run.
     NotRun,
-    /// Tell the caller that the outcome is unknown.
+    /// Answer that the outcome is unknown.
     Unknown,
-    /// Pass the upstream's answer on as it is.
+    /// Forward the upstream's answer unchanged.
     PassThrough,
-    /// Reset the stream, because part of the answer is already out.
+    /// Reset the stream, because part of the answer was already sent.
     Reset,
-    /// Nothing more is sent: the answer is complete or the caller is gone.
+    /// Send nothing more: the answer is complete, or the caller cancelled.
     Done,
 }
 
-/// Says how an attempt ends for the caller.
+/// Decides whether an attempt is retried, and otherwise how it is answered.
 ///
-/// An attempt that may have run is repeated only if the method is idempotent,
-/// and is never called "not run". An upstream that sheds load has answered: the
-/// answer is passed on and not repeated, because the agent cannot know whether
-/// the upstream acted before it answered, and a repeat would add load to a
-/// service that asks for less.
+/// An attempt that may have run is retried only if the method is idempotent,
+/// and is never reported as "not run". If the upstream sheds load after the
+/// request was started, its answer is forwarded and the request is not retried:
+/// the agent cannot tell whether the upstream acted on the request before it
+/// answered, and a retry would add load to an overloaded service.
 #[must_use]
 pub fn decide_retry(now: Instant, attempt: &Attempt, budget: &mut RetryBudget) -> RetryDecision {
     let in_time = attempt.deadline.is_none_or(|at| now < at);
--- a/crates/admit/src/request/reserve.rs
+++ b/crates/admit/src/request/reserve.rs
@@ -1,4 +1,4 @@
-//! Slots that are held for peers, and slots that are offered to them.
+//! Slot reservations for peers, and offers of free slots to them.
 
 use std::time::Instant;
 
@@ -9,9 +9,9 @@
 use crate::{Admission, ClaimAnswer, Decision, DeferredDecision, Offer, ReservationAnswer};
 
 impl Admission {
-    /// Holds a slot for a request of the peer `from` until `deadline`, at most
-    /// for `reservation_timeout`. The same id again gets the same answer. A peer
-    /// that is refused may get an [`Offer`] within `offer_window`.
+    /// Reserves a slot for a request of the peer `from` until `deadline`, at
+    /// most for `reservation_timeout`. A repeated id gets the same answer. A
+    /// refused peer may get an [`Offer`] within `offer_window`.
     pub fn reserve(
         &mut self,
         now: Instant,
@@ -20,13 +20,14 @@
         class: &ClassName,
         deadline: Instant,
     ) -> ReservationAnswer {
-        if let Some(held) = self.reservations.get(&id) {
+        if let Some(reservation) = self.reservations.get(&id) {
             return ReservationAnswer::Granted {
-                expires: held.expires,
+                expires: reservation.expires,
             };
         }
-        // A peer asks because its own slots are taken.
-        self.peers.note_full(now, from, class, &self.settings);
+        // A peer that asks counts as full: it asks because its own slots are in
+        // use.
+        self.peers.record_full(now, from, class, &self.settings);
         let serving = self.is_serving();
         match self.classes.get_mut(class) {
             Some(known) if serving && now < deadline && known.has_free_slot() => {
@@ -37,15 +38,15 @@
                 ReservationAnswer::Granted { expires }
             }
             Some(known) if serving => {
-                known.note_asked(from, now + self.settings.offer_window);
+                known.record_refused_peer(from, now + self.settings.offer_window);
                 ReservationAnswer::Refused(self.loads())
             }
             _ => ReservationAnswer::Refused(self.loads()),
         }
     }
 
-    /// Slots that became free while no local request was queued, held for
-    /// peers that were refused shortly before. Call it after each input that
+    /// Reserves slots that are free while no local request is queued for peers
+    /// that were refused within `offer_window`. Call this after each event that
     /// can free a slot, and send each offer to its peer.
     pub fn take_offers(&mut self, now: Instant) -> Vec<Offer> {
         let mut offers = Vec::new();
@@ -55,7 +56,7 @@
         let expires = now + self.settings.reservation_timeout;
         for (name, known) in &mut self.classes {
             while known.has_free_slot()
-                && let Some(peer) = known.take_asker(now)
+                && let Some(peer) = known.take_refused_peer(now)
             {
                 let id = ReservationId(self.rng.random());
                 known.reserved += 1;
@@ -68,47 +69,47 @@
         offers
     }
 
-    /// Notes that `peer` offers a slot. Returns the queued request that is
-    /// passed to it; `None` if the offer is to be released.
+    /// Accepts a slot that `peer` offers. Returns the queued request to forward
+    /// to it, or `None` if the offered reservation is to be released.
     pub fn accept_offer(
         &mut self,
         peer: UpstreamId,
         class: &ClassName,
     ) -> Option<DeferredDecision> {
         let id = self.classes.get(class)?.queued().next()?;
-        self.peers.note_granted(peer, class);
+        self.peers.record_granted(peer, class);
         self.stop_waiting(id);
         let decision = Decision::Forward { peer };
         Some(DeferredDecision { id, decision })
     }
 
-    /// Turns a reservation into the request `request` that runs here. An
-    /// upstream that began to leave still takes it; one that is down does not.
+    /// Converts a reservation into the running request `request`. A leaving
+    /// upstream still accepts it; one that is down does not.
     pub fn claim(&mut self, now: Instant, id: ReservationId, request: RequestId) -> ClaimAnswer {
         let valid = self
             .reservations
             .get(&id)
-            .is_some_and(|held| now < held.expires);
+            .is_some_and(|reservation| now < reservation.expires);
         if !valid || self.health.is_down() || self.requests.contains_key(&request) {
             return ClaimAnswer::Lapsed;
         }
-        if let Some(held) = self.reservations.remove(&id) {
-            if let Some(class) = self.classes.get_mut(&held.class) {
+        if let Some(reservation) = self.reservations.remove(&id) {
+            if let Some(class) = self.classes.get_mut(&reservation.class) {
                 class.reserved -= 1;
             }
-            self.run(now, request, held.class);
+            self.start(now, request, reservation.class);
         }
         ClaimAnswer::Run
     }
 
-    /// Gives back a reservation that the peer does not need.
+    /// Releases a reservation that the peer does not need.
     pub fn release(&mut self, now: Instant, id: ReservationId) -> Vec<DeferredDecision> {
-        let Some(held) = self.reservations.remove(&id) else {
+        let Some(reservation) = self.reservations.remove(&id) else {
             return Vec::new();
         };
-        if let Some(class) = self.classes.get_mut(&held.class) {
+        if let Some(class) = self.classes.get_mut(&reservation.class) {
             class.reserved -= 1;
         }
-        self.start_queued(now, &held.class)
+        self.start_queued(now, &reservation.class)
     }
 }
--- a/crates/admit/src/request/state.rs
+++ b/crates/admit/src/request/state.rs
@@ -1,12 +1,12 @@
-//! State of a request that waits or runs here.
+//! State of a request that waits or runs at this agent.
 
 use std::time::Instant;
 
 use types::{ClassName, UpstreamId};
 
-/// A request without a final decision, or one that runs here.
+/// A request without a final decision, or one that runs on the local upstream.
 #[derive(Debug, Clone)]
-pub(crate) enum State {
+pub(crate) enum RequestState {
     Running(Running),
     Waiting(Waiting),
 }
@@ -15,30 +15,30 @@
 #[derive(Debug, Clone)]
 pub(crate) struct Running {
     pub(crate) class: ClassName,
-    pub(crate) since: Instant,
+    pub(crate) started_at: Instant,
 }
 
 /// A request that asks peers, is queued, or both.
 #[derive(Debug, Clone)]
 pub(crate) struct Waiting {
     pub(crate) class: ClassName,
-    /// When the request is refused at the latest.
-    pub(crate) until: Instant,
+    /// Instant at which the request is refused if it still waits.
+    pub(crate) timeout_at: Instant,
     pub(crate) deadline: Option<Instant>,
-    /// Key in the queue of the class; `None` if it only asks peers.
-    pub(crate) place: Option<u64>,
-    /// Peer whose answer is awaited; at most one at a time.
-    pub(crate) asked: Option<UpstreamId>,
+    /// Key in the queue of the class; `None` if the request is not queued.
+    pub(crate) queue_key: Option<u64>,
+    /// Peer that was asked and has not answered; at most one at a time.
+    pub(crate) awaited_peer: Option<UpstreamId>,
     /// Peers asked in the first round.
-    pub(crate) tried: Vec<UpstreamId>,
-    /// Whether the first round is over: from then on one peer is asked at a
-    /// time, at the rate of the class.
-    pub(crate) round_over: bool,
-    /// Never queued, because the upstream here failed it before.
+    pub(crate) asked_peers: Vec<UpstreamId>,
+    /// Whether the first round of asking peers is over. After it, the class asks
+    /// one peer per `ask_interval`.
+    pub(crate) first_round_done: bool,
+    /// Never queued here, because an earlier attempt failed at this upstream.
     pub(crate) exclude_local: bool,
 }
 
-/// A slot that is held for a peer.
+/// A slot that is reserved for a peer.
 #[derive(Debug, Clone)]
 pub(crate) struct Reservation {
     pub(crate) class: ClassName,
--- a/crates/admit/src/version/mod.rs
+++ b/crates/admit/src/version/mod.rs
@@ -1,4 +1,4 @@
-//! What a version of the configuration or of the membership sets.
+//! State that a version of the configuration or of the membership sets.
 
 mod class;
 mod peers;
--- a/crates/admit/src/version/report.rs
+++ b/crates/admit/src/version/report.rs
@@ -1,13 +1,13 @@
-//! What an upstream says of itself.
+//! Load reports of the local upstream.
 
 use types::Slots;
 
-/// What an upstream reports of a class of work.
+/// Load that an upstream reports for a class of work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LoadReport {
     /// Slots that the upstream offers.
     pub slots: Slots,
-    /// Requests that the upstream says it has in progress. A report with fewer
-    /// than the agent sees is ignored: it lags or is wrong.
+    /// Requests in progress as counted by the upstream. A report with fewer
+    /// than the agent counts is ignored, because it is outdated or wrong.
     pub in_flight: Slots,
 }
--- a/crates/admit/tests/admission.rs
+++ b/crates/admit/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Decisions about requests, one behaviour at a time.
+//! Admission decisions, one behaviour per test.
 
 use std::{
     collections::BTreeMap,
@@ -35,12 +35,17 @@
 }
 
 /// An admission with `slots` slots and peers in the given data centres; the
-/// own one is `a`.
+/// data centre of the agent is `a`.
 fn admission(now: Instant, slots: u32, peers: &[(UpstreamId, &str)]) -> Admission {
-    with(now, slots, peers, Settings::default())
+    admission_with_settings(now, slots, peers, Settings::default())
 }
 
-fn with(now: Instant, slots: u32, peers: &[(UpstreamId, &str)], settings: Settings) -> Admission {
+fn admission_with_settings(
+    now: Instant,
+    slots: u32,
+    peers: &[(UpstreamId, &str)],
+    settings: Settings,
+) -> Admission {
     let mut a = Admission::new(settings, 7);
     a.set_targets(now, &targets(slots));
     let peers = peers.iter().map(|(id, dc)| (*id, dc.parse().unwrap()));
@@ -48,8 +53,8 @@
     a
 }
 
-/// The same with one slot, which request 1 holds.
-fn busy(now: Instant, peers: &[(UpstreamId, &str)]) -> Admission {
+/// An admission with one slot, which request 1 uses.
+fn admission_with_full_slot(now: Instant, peers: &[(UpstreamId, &str)]) -> Admission {
     let mut a = admission(now, 1, peers);
     assert_eq!(a.arrive(now, request(1)), Decision::Run);
     a
@@ -72,23 +77,23 @@
     PeerAnswer::Refused(loads(1, 1))
 }
 
-fn wake(n: u64, decision: Decision) -> DeferredDecision {
+fn deferred(n: u64, decision: Decision) -> DeferredDecision {
     let id = RequestId(n);
     DeferredDecision { id, decision }
 }
 
 fn run(n: u64) -> DeferredDecision {
-    wake(n, Decision::Run)
+    deferred(n, Decision::Run)
 }
 
 fn refuse(n: u64, reason: RefusalReason) -> DeferredDecision {
-    wake(n, Decision::Refuse(reason))
+    deferred(n, Decision::Refuse(reason))
 }
 
 /// Guards against peers that are asked out of order: own data centre first,
 /// then by free slots, each once, and then the queue.
 #[test]
-fn peers_are_asked_near_first_then_by_free_slots() {
+fn peers_are_asked_by_data_centre_then_by_free_slots() {
     let now = Instant::now();
     let third = UpstreamId(3);
     let mut a = admission(now, 1, &[(FIRST, "b"), (SECOND, "b"), (third, "a")]);
@@ -110,7 +115,7 @@
 fn beyond_sixteen_peers_only_a_few_are_asked() {
     let now = Instant::now();
     let peers: Vec<_> = (1..=40).map(|n| (UpstreamId(n), "b")).collect();
-    let mut a = busy(now, &peers);
+    let mut a = admission_with_full_slot(now, &peers);
     let mut decision = Some(a.arrive(now, request(2)));
     let mut asked = Vec::new();
     while let Some(Decision::AskPeer { peer }) = decision {
@@ -121,11 +126,11 @@
     assert_eq!(asked.len(), 4);
 }
 
-/// Guards against a request that is run here and passed to a peer as well.
+/// Guards against a request that runs locally and is also forwarded to a peer.
 #[test]
 fn a_grant_after_a_local_start_is_released() {
     let now = Instant::now();
-    let mut a = busy(now, &[(FIRST, "b")]);
+    let mut a = admission_with_full_slot(now, &[(FIRST, "b")]);
     let peer = FIRST;
     assert_eq!(a.arrive(now, request(2)), Decision::AskPeer { peer });
     assert_eq!(
@@ -140,8 +145,8 @@
     );
 }
 
-/// Guards against a handed-off request that goes round among agents, and
-/// against one that waits at a second agent.
+/// Guards against a handed-off request that is forwarded in a loop among
+/// agents, and against one that waits at a second agent.
 #[test]
 fn a_handed_off_request_runs_at_once_or_is_refused() {
     let now = Instant::now();
@@ -170,7 +175,7 @@
     assert_eq!(a.arrive(now, request(1)), refusal);
 }
 
-/// Guards against a retry that runs again where it failed.
+/// Guards against a retry at the upstream where the request failed.
 #[test]
 fn a_retry_runs_elsewhere_or_not_at_all() {
     let now = Instant::now();
@@ -188,7 +193,7 @@
     );
 }
 
-/// Guards against an unbounded queue, and against waiting without an end.
+/// Guards against an unbounded queue and an unbounded waiting time.
 #[test]
 fn the_queue_is_bounded_in_length_and_time() {
     let now = Instant::now();
@@ -196,7 +201,7 @@
         max_queued_per_slot: 2,
         ..Settings::default()
     };
-    let mut a = with(now, 1, &[], settings);
+    let mut a = admission_with_settings(now, 1, &[], settings);
     a.arrive(now, request(1));
     let until = now + Settings::default().queue_timeout;
     for n in 2..=3 {
@@ -209,11 +214,11 @@
     assert_eq!(a.tick(until), timeouts);
 }
 
-/// Guards against slots spent on requests that are too late to be of use.
+/// Guards against slots used for requests that cannot meet their deadline.
 #[test]
 fn a_deadline_that_cannot_be_met_is_refused_early() {
     let now = Instant::now();
-    let mut a = busy(now, &[]);
+    let mut a = admission_with_full_slot(now, &[]);
     a.finish(now + ms(100), RequestId(1), RequestOutcome::Completed);
     let now = now + ms(100);
     let due = |n, at| RequestInfo {
@@ -231,9 +236,9 @@
     assert_eq!(finished, [refuse(5, RefusalReason::Deadline)]);
 }
 
-/// Guards against an order of the queue other than the one that is set.
+/// Guards against a queue order other than the configured one.
 #[test]
-fn queued_requests_start_in_the_set_order() {
+fn queued_requests_start_in_the_configured_order() {
     let cases = [
         (QueueOrder::Fifo, ms(0), 2),
         (QueueOrder::Lifo, ms(0), 3),
@@ -246,19 +251,19 @@
             queue_order,
             ..Settings::default()
         };
-        let mut a = with(now, 1, &[], settings);
+        let mut a = admission_with_settings(now, 1, &[], settings);
         for n in 1..=3 {
             a.arrive(now, request(n));
         }
-        let wakes = a.finish(now + wait, RequestId(1), RequestOutcome::Completed);
-        assert_eq!(wakes, [run(next)], "{queue_order:?}");
+        let decisions = a.finish(now + wait, RequestId(1), RequestOutcome::Completed);
+        assert_eq!(decisions, [run(next)], "{queue_order:?}");
     }
 }
 
-/// Guards against a slot that stays held for a peer that never comes, and
-/// against a claim after the slot was given to another request.
+/// Guards against a slot that stays reserved for a peer that never claims it,
+/// and against a claim after the slot was given to another request.
 #[test]
-fn a_reservation_lapses_at_its_deadline() {
+fn a_reservation_expires_at_its_deadline() {
     let now = Instant::now();
     let mut a = admission(now, 1, &[]);
     let expires = now + ms(50);
@@ -292,12 +297,12 @@
     assert_eq!(a.loads(), loads(1, 0));
 }
 
-/// Guards against a slot that stands idle while a request waits at a peer, and
-/// against offers that pass over the local queue.
+/// Guards against a slot that is idle while a request waits at a peer, and
+/// against offers that bypass the local queue.
 #[test]
 fn a_free_slot_is_offered_to_a_refused_peer_after_the_local_queue() {
     let now = Instant::now();
-    let mut a = busy(now, &[]);
+    let mut a = admission_with_full_slot(now, &[]);
     a.reserve(now, ReservationId(9), FIRST, &class(), now + ms(50));
     a.arrive(now, request(2));
     a.finish(now, RequestId(1), RequestOutcome::Completed);
@@ -312,22 +317,22 @@
     assert_eq!(a.take_offers(now), []);
 }
 
-/// Guards against slots that are held for peers that no longer wait.
+/// Guards against slots that are reserved for peers that no longer wait.
 #[test]
-fn a_refused_peer_gets_an_offer_only_for_a_short_time() {
+fn a_refused_peer_gets_an_offer_only_within_the_offer_window() {
     let now = Instant::now();
-    let mut a = busy(now, &[]);
+    let mut a = admission_with_full_slot(now, &[]);
     a.reserve(now, ReservationId(9), FIRST, &class(), now + ms(500));
     let late = now + Settings::default().offer_window;
     a.finish(late, RequestId(1), RequestOutcome::Completed);
     assert_eq!(a.take_offers(late), []);
 }
 
-/// Guards against questions to a peer that just asked because it is full.
+/// Guards against asking a peer that has just asked because it is full.
 #[test]
-fn a_peer_that_asked_is_not_asked_for_a_while() {
+fn a_peer_that_asked_is_not_asked_during_the_backoff() {
     let now = Instant::now();
-    let mut a = busy(now, &[(FIRST, "a"), (SECOND, "b")]);
+    let mut a = admission_with_full_slot(now, &[(FIRST, "a"), (SECOND, "b")]);
     a.reserve(now, ReservationId(9), FIRST, &class(), now + ms(50));
     let peer = SECOND;
     assert_eq!(a.arrive(now, request(2)), Decision::AskPeer { peer });
@@ -336,28 +341,28 @@
     assert_eq!(a.arrive(later, request(3)), Decision::AskPeer { peer });
 }
 
-/// Guards against an offer that takes no request or more than one.
+/// Guards against an offer for which no request or more than one is forwarded.
 #[test]
 fn an_offer_takes_the_oldest_queued_request() {
     let now = Instant::now();
-    let mut a = busy(now, &[]);
+    let mut a = admission_with_full_slot(now, &[]);
     a.arrive(now, request(2));
-    let passed = wake(2, Decision::Forward { peer: FIRST });
+    let passed = deferred(2, Decision::Forward { peer: FIRST });
     assert_eq!(a.accept_offer(FIRST, &class()), Some(passed));
     assert_eq!(a.accept_offer(FIRST, &class()), None);
 }
 
-/// Guards against new work at a leaving upstream, against a cut of what runs
-/// there, and against queued requests that are left behind.
+/// Guards against new work at a leaving upstream, against running requests that
+/// are aborted there, and against queued requests that are not handed off.
 #[test]
 fn a_leaving_upstream_hands_off_and_finishes() {
     let now = Instant::now();
-    let mut a = busy(now, &[(FIRST, "b")]);
+    let mut a = admission_with_full_slot(now, &[(FIRST, "b")]);
     a.arrive(now, request(2));
     a.handle_peer_answer(now, RequestId(2), FIRST, refused());
     let now = now + ms(100);
     let decision = Decision::AskPeer { peer: FIRST };
-    assert_eq!(a.set_leaving(now, true), [wake(2, decision)]);
+    assert_eq!(a.set_leaving(now, true), [deferred(2, decision)]);
     assert_eq!(a.state(), UpstreamState::Leaving);
     assert_eq!(a.arrive(now, request(3)), decision);
     assert!(!a.may_accept_connection());
@@ -369,7 +374,7 @@
 }
 
 /// Guards against work for an upstream that refuses connections, and against
-/// one that is never tried again.
+/// one that is never probed again.
 #[test]
 fn an_upstream_is_down_after_failed_connects_until_a_probe_succeeds() {
     let mut now = Instant::now();
@@ -395,9 +400,9 @@
     assert_eq!(a.state(), UpstreamState::Ready);
 }
 
-/// Guards against a target that cuts requests or lets in more than its slots.
+/// Guards against a target that aborts requests or admits more than its slots.
 #[test]
-fn in_flight_sinks_under_a_lowered_target() {
+fn in_flight_decreases_under_a_lowered_target() {
     let now = Instant::now();
     let mut a = admission(now, 3, &[]);
     for n in 1..=4 {
@@ -421,10 +426,10 @@
     assert_eq!(a.arrive(now, request(7)), unknown);
 }
 
-/// Guards against a report that raises the slots, one that contradicts what
-/// the agent sees, and one that is believed for ever.
+/// Guards against a report that raises the slots, one that contradicts the
+/// count of the agent, and one that never expires.
 #[test]
-fn a_report_only_lowers_and_is_dropped_when_old() {
+fn a_report_only_lowers_the_slots_and_expires() {
     let now = Instant::now();
     let limit = Settings::default().report_lifetime;
     let report = |slots, in_flight| LoadReport {
@@ -447,9 +452,9 @@
     }
 }
 
-/// Guards against load that is sent on to an upstream that sheds it.
+/// Guards against load that is still sent to an upstream that sheds it.
 #[test]
-fn shed_load_lowers_the_slots_for_a_while() {
+fn shed_load_lowers_the_slots_until_the_limit_expires() {
     let now = Instant::now();
     let mut a = admission(now, 4, &[]);
     for n in 1..=4 {
@@ -461,7 +466,7 @@
     assert_eq!(a.loads()[&class()].slots, Slots(4));
 }
 
-/// Guards against connections over the target.
+/// Guards against more connections than the target allows.
 #[test]
 fn connections_are_bounded() {
     let now = Instant::now();
--- a/crates/admit/tests/invariants.rs
+++ b/crates/admit/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! What holds after any sequence of inputs.
+//! Invariants that hold after any sequence of inputs.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -21,20 +21,20 @@
 /// Bytes of random input of each case; the low half of an arbtest seed.
 const INPUT_BYTES: u64 = 2048;
 
-/// An admission and what the agent around it knows.
+/// An admission and the state of a simulated agent around it.
 struct Agent {
     admission: Admission,
     settings: Settings,
     now: Instant,
     slots: u32,
     next_id: u64,
-    /// Requests without a final decision, each with its latest end.
+    /// Requests without a final decision, each with its timeout and deadline.
     waiting: BTreeMap<RequestId, (Instant, Option<Instant>)>,
     running: BTreeSet<RequestId>,
-    questions: Vec<(RequestId, UpstreamId)>,
+    pending_asks: Vec<(RequestId, UpstreamId)>,
     reservations: Vec<ReservationId>,
-    /// In flight and queued after the last input.
-    last: (u32, u32),
+    /// Requests in flight and queued after the last input.
+    last_load: (u32, u32),
 }
 
 fn class() -> ClassName {
@@ -66,9 +66,9 @@
             next_id: 0,
             waiting: BTreeMap::new(),
             running: BTreeSet::new(),
-            questions: Vec::new(),
+            pending_asks: Vec::new(),
             reservations: Vec::new(),
-            last: (0, 0),
+            last_load: (0, 0),
         };
         agent.set_slots(2);
         agent
@@ -84,13 +84,13 @@
         self.admission.set_targets(self.now, &targets)
     }
 
-    fn obey(&mut self, wakes: Vec<DeferredDecision>) {
-        for wake in wakes {
-            self.decide(wake.id, wake.decision);
+    fn apply_all(&mut self, decisions: Vec<DeferredDecision>) {
+        for deferred in decisions {
+            self.decide(deferred.id, deferred.decision);
         }
     }
 
-    /// Takes a decision over, which must be for a request that has none yet.
+    /// Applies a decision, which must be for a request without a final one.
     fn decide(&mut self, id: RequestId, decision: Decision) {
         let (until, deadline) = self.waiting[&id];
         if decision.is_final() {
@@ -98,10 +98,13 @@
         }
         match decision {
             Decision::Run => {
-                assert!(deadline.is_none_or(|at| self.now < at), "too late");
+                assert!(
+                    deadline.is_none_or(|at| self.now < at),
+                    "a request ran after its deadline"
+                );
                 assert!(self.running.insert(id));
             }
-            Decision::AskPeer { peer } => self.questions.push((id, peer)),
+            Decision::AskPeer { peer } => self.pending_asks.push((id, peer)),
             Decision::Queue { until: at } => assert!(at <= until),
             Decision::Release { .. } => panic!("release of a slot of a waiting request"),
             Decision::Forward { .. } | Decision::Refuse(_) => {}
@@ -122,16 +125,19 @@
         info.exclude_local = u.ratio(1, 8)?;
         let handed_off = info.handed_off;
         let decision = self.admission.arrive(self.now, info);
-        assert!(!handed_off || decision.is_final(), "handed on");
+        assert!(
+            !handed_off || decision.is_final(),
+            "a handed-off request got no final decision"
+        );
         Ok(vec![DeferredDecision { id, decision }])
     }
 
     fn answer(&mut self, u: &mut Unstructured<'_>) -> Result<Vec<DeferredDecision>> {
-        if self.questions.is_empty() {
+        if self.pending_asks.is_empty() {
             return Ok(Vec::new());
         }
-        let question = u.choose_index(self.questions.len())?;
-        let (id, peer) = self.questions.swap_remove(question);
+        let index = u.choose_index(self.pending_asks.len())?;
+        let (id, peer) = self.pending_asks.swap_remove(index);
         let granted = u.ratio(1, 4)?;
         let answer = if granted {
             PeerAnswer::Granted
@@ -197,7 +203,7 @@
 
     fn step(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
         self.now += ms(u.int_in_range(0..=30)?);
-        let wakes = match u.int_in_range(0..=15)? {
+        let decisions = match u.int_in_range(0..=15)? {
             0..=4 => self.arrive(u)?,
             5..=6 => self.answer(u)?,
             7..=8 => self.end(u)?,
@@ -215,9 +221,9 @@
             }
             _ => Vec::from_iter(self.admission.accept_offer(UpstreamId(1), &class())),
         };
-        self.obey(wakes);
-        let wakes = self.admission.tick(self.now);
-        self.obey(wakes);
+        self.apply_all(decisions);
+        let decisions = self.admission.tick(self.now);
+        self.apply_all(decisions);
         let offers = self.admission.take_offers(self.now);
         self.reservations
             .extend(offers.iter().map(|offer| offer.id));
@@ -230,15 +236,18 @@
         let (in_flight, queued) = (load.in_flight.0, load.queued.0);
         let running = u32::try_from(self.running.len()).unwrap();
         assert!(running <= in_flight, "a running request holds no slot");
-        let (former_in_flight, former_queued) = self.last;
+        let (former_in_flight, former_queued) = self.last_load;
         assert!(
             in_flight <= self.slots.max(former_in_flight),
-            "over the slots"
+            "more requests in flight than slots"
         );
         let bound = self.slots * self.settings.max_queued_per_slot;
-        assert!(queued <= bound.max(former_queued), "over the queue's bound");
+        assert!(
+            queued <= bound.max(former_queued),
+            "more requests queued than the queue may hold"
+        );
         let overdue = self.waiting.values().find(|(until, _)| *until <= self.now);
-        assert_eq!(overdue, None, "a request waits past its end");
+        assert_eq!(overdue, None, "a request waits past its timeout");
         if let Some((first, _)) = self.waiting.values().min() {
             assert!(
                 self.admission
@@ -246,13 +255,13 @@
                     .is_some_and(|at| at <= *first)
             );
         }
-        self.last = (in_flight, queued);
+        self.last_load = (in_flight, queued);
     }
 }
 
-/// Guards against an upstream over its slots, a queue over its bound, a request
-/// that is lost, decided twice, run twice or started past its deadline, and a
-/// handed-off request that is handed on or queued.
+/// Guards against an upstream with more requests than slots, a queue above its
+/// limit, a request that is lost, decided twice, run twice or started after its
+/// deadline, and a handed-off request that is handed off again or queued.
 #[test]
 fn invariants_hold_after_any_inputs() {
     for case in 0..CASES {
@@ -262,12 +271,12 @@
                 agent.step(u)?;
             }
             agent.now += agent.settings.queue_timeout + agent.settings.reservation_timeout;
-            let wakes = agent.admission.tick(agent.now);
-            agent.obey(wakes);
+            let decisions = agent.admission.tick(agent.now);
+            agent.apply_all(decisions);
             assert!(agent.waiting.is_empty(), "a request got no final decision");
             for id in std::mem::take(&mut agent.running) {
-                let wakes = agent.admission.cancel(agent.now, id);
-                agent.obey(wakes);
+                let decisions = agent.admission.cancel(agent.now, id);
+                agent.apply_all(decisions);
             }
             let load = agent.admission.loads().get(&class()).copied();
             assert_eq!(load.unwrap_or_default().in_flight, Slots(0), "a slot leaks");
--- a/crates/admit/tests/outcome.rs
+++ b/crates/admit/tests/outcome.rs
@@ -1,4 +1,4 @@
-//! What a caller is told after a failed attempt, and when it is tried again.
+//! Answers after failed attempts, and when a request is retried.
 
 use std::time::{Duration, Instant};
 
@@ -57,8 +57,8 @@
 }
 
 /// Guards against a non-idempotent request that runs twice, and against "not
-/// run" after the first byte went out: every progress, failure and method,
-/// with and without budget and time.
+/// run" after the first byte was sent. Covers every progress, failure and
+/// method, with and without retry budget and time.
 #[test]
 fn every_progress_and_failure_has_its_decision() {
     let now = Instant::now();
@@ -66,12 +66,12 @@
     for (progress, idempotent_row, other_row) in TABLE {
         for (i, failure) in FAILURES.into_iter().enumerate() {
             for (idempotent, expected) in [(true, idempotent_row[i]), (false, other_row[i])] {
-                let barred = without_retry(expected, progress);
+                let without_budget_or_time = without_retry(expected, progress);
                 let cases = [
                     (RetryBudget::new(), Some(later), expected),
                     (RetryBudget::new(), None, expected),
-                    (RetryBudget::new(), Some(now), barred),
-                    (empty_budget(), Some(later), barred),
+                    (RetryBudget::new(), Some(now), without_budget_or_time),
+                    (empty_budget(), Some(later), without_budget_or_time),
                 ];
                 for (mut budget, deadline, expected) in cases {
                     let attempt = Attempt {
@@ -89,7 +89,7 @@
 }
 
 /// Guards against retries that multiply the load of a failing service: over a
-/// long run they are a tenth of the requests, plus the few at the start.
+/// long run they are a tenth of the requests, plus the initial allowance.
 #[test]
 fn retries_stay_a_tenth_of_the_requests() {
     let mut budget = RetryBudget::new();
@@ -103,7 +103,7 @@
 
 /// Guards against a burst of retries after a long run without failures.
 #[test]
-fn a_quiet_run_saves_a_bounded_number_of_retries() {
+fn the_retry_budget_is_bounded_after_a_run_without_failures() {
     let mut budget = RetryBudget::new();
     for _ in 0..100_000 {
         budget.deposit();
@@ -112,9 +112,9 @@
     assert_eq!(burst, 20);
 }
 
-/// Guards against a retry that is not paid for when nothing is retried.
+/// Guards against a token that is withdrawn although nothing is retried.
 #[test]
-fn only_a_retry_takes_a_token() {
+fn only_a_retry_withdraws_a_token() {
     let now = Instant::now();
     let mut budget = RetryBudget::new();
     let attempt = Attempt {
