--- a/crates/admit/src/version/peers.rs
+++ b/crates/admit/src/version/peers.rs
@@ -151,8 +151,8 @@
         let candidates = if self.ids.len() <= MAX_PEERS_ASKED_IN_ORDER {
             self.ids.clone()
         } else if asked_peers.len() < MAX_SAMPLED_ASKS {
-            let sample = |_| self.ids[rng.random_range(0..self.ids.len())];
-            (0..SAMPLED_PEERS).map(sample).collect()
+            let random_id = |_| self.ids[rng.random_range(0..self.ids.len())];
+            (0..SAMPLED_PEERS).map(random_id).collect()
         } else {
             Vec::new()
         };
--- a/crates/dedup/src/lib.rs
+++ b/crates/dedup/src/lib.rs
@@ -1,19 +1,19 @@
-//! Keeps the result of a non-idempotent request under its idempotency key.
+//! Stores the answers of non-idempotent requests under their idempotency keys.
 //!
 //! A caller that lost an answer sends the request again with the same key. One
-//! agent of the service, the key's home, keeps what became of the key; all
-//! agents find it by [`home_of`]. The home lets a request run only if it can
-//! exclude that another one with the key has run, and never guesses: a home
-//! that lost its records, or took a key over from another, answers
-//! [`BeginReply::Indeterminate`] for keys that are too old for it to know.
+//! agent of the service, the key's home, stores the record of the key; all
+//! agents compute the home with [`home_of`]. The home permits a request only if
+//! no other request with the key can have run. A home that lost its records, or
+//! took a key over from another home, answers [`BeginReply::Indeterminate`] for
+//! keys that are older than its tenure.
 //!
-//! Keys are version 7 UUIDs, whose time stamp tells their age. That is what
-//! makes a lost record safe: a key that is younger than the home's tenure
-//! cannot have been seen by an earlier home.
+//! Keys are version 7 UUIDs, whose timestamp gives their age. This makes the
+//! loss of records safe: an earlier home cannot have seen a key that was
+//! generated during the tenure of the present home.
 //!
 //! - [`process`]: [`Home`] with its settings;
-//! - [`version`]: which member of the service is a key's home;
-//! - [`request`]: keys, and what is kept under them.
+//! - [`version`]: the choice of a key's home among the members of the service;
+//! - [`request`]: keys, and the records stored under them.
 //!
 //! ```
 //! use dedup::{AttemptId, BeginReply, KeyedOutcome, Fingerprint, Home, StoredAnswer, IdempotencyKey, Settings};
@@ -24,16 +24,16 @@
 //! let mut home = Home::new(Settings::default(), UpstreamId(1));
 //! home.confirm_members(start, UnixMillis(1_000_000), &[UpstreamId(1)].into());
 //!
-//! // A key that was drawn after the home's tenure had settled.
+//! // A key that was generated after the handover time of the home.
 //! let now = UnixMillis(1_000_000 + 60_000);
 //! let key = IdempotencyKey::with_timestamp(now, 7);
-//! let print = Fingerprint(42);
+//! let fingerprint = Fingerprint(42);
 //! let first = AttemptId { upstream: UpstreamId(1), attempt: 1 };
-//! assert_eq!(home.begin(start, now, key, print, first), BeginReply::Run);
+//! assert_eq!(home.begin(start, now, key, fingerprint, first), BeginReply::Run);
 //! let answer = StoredAnswer::new(200, Vec::new(), "ok".into());
 //! home.end(now, key, KeyedOutcome::Answered(answer.clone()));
 //! let resend = AttemptId { upstream: UpstreamId(1), attempt: 2 };
-//! assert_eq!(home.begin(start, now, key, print, resend), BeginReply::Answered(answer));
+//! assert_eq!(home.begin(start, now, key, fingerprint, resend), BeginReply::Answered(answer));
 //! ```
 
 pub mod process;
--- a/crates/dedup/src/process/home.rs
+++ b/crates/dedup/src/process/home.rs
@@ -1,4 +1,4 @@
-//! The home of keys.
+//! The records that a home stores for its keys.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -10,111 +10,115 @@
 use super::Settings;
 use crate::{
     AttemptId, BeginReply, Fingerprint, IdempotencyKey, KeyedOutcome, StoredAnswer, home_of,
-    version::claim,
+    version::rendezvous_score,
 };
 
-/// What became of a key.
+/// State of the request with a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
-enum State {
-    /// This attempt runs.
+enum KeyState {
+    /// This attempt may run.
     Running(AttemptId),
     Answered(StoredAnswer),
-    Ran,
-    Lost,
+    AnswerNotKept,
+    AnswerLost,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Record {
     fingerprint: Fingerprint,
-    state: State,
+    state: KeyState,
 }
 
 impl Record {
     fn size(&self) -> usize {
         match &self.state {
-            State::Answered(kept) => kept.size(),
+            KeyState::Answered(answer) => answer.size(),
             _ => 0,
         }
     }
 }
 
-/// Keeps what became of the keys whose home this agent is.
+/// Stores the records of the keys whose home is this agent.
 #[derive(Debug, Clone)]
 pub struct Home {
     settings: Settings,
     own: UpstreamId,
     members: BTreeSet<UpstreamId>,
-    /// Members that went, each with the date up to which it may have been a
-    /// home. Older ones than `retention` are forgotten.
+    /// Former members, each with the time until which it may have been a home.
+    /// Entries older than `retention` are dropped.
     departed: BTreeMap<UpstreamId, UnixMillis>,
-    /// Keys up to this date may have had another home, or a record that gave
-    /// way. Only rises.
-    floor: UnixMillis,
-    /// Whether the membership may be outdated after this instant.
+    /// Keys up to this timestamp may have had another home or an evicted record.
+    /// Never decreases.
+    indeterminate_until: UnixMillis,
+    /// Instant after which the membership may be outdated; `None` before the
+    /// first confirmation.
     confirmed_until: Option<Instant>,
-    /// Ordered by date, because keys begin with it.
+    /// Records in order of timestamp, because keys begin with it.
     records: BTreeMap<IdempotencyKey, Record>,
-    /// Sum of the records' sizes.
-    bytes: usize,
+    /// Total size of the stored answers, in bytes.
+    answer_bytes: usize,
 }
 
 impl Home {
-    /// A home without records at the start of an agent.
+    /// Creates a home without records, for the start of an agent.
     #[must_use]
     pub fn new(settings: Settings, own: UpstreamId) -> Self {
         Home {
-            floor: UnixMillis::default(),
+            indeterminate_until: UnixMillis::default(),
             settings,
             own,
             members: BTreeSet::new(),
             departed: BTreeMap::new(),
             confirmed_until: None,
             records: BTreeMap::new(),
-            bytes: 0,
+            answer_bytes: 0,
         }
     }
 
-    /// Takes the members of the service that an exchange with the control group
-    /// has confirmed; it began at `began`. Requests that ran at a member that
-    /// went are lost.
+    /// Applies the members of the service that an exchange with the control
+    /// group, begun at `began`, has confirmed. Requests that were running at a
+    /// member that is gone become `AnswerLost`.
     pub fn confirm_members(
         &mut self,
         began: Instant,
-        date: UnixMillis,
+        unix_now: UnixMillis,
         members: &BTreeSet<UpstreamId>,
     ) {
-        if self.may_have_missed_a_home(began, members) {
-            self.floor = self.floor.max(date.plus(self.settings.handover()));
+        if self.may_have_missed_former_home(began, members) {
+            self.indeterminate_until = self
+                .indeterminate_until
+                .max(unix_now.plus(self.settings.handover_time()));
         }
         let until = began + self.settings.lease;
         self.confirmed_until = self.confirmed_until.max(Some(until));
         if self.members != *members {
-            self.take_members(date, members);
+            self.replace_members(unix_now, members);
         }
     }
 
-    /// Whether keys of this home may have had another one that this agent has
-    /// never heard of. Within one lease that is impossible, because a new home
-    /// lets nothing run before the longer handover has passed.
-    fn may_have_missed_a_home(&self, began: Instant, members: &BTreeSet<UpstreamId>) -> bool {
+    /// Returns true if keys of this home may have had another home that was
+    /// never in a membership applied here. Within one lease that is impossible,
+    /// because a new home permits no request before the handover time, which is
+    /// longer, has passed.
+    fn may_have_missed_former_home(&self, began: Instant, members: &BTreeSet<UpstreamId>) -> bool {
         let lapsed = self.confirmed_until.is_none_or(|until| until < began);
         let joined = members.contains(&self.own) && !self.members.contains(&self.own);
         lapsed || joined
     }
 
-    fn take_members(&mut self, date: UnixMillis, members: &BTreeSet<UpstreamId>) {
-        let until = date.plus(self.settings.handover());
+    fn replace_members(&mut self, unix_now: UnixMillis, members: &BTreeSet<UpstreamId>) {
+        let until = unix_now.plus(self.settings.handover_time());
         for &gone in self.members.difference(members) {
             self.departed.insert(gone, until);
         }
         for member in members {
             self.departed.remove(member);
         }
-        let oldest = minus(date, self.settings.retention);
+        let oldest = subtract(unix_now, self.settings.retention);
         self.departed.retain(|_, until| *until > oldest);
         for record in self.records.values_mut() {
-            if matches!(record.state, State::Running(at) if !members.contains(&at.upstream)) {
-                record.state = State::Lost;
+            if matches!(record.state, KeyState::Running(at) if !members.contains(&at.upstream)) {
+                record.state = KeyState::AnswerLost;
             }
         }
         self.members.clone_from(members);
@@ -124,7 +128,7 @@
     pub fn begin(
         &mut self,
         now: Instant,
-        date: UnixMillis,
+        unix_now: UnixMillis,
         key: IdempotencyKey,
         fingerprint: Fingerprint,
         from: AttemptId,
@@ -132,121 +136,123 @@
         if !self.is_home(now, key) || !self.members.contains(&from.upstream) {
             return BeginReply::NotHome;
         }
-        self.expire(date);
+        self.evict_expired(unix_now);
         if let Some(record) = self.records.get(&key) {
-            return known(record, fingerprint, from);
+            return reply_for_record(record, fingerprint, from);
         }
-        if key.timestamp() > date.plus(self.settings.max_clock_skew) {
+        if key.timestamp() > unix_now.plus(self.settings.max_clock_skew) {
             return BeginReply::InFuture;
         }
-        if key.timestamp() <= self.unsettled_until(date, key) {
+        if key.timestamp() <= self.key_indeterminate_until(unix_now, key) {
             return BeginReply::Indeterminate;
         }
         let record = Record {
             fingerprint,
-            state: State::Running(from),
+            state: KeyState::Running(from),
         };
         self.records.insert(key, record);
-        self.make_room();
+        self.evict_over_limits();
         BeginReply::Run
     }
 
-    /// Notes how a request that was let run has ended.
-    pub fn end(&mut self, date: UnixMillis, key: IdempotencyKey, end: KeyedOutcome) {
+    /// Records the outcome of a request that was permitted to run.
+    pub fn end(&mut self, unix_now: UnixMillis, key: IdempotencyKey, end: KeyedOutcome) {
         let Some(record) = self.records.get_mut(&key) else {
             return;
         };
-        if !matches!(record.state, State::Running(_) | State::Lost) {
+        if !matches!(record.state, KeyState::Running(_) | KeyState::AnswerLost) {
             return;
         }
         record.state = match end {
-            KeyedOutcome::Answered(kept) if kept.size() <= self.settings.max_answer_bytes => {
-                State::Answered(kept)
+            KeyedOutcome::Answered(answer) if answer.size() <= self.settings.max_answer_bytes => {
+                KeyState::Answered(answer)
             }
-            KeyedOutcome::Answered(_) | KeyedOutcome::AnswerTooLarge => State::Ran,
-            KeyedOutcome::AnswerLost => State::Lost,
+            KeyedOutcome::Answered(_) | KeyedOutcome::AnswerTooLarge => KeyState::AnswerNotKept,
+            KeyedOutcome::AnswerLost => KeyState::AnswerLost,
             KeyedOutcome::NotRun => {
                 self.records.remove(&key);
                 return;
             }
         };
-        self.bytes += record.size();
-        self.expire(date);
-        self.make_room();
+        self.answer_bytes += record.size();
+        self.evict_expired(unix_now);
+        self.evict_over_limits();
     }
 
-    /// Number of records and bytes of kept answers.
+    /// Returns the number of records and the bytes of stored answers.
     #[must_use]
     pub fn usage(&self) -> (usize, usize) {
-        (self.records.len(), self.bytes)
+        (self.records.len(), self.answer_bytes)
     }
 
-    /// Whether this agent is the home of a key by a membership that cannot be
-    /// outdated.
+    /// Returns true if this agent is the key's home in a membership whose lease
+    /// has not expired.
     fn is_home(&self, now: Instant, key: IdempotencyKey) -> bool {
         let confirmed = self.confirmed_until.is_some_and(|until| now < until);
         confirmed && home_of(key, &self.members) == Some(self.own)
     }
 
-    /// Keys up to this date may have had another home.
-    fn unsettled_until(&self, date: UnixMillis, key: IdempotencyKey) -> UnixMillis {
-        let own = claim(key, self.own);
+    /// Timestamp up to which `key` may have had another home or an evicted
+    /// record.
+    fn key_indeterminate_until(&self, unix_now: UnixMillis, key: IdempotencyKey) -> UnixMillis {
+        let own = rendezvous_score(key, self.own);
         let former = self.departed.iter();
-        let former = former.filter(|(member, _)| claim(key, **member) > own);
-        let oldest = minus(date, self.settings.retention);
+        let former = former.filter(|(member, _)| rendezvous_score(key, **member) > own);
+        let oldest = subtract(unix_now, self.settings.retention);
         former
             .map(|(_, until)| *until)
-            .chain([self.floor, oldest])
+            .chain([self.indeterminate_until, oldest])
             .max()
             .unwrap_or_default()
     }
 
-    /// Forgets records that are older than they are kept.
-    fn expire(&mut self, date: UnixMillis) {
-        let oldest = minus(date, self.settings.retention);
+    /// Evicts records older than `retention`.
+    fn evict_expired(&mut self, unix_now: UnixMillis) {
+        let oldest = subtract(unix_now, self.settings.retention);
         while let Some((&key, _)) = self.records.first_key_value()
             && key.timestamp() <= oldest
         {
-            self.forget(key);
+            self.evict(key);
         }
     }
 
-    /// Lets the oldest records give way.
-    fn make_room(&mut self) {
+    /// Evicts the oldest records until the limits are met.
+    fn evict_over_limits(&mut self) {
         while self.records.len() > self.settings.max_records
-            || self.bytes > self.settings.max_stored_bytes
+            || self.answer_bytes > self.settings.max_stored_bytes
         {
             let Some((&key, _)) = self.records.first_key_value() else {
                 return;
             };
-            self.forget(key);
+            self.evict(key);
         }
     }
 
-    /// Forgets a record. Its key and all older ones are unsettled from then on.
-    fn forget(&mut self, key: IdempotencyKey) {
+    /// Evicts a record. Its key and all older ones are indeterminate from then
+    /// on.
+    fn evict(&mut self, key: IdempotencyKey) {
         if let Some(record) = self.records.remove(&key) {
-            self.bytes -= record.size();
+            self.answer_bytes -= record.size();
         }
-        self.floor = self.floor.max(key.timestamp());
+        self.indeterminate_until = self.indeterminate_until.max(key.timestamp());
     }
 }
 
-fn known(record: &Record, fingerprint: Fingerprint, from: AttemptId) -> BeginReply {
+fn reply_for_record(record: &Record, fingerprint: Fingerprint, from: AttemptId) -> BeginReply {
     if record.fingerprint != fingerprint {
         return BeginReply::Mismatch;
     }
     match &record.state {
-        State::Running(at) if *at == from => BeginReply::Run,
-        State::Running(_) => BeginReply::InProgress,
-        State::Answered(kept) => BeginReply::Answered(kept.clone()),
-        State::Ran => BeginReply::AnswerNotKept,
-        State::Lost => BeginReply::AnswerLost,
+        KeyState::Running(at) if *at == from => BeginReply::Run,
+        KeyState::Running(_) => BeginReply::InProgress,
+        KeyState::Answered(answer) => BeginReply::Answered(answer.clone()),
+        KeyState::AnswerNotKept => BeginReply::AnswerNotKept,
+        KeyState::AnswerLost => BeginReply::AnswerLost,
     }
 }
 
-/// The instant `time` before `at`.
-fn minus(at: UnixMillis, time: Duration) -> UnixMillis {
+/// Subtracts `time` from `at`, saturating at zero.
+fn subtract(at: UnixMillis, time: Duration) -> UnixMillis {
     let millis = u64::try_from(time.as_millis()).unwrap_or(u64::MAX);
     UnixMillis(at.0.saturating_sub(millis))
 }
--- a/crates/dedup/src/process/mod.rs
+++ b/crates/dedup/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! The home of keys, and its settings.
+//! The records of a home, and its settings.
 
 mod home;
 mod settings;
--- a/crates/dedup/src/process/settings.rs
+++ b/crates/dedup/src/process/settings.rs
@@ -5,22 +5,21 @@
 /// Settings of a home.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Settings {
-    /// Time for which results are kept. A key that is older is unsettled.
+    /// Time for which records are kept. Older keys are indeterminate.
     pub retention: Duration,
-    /// Most records that are kept; the oldest give way.
+    /// Maximum number of records; the oldest are evicted.
     pub max_records: usize,
-    /// Most bytes of answers that are kept; the oldest give way.
+    /// Maximum total size of stored answers in bytes; the oldest are evicted.
     pub max_stored_bytes: usize,
-    /// Largest answer that is kept.
+    /// Maximum size of a stored answer in bytes.
     pub max_answer_bytes: usize,
-    /// Largest difference between the clocks of callers and agents.
+    /// Maximum difference between the clocks of callers and agents.
     pub max_clock_skew: Duration,
-    /// Time for which a confirmed membership holds: an agent that was not
-    /// confirmed for this long is no home, because another may have taken its
-    /// keys over.
+    /// Time for which a confirmed membership is valid. After it, an agent no
+    /// longer acts as a home, because another one may have taken over its keys.
     pub lease: Duration,
-    /// Time by which every agent has a newer membership in force, or has lost
-    /// its lease.
+    /// Maximum time until every agent applies a new membership or has lost its
+    /// lease.
     pub propagation_delay: Duration,
 }
 
@@ -39,9 +38,9 @@
 }
 
 impl Settings {
-    /// Time after a change of home in which a key may have been drawn and seen
-    /// by the former home.
-    pub(crate) fn handover(&self) -> Duration {
+    /// Time after a change of home during which the former home may still have
+    /// accepted newly generated keys.
+    pub(crate) fn handover_time(&self) -> Duration {
         self.lease + self.propagation_delay + self.max_clock_skew
     }
 }
--- a/crates/dedup/src/request/key.rs
+++ b/crates/dedup/src/request/key.rs
@@ -6,35 +6,35 @@
 use types::{UnixMillis, UpstreamId};
 use uuid::Uuid;
 
-/// Bits of a version 7 UUID that are not its time stamp.
-const RANDOM_BITS: u32 = 80;
+/// Position of the timestamp in a version 7 UUID, in bits.
+const TIMESTAMP_SHIFT: u32 = 80;
 
 /// The version and variant bits of a version 7 UUID.
-const MARKS: u128 = 0x7000_8000_0000_0000_0000;
+const VERSION_AND_VARIANT_BITS: u128 = 0x7000_8000_0000_0000_0000;
 
-/// An idempotency key: a version 7 UUID that the caller draws for a request
-/// and keeps for its resends.
+/// An idempotency key: a version 7 UUID that the caller generates for a request
+/// and reuses for its retries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct IdempotencyKey(Uuid);
 
 impl IdempotencyKey {
-    /// The key with this date and these random bits.
+    /// Creates a key from a timestamp and the low 62 bits of `random`.
     #[must_use]
     pub fn with_timestamp(at: UnixMillis, random: u64) -> Self {
         let low = u128::from(random & 0x3fff_ffff_ffff_ffff);
         IdempotencyKey(Uuid::from_u128(
-            u128::from(at.0) << RANDOM_BITS | MARKS | low,
+            u128::from(at.0) << TIMESTAMP_SHIFT | VERSION_AND_VARIANT_BITS | low,
         ))
     }
 
-    /// When the key was drawn, by the caller's clock.
+    /// Time at which the key was generated, by the caller's clock.
     #[must_use]
     pub fn timestamp(self) -> UnixMillis {
-        UnixMillis(u64::try_from(self.0.as_u128() >> RANDOM_BITS).unwrap_or_default())
+        UnixMillis(u64::try_from(self.0.as_u128() >> TIMESTAMP_SHIFT).unwrap_or_default())
     }
 
-    /// The key's bytes.
+    /// Returns the 16 bytes of the key.
     #[must_use]
     pub fn as_bytes(&self) -> &[u8; 16] {
         self.0.as_bytes()
@@ -47,8 +47,8 @@
     }
 }
 
-/// Text that is not a version 7 UUID. Such a key has no date, so results
-/// cannot be kept under it.
+/// Error for text that is not a version 7 UUID. Such a key has no timestamp, so
+/// no answer can be stored under it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("the idempotency key is not a version 7 UUID")]
 pub struct InvalidKey;
@@ -65,24 +65,25 @@
     }
 }
 
-/// Who asks to run a request, and for which attempt. The same attempt may ask
-/// again when the home's answer was lost.
+/// Identifies an attempt to run a request. The same attempt may ask the home
+/// again if its reply was lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AttemptId {
-    /// Upstream whose agent asks.
+    /// Upstream whose agent makes the attempt.
     pub upstream: UpstreamId,
-    /// Random number that the agent draws for the attempt.
+    /// Random number that the agent generates for the attempt.
     pub attempt: u64,
 }
 
-/// Hash of what a request asks, so that a key is not used for two requests.
+/// Hash of the method and target of a request, which detects the reuse of a key
+/// for another request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Fingerprint(pub u64);
 
 impl Fingerprint {
-    /// The fingerprint of a method and a request target. The body is not
-    /// included: it is still on its way when the home is asked.
+    /// Computes the fingerprint of a method and a request target. The body is
+    /// not included, because it has not arrived when the home is asked.
     #[must_use]
     pub fn of(method: &str, target: &str) -> Self {
         let mut text = Vec::with_capacity(method.len() + 1 + target.len());
--- a/crates/dedup/src/request/mod.rs
+++ b/crates/dedup/src/request/mod.rs
@@ -1,4 +1,4 @@
-//! Keys, and what is kept under them.
+//! Idempotency keys, and the outcomes stored under them.
 
 mod key;
 mod result;
--- a/crates/dedup/src/request/result.rs
+++ b/crates/dedup/src/request/result.rs
@@ -1,9 +1,9 @@
-//! What is kept under a key.
+//! Replies of a home, and outcomes of requests with a key.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-/// An answer that is kept for resends.
+/// An answer that is stored for retries.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredAnswer {
     /// Status of the answer.
@@ -15,7 +15,7 @@
 }
 
 impl StoredAnswer {
-    /// An answer with its whole body.
+    /// Creates an answer with its whole body.
     #[must_use]
     pub fn new(status: u16, fields: Vec<(Bytes, Bytes)>, body: Bytes) -> Self {
         StoredAnswer {
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Bytes that the answer takes in memory, roughly.
+    /// Approximate size of the answer in memory, in bytes.
     #[must_use]
     pub fn size(&self) -> usize {
         let fields = self.fields.iter();
@@ -34,14 +34,14 @@
     }
 }
 
-/// Answer of the home to an agent that wants to run a request.
+/// Reply of a key's home to an agent that asks to run a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BeginReply {
-    /// No request with the key has run: run it and report its end.
+    /// No request with the key has run: run it and report its outcome.
     Run,
-    /// A request with the key has run and this was its answer.
+    /// A request with the key has run; carries its answer.
     Answered(StoredAnswer),
-    /// A request with the key has run; its answer is not kept.
+    /// A request with the key has run; its answer is not stored.
     #[serde(rename = "Ran")]
     AnswerNotKept,
     /// A request with the key is running.
@@ -49,27 +49,28 @@
     /// A request with the key may have run: its answer was lost.
     #[serde(rename = "Lost")]
     AnswerLost,
-    /// The home cannot know whether a request with the key has run.
+    /// The home cannot determine whether a request with the key has run.
     #[serde(rename = "Unsettled")]
     Indeterminate,
     /// The key was used for another request.
     Mismatch,
-    /// The key's date is ahead of the home's clock.
+    /// The timestamp of the key is ahead of the home's clock by more than
+    /// `max_clock_skew`.
     InFuture,
-    /// This agent is not the key's home, or not for certain. Nothing was
-    /// noted.
+    /// This agent is not the key's home, or its membership may be outdated. No
+    /// record was made.
     NotHome,
 }
 
-/// How a request that ran under a key ended.
+/// Outcome of a request that was permitted under a key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum KeyedOutcome {
-    /// The whole answer came.
+    /// The whole answer was received.
     Answered(StoredAnswer),
-    /// The whole answer came but is too large to be kept.
+    /// The whole answer was received but is too large to be stored.
     #[serde(rename = "Large")]
     AnswerTooLarge,
-    /// The request certainly did not start: the key may be used again.
+    /// The request did not start: the key may be used again.
     NotRun,
     /// The answer was lost.
     #[serde(rename = "Lost")]
