--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -1,30 +1,31 @@
 //! Soft-state membership of upstreams and balancers, kept by the control
 //! leader.
 //!
-//! Agents and balancers announce themselves again and again; every
-//! announcement holds for one lease. [`Registry`] turns them, together with
-//! the configured services and drain marks, into numbered versions of the
-//! membership: which upstreams each service has and which share of new flows
-//! each of them gets. It has no clock: every call names the instant.
+//! Agents and balancers send announcements periodically; each announcement
+//! renews a lease. From them, the configured services and the drain marks,
+//! [`Registry`] builds numbered versions of the membership: the upstreams of
+//! each service and the share of new flows that each of them gets. It reads no
+//! clock: every call passes the instant.
 //!
 //! # Shares
 //!
-//! An upstream is *usable* if its lease runs, its agent says that it is ready
-//! and no operator marked its host. Its share is the lower one of
+//! An upstream is *usable* if its lease is valid, its agent reports it as ready
+//! and its host has no drain mark. Its share is the lower of
 //!
-//! - its ramp: 0 until it was listed for two seconds, then 1/8, 1/4, 1/2 and
-//!   the whole of [`Share::FULL`](types::Share::FULL) over ten seconds;
-//! - its load level, in eighths: what it offers of its targets, lowered by
-//!   what waits beyond that. A level changes only after all reports of five
-//!   seconds were on one side of it.
+//! - its ramp: 0 until it has been listed for two seconds, then 1/8, 1/4, 1/2
+//!   and the whole of [`Share::FULL`](types::Share::FULL) over ten seconds;
+//! - its load level, in eighths: the part of its targets that it offers, lowered
+//!   if more requests are in flight and queued than it offers slots. A level
+//!   changes only after all reports of five seconds were on one side of it.
 //!
-//! One that leaves, by itself or by a mark, has share 0 in the next version
-//! and stays listed until its lease ends, so that its flows are forwarded.
-//! One that is down, or whose lease ended, counts as failing and has share 0
-//! or is no longer listed, unless under half of its service is usable. The
-//! service is then *frozen*: failing upstreams keep their place and share,
-//! silent ones for at most [`Settings::lapsed_retention`], and no share is lowered
-//! but those of upstreams that leave.
+//! An upstream that leaves, on its own or because of a drain mark, has share 0
+//! in the next version and stays listed until its lease expires, so that its
+//! flows are still forwarded. An upstream that is down, or whose lease expired,
+//! is failing: it has share 0 or is no longer listed, unless fewer upstreams of
+//! its service are usable than failing. The service is then *frozen*: failing
+//! upstreams stay listed and keep their shares, those with an expired lease for
+//! at most [`Settings::lapsed_retention`], and only the shares of leaving
+//! upstreams are lowered.
 //!
 //! # Example
 //!
@@ -36,8 +37,8 @@
 //! let start = Instant::now();
 //! let mut registry = Registry::new(Settings::default(), start, Term(3));
 //! registry.set_service(ServiceId(0), &"badges".parse()?, &BTreeMap::new());
-//! let heard = start + Duration::from_secs(1);
-//! registry.announce(heard, &"host-1".parse()?, &Announcement {
+//! let announced_at = start + Duration::from_secs(1);
+//! registry.announce(announced_at, &"host-1".parse()?, &Announcement {
 //!     id: UpstreamId(7),
 //!     service: "badges".parse()?,
 //!     data_centre: "dar-1".parse()?,
@@ -49,7 +50,7 @@
 //!     ready_for: Duration::ZERO,
 //! });
 //! // A new leader publishes nothing for one lease.
-//! assert_eq!(registry.tick(heard), None);
+//! assert_eq!(registry.tick(announced_at), None);
 //! let settled = registry.first_publish_at();
 //! assert!(registry.tick(settled).is_some());
 //! assert_eq!(registry.version(), Some((Term(3), 1)));
--- a/crates/member/src/process/balancers.rs
+++ b/crates/member/src/process/balancers.rs
@@ -8,53 +8,54 @@
 #[derive(Debug, Default)]
 pub(crate) struct Balancers {
     leases: BTreeMap<HostName, Instant>,
-    /// Those with a lease at the last change; one for each of `leases`.
-    listed: BTreeMap<HostName, Balancer>,
-    /// No lease ends before this.
-    check_at: Option<Instant>,
-    /// Whether `listed` changed since it was last published.
+    /// Registered balancers; one for each entry of `leases`.
+    registered: BTreeMap<HostName, Balancer>,
+    /// No lease expires before this instant.
+    earliest_expiry: Option<Instant>,
+    /// Whether `registered` changed since it was last published.
     changed: bool,
 }
 
 impl Balancers {
-    /// Takes an announcement that holds until `lease_until`.
+    /// Applies an announcement and renews the lease until `lease_until`.
     pub(crate) fn announce(&mut self, host: &HostName, balancer: Balancer, lease_until: Instant) {
         self.leases.insert(host.clone(), lease_until);
-        self.changed |= self.listed.insert(host.clone(), balancer) != Some(balancer);
-        self.check_at.get_or_insert(lease_until);
+        self.changed |= self.registered.insert(host.clone(), balancer) != Some(balancer);
+        self.earliest_expiry.get_or_insert(lease_until);
     }
 
-    /// Ends the leases that are over at `now`.
+    /// Removes the balancers whose lease has expired at `now`.
     pub(crate) fn expire(&mut self, now: Instant) {
-        if self.check_at.is_none_or(|at| at > now) {
+        if self.earliest_expiry.is_none_or(|at| at > now) {
             return;
         }
         let before = self.leases.len();
         self.leases.retain(|_, until| *until > now);
         if self.leases.len() < before {
-            self.listed.retain(|host, _| self.leases.contains_key(host));
+            self.registered
+                .retain(|host, _| self.leases.contains_key(host));
             self.changed = true;
         }
-        self.check_at = self.leases.values().min().copied();
+        self.earliest_expiry = self.leases.values().min().copied();
     }
 
-    /// Whether the list changed since the last call.
+    /// Returns whether the list changed since the last call, and resets it.
     pub(crate) fn take_changed(&mut self) -> bool {
         std::mem::take(&mut self.changed)
     }
 
-    /// Whether the list changed since it was last published.
+    /// Returns true if the list changed since it was last published.
     pub(crate) fn is_changed(&self) -> bool {
         self.changed
     }
 
-    /// When the next lease may end.
+    /// Earliest instant at which a lease may expire.
     pub(crate) fn due(&self) -> Option<Instant> {
-        self.check_at
+        self.earliest_expiry
     }
 
-    /// The balancers with a lease.
-    pub(crate) fn listed(&self) -> &BTreeMap<HostName, Balancer> {
-        &self.listed
+    /// Returns the balancers with a valid lease.
+    pub(crate) fn registered(&self) -> &BTreeMap<HostName, Balancer> {
+        &self.registered
     }
 }
--- a/crates/member/src/process/mod.rs
+++ b/crates/member/src/process/mod.rs
@@ -1,8 +1,8 @@
-//! What lives as long as a leadership or a process that announces itself.
+//! State with the lifetime of a leadership or of an announced process.
 
 mod balancers;
-mod group;
 mod registry;
+mod service_record;
 mod settings;
 mod upstream;
 
--- a/crates/member/src/process/registry.rs
+++ b/crates/member/src/process/registry.rs
@@ -1,4 +1,4 @@
-//! The membership as the control leader keeps it.
+//! Registry of the members, as kept by the control leader.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -11,147 +11,166 @@
     Target, Term, UpstreamId,
 };
 
-use super::{Settings, balancers::Balancers, group::Group, upstream::Upstream};
+use super::{Settings, balancers::Balancers, service_record::ServiceRecord, upstream::Upstream};
 use crate::version::{Publication, ServiceStatus};
 
 /// Members of a service that is not configured.
 static NO_MEMBERS: BTreeMap<UpstreamId, Member> = BTreeMap::new();
 
-/// Upstreams, balancers and their leases, from the start of a leadership.
+/// Upstreams, balancers and their leases during one leadership.
 ///
-/// An announcement costs a few look-ups and moves no timer: each upstream has
-/// one wake, which may come too early. A tick costs what is due and, for each
-/// service that may have changed, its number of upstreams.
+/// An announcement costs a few look-ups and reschedules no timer: each upstream
+/// has one scheduled check, which may come too early. The cost of a tick is
+/// proportional to the number of due checks plus, for each service that may
+/// have changed, its number of upstreams.
 #[derive(Debug)]
 pub struct Registry {
     settings: Settings,
-    epoch: Term,
+    term: Term,
     first_publish_at: Instant,
-    /// Number of the last published version; 0 before the first.
+    /// Sequence number of the last published version; 0 before the first.
     seq: u64,
     /// Latest instant of any call.
-    latest: Instant,
+    latest_call: Instant,
     upstreams: BTreeMap<UpstreamId, Upstream>,
-    groups: BTreeMap<ServiceName, Group>,
+    records: BTreeMap<ServiceName, ServiceRecord>,
     /// Name of each configured service.
-    names: BTreeMap<ServiceId, ServiceName>,
+    service_names: BTreeMap<ServiceId, ServiceName>,
     /// Upstreams of each host.
     by_host: BTreeMap<HostName, BTreeSet<UpstreamId>>,
-    /// The upstream that last announced each data address.
-    by_data: BTreeMap<SocketAddr, UpstreamId>,
-    /// Upstreams whose data address another one took over, until no late
-    /// announcement of theirs can come any more.
-    displaced: BTreeMap<UpstreamId, Instant>,
-    drains: BTreeSet<HostName>,
+    /// Upstream that last announced each data address.
+    by_data_address: BTreeMap<SocketAddr, UpstreamId>,
+    /// Upstreams whose data address another one took over, each with the instant
+    /// until which its delayed announcements are ignored.
+    displaced_upstreams: BTreeMap<UpstreamId, Instant>,
+    drained_hosts: BTreeSet<HostName>,
     balancers: Balancers,
     balancers_seq: u64,
-    /// One entry for each upstream: its `wake`.
-    wakes: BTreeSet<(Instant, UpstreamId)>,
+    /// One entry for each upstream: its `next_check`.
+    scheduled_checks: BTreeSet<(Instant, UpstreamId)>,
     /// Services whose members may have changed since the last publication.
-    dirty: BTreeSet<ServiceName>,
+    dirty_services: BTreeSet<ServiceName>,
     /// Configured services by the version in which their members changed.
-    by_seq: BTreeSet<(u64, ServiceId)>,
+    services_by_seq: BTreeSet<(u64, ServiceId)>,
 }
 
 impl Registry {
-    /// An empty registry at the start of the leadership of `epoch`.
+    /// Creates an empty registry at the start of the leadership of `term`.
     #[must_use]
-    pub fn new(settings: Settings, now: Instant, epoch: Term) -> Self {
+    pub fn new(settings: Settings, now: Instant, term: Term) -> Self {
         Registry {
             first_publish_at: now + settings.lease,
             settings,
-            epoch,
+            term,
             seq: 0,
-            latest: now,
+            latest_call: now,
             upstreams: BTreeMap::new(),
-            groups: BTreeMap::new(),
-            names: BTreeMap::new(),
+            records: BTreeMap::new(),
+            service_names: BTreeMap::new(),
             by_host: BTreeMap::new(),
-            by_data: BTreeMap::new(),
-            displaced: BTreeMap::new(),
-            drains: BTreeSet::new(),
+            by_data_address: BTreeMap::new(),
+            displaced_upstreams: BTreeMap::new(),
+            drained_hosts: BTreeSet::new(),
             balancers: Balancers::default(),
             balancers_seq: 0,
-            wakes: BTreeSet::new(),
-            dirty: BTreeSet::new(),
-            by_seq: BTreeSet::new(),
+            scheduled_checks: BTreeSet::new(),
+            dirty_services: BTreeSet::new(),
+            services_by_seq: BTreeSet::new(),
         }
     }
 
-    /// Until when nothing is published: one lease from the start.
+    /// Instant before which nothing is published: one lease after the start.
     #[must_use]
     pub fn first_publish_at(&self) -> Instant {
         self.first_publish_at
     }
 
-    /// Takes an announcement of the agent on `host`.
+    /// Applies an announcement of the agent on `host`.
     ///
-    /// An upstream that announced the same data address before is gone at
-    /// once: it cannot be there any more. A former run of the host's agent at
-    /// another address stays until its lease ends.
-    pub fn announce(&mut self, now: Instant, host: &HostName, ann: &Announcement) {
-        self.latest = self.latest.max(now);
+    /// An upstream that announced the same data address before is removed at
+    /// once, because it no longer has the address. A former incarnation of the
+    /// host's agent at another address remains until its lease expires.
+    pub fn announce(&mut self, now: Instant, host: &HostName, announcement: &Announcement) {
+        self.latest_call = self.latest_call.max(now);
         if self
-            .displaced
-            .get(&ann.id)
+            .displaced_upstreams
+            .get(&announcement.id)
             .is_some_and(|until| *until > now)
         {
             return;
         }
-        self.take_address(now, ann);
-        let group = self.groups.get(&ann.service);
-        let member = group.and_then(|g| g.members.get(&ann.id));
+        self.take_over_data_address(now, announcement);
+        let record = self.records.get(&announcement.service);
+        let member = record.and_then(|r| r.members.get(&announcement.id));
         let has_share = member.is_some_and(|m| m.share > Share(0));
-        let changed = match self.upstreams.get_mut(&ann.id) {
-            Some(u) if u.ann.service == ann.service => {
+        let changed = match self.upstreams.get_mut(&announcement.id) {
+            Some(u) if u.announcement.service == announcement.service => {
                 if u.host != *host {
-                    move_host(&mut self.by_host, u, host, ann.id);
-                    u.drained = self.drains.contains(host);
+                    move_to_host(&mut self.by_host, u, host, announcement.id);
+                    u.drained = self.drained_hosts.contains(host);
                 }
-                u.renew(now, host, ann, has_share, &self.settings)
+                u.renew(now, host, announcement, has_share, &self.settings)
             }
             _ => {
-                self.remove_upstream(ann.id);
-                self.add_upstream(now, host, ann);
+                self.remove_upstream(announcement.id);
+                self.add_upstream(now, host, announcement);
                 true
             }
         };
-        self.weigh(now, ann);
+        self.apply_loads(now, announcement);
         if changed {
-            self.dirty.insert(ann.service.clone());
+            self.dirty_services.insert(announcement.service.clone());
         }
     }
 
-    /// Makes `ann.id` the upstream at its data address.
-    fn take_address(&mut self, now: Instant, ann: &Announcement) {
-        if let Some(known) = self.upstreams.get(&ann.id) {
-            if known.ann.data == ann.data {
+    /// Assigns the data address of `announcement` to its upstream, and removes
+    /// the upstream that had it.
+    fn take_over_data_address(&mut self, now: Instant, announcement: &Announcement) {
+        if let Some(known) = self.upstreams.get(&announcement.id) {
+            if known.announcement.data == announcement.data {
                 return;
             }
-            self.by_data.remove(&known.ann.data);
+            self.by_data_address.remove(&known.announcement.data);
         }
-        if let Some(former) = self.by_data.insert(ann.data, ann.id) {
+        if let Some(former) = self
+            .by_data_address
+            .insert(announcement.data, announcement.id)
+        {
             self.remove_upstream(former);
-            self.displaced.insert(former, now + self.settings.lease);
+            self.displaced_upstreams
+                .insert(former, now + self.settings.lease);
         }
     }
 
-    fn add_upstream(&mut self, now: Instant, host: &HostName, ann: &Announcement) {
-        let mut upstream = Upstream::new(now, host, ann, &self.settings);
-        upstream.drained = self.drains.contains(host);
-        self.by_host.entry(host.clone()).or_default().insert(ann.id);
-        self.by_data.insert(ann.data, ann.id);
-        let group = self.groups.entry(ann.service.clone()).or_default();
-        group.upstreams.insert(ann.id);
-        self.upstreams.insert(ann.id, upstream);
+    fn add_upstream(&mut self, now: Instant, host: &HostName, announcement: &Announcement) {
+        let mut upstream = Upstream::new(now, host, announcement, &self.settings);
+        upstream.drained = self.drained_hosts.contains(host);
+        self.by_host
+            .entry(host.clone())
+            .or_default()
+            .insert(announcement.id);
+        self.by_data_address
+            .insert(announcement.data, announcement.id);
+        let record = self
+            .records
+            .entry(announcement.service.clone())
+            .or_default();
+        record.upstreams.insert(announcement.id);
+        self.upstreams.insert(announcement.id, upstream);
     }
 
-    /// Weighs the loads that `ann` reports.
-    fn weigh(&mut self, now: Instant, ann: &Announcement) {
-        let group = self.groups.get(&ann.service);
-        if let (Some(group), Some(u)) = (group, self.upstreams.get_mut(&ann.id)) {
-            u.weigh(now, &group.carry, &self.settings);
-            schedule(&mut self.wakes, ann.id, u, now, &self.settings);
+    /// Updates the load level of an upstream from the loads in `announcement`.
+    fn apply_loads(&mut self, now: Instant, announcement: &Announcement) {
+        let record = self.records.get(&announcement.service);
+        if let (Some(record), Some(u)) = (record, self.upstreams.get_mut(&announcement.id)) {
+            u.apply_loads(now, &record.carry, &self.settings);
+            schedule_check(
+                &mut self.scheduled_checks,
+                announcement.id,
+                u,
+                now,
+                &self.settings,
+            );
         }
     }
 
@@ -159,73 +178,73 @@
         let Some(upstream) = self.upstreams.remove(&id) else {
             return;
         };
-        if let Some(wake) = upstream.wake {
-            self.wakes.remove(&(wake, id));
+        if let Some(next_check) = upstream.next_check {
+            self.scheduled_checks.remove(&(next_check, id));
         }
-        if self.by_data.get(&upstream.ann.data) == Some(&id) {
-            self.by_data.remove(&upstream.ann.data);
+        if self.by_data_address.get(&upstream.announcement.data) == Some(&id) {
+            self.by_data_address.remove(&upstream.announcement.data);
         }
-        leave_host(&mut self.by_host, &upstream.host, id);
-        if let Some(group) = self.groups.get_mut(&upstream.ann.service) {
-            group.upstreams.remove(&id);
-            self.dirty.insert(upstream.ann.service);
+        remove_from_host(&mut self.by_host, &upstream.host, id);
+        if let Some(record) = self.records.get_mut(&upstream.announcement.service) {
+            record.upstreams.remove(&id);
+            self.dirty_services.insert(upstream.announcement.service);
         }
     }
 
-    /// Takes an announcement of the balancer on `host`.
+    /// Applies an announcement of the balancer on `host`.
     pub fn announce_balancer(&mut self, now: Instant, host: &HostName, balancer: Balancer) {
-        self.latest = self.latest.max(now);
+        self.latest_call = self.latest_call.max(now);
         let lease_until = now + self.settings.lease;
         self.balancers.announce(host, balancer, lease_until);
     }
 
-    /// Takes a service that was created or changed.
+    /// Applies the creation or change of a service.
     pub fn set_service(
         &mut self,
         id: ServiceId,
         name: &ServiceName,
         targets: &BTreeMap<ClassName, Target>,
     ) {
-        let former = self.groups.get(name).and_then(|g| g.id);
+        let former = self.records.get(name).and_then(|r| r.id);
         if let Some(former) = former.filter(|former| *former != id) {
             self.remove_service(former);
         }
-        let group = self.groups.entry(name.clone()).or_default();
+        let record = self.records.entry(name.clone()).or_default();
         let carry = targets.iter().map(|(class, t)| (class.clone(), t.carry));
-        group.carry = carry.collect();
-        if group.id.replace(id).is_none() {
-            self.names.insert(id, name.clone());
-            self.dirty.insert(name.clone());
+        record.carry = carry.collect();
+        if record.id.replace(id).is_none() {
+            self.service_names.insert(id, name.clone());
+            self.dirty_services.insert(name.clone());
         }
     }
 
-    /// Takes the removal of a service.
+    /// Applies the removal of a service.
     pub fn remove_service(&mut self, id: ServiceId) {
-        let Some(name) = self.names.remove(&id) else {
+        let Some(name) = self.service_names.remove(&id) else {
             return;
         };
-        let Some(group) = self.groups.get_mut(&name) else {
+        let Some(record) = self.records.get_mut(&name) else {
             return;
         };
-        self.by_seq.remove(&(group.seq, id));
-        *group = Group {
-            upstreams: std::mem::take(&mut group.upstreams),
-            ..Group::default()
+        self.services_by_seq.remove(&(record.seq, id));
+        *record = ServiceRecord {
+            upstreams: std::mem::take(&mut record.upstreams),
+            ..ServiceRecord::default()
         };
-        for upstream in &group.upstreams {
+        for upstream in &record.upstreams {
             if let Some(u) = self.upstreams.get_mut(upstream) {
-                u.unlist();
+                u.mark_unlisted();
             }
         }
-        self.dirty.insert(name);
+        self.dirty_services.insert(name);
     }
 
-    /// Takes an operator's drain mark, or its end.
+    /// Sets or clears an operator's drain mark on a host.
     pub fn set_drain(&mut self, host: &HostName, drain: bool) {
         let changed = if drain {
-            self.drains.insert(host.clone())
+            self.drained_hosts.insert(host.clone())
         } else {
-            self.drains.remove(host)
+            self.drained_hosts.remove(host)
         };
         if !changed {
             return;
@@ -233,30 +252,30 @@
         for id in self.by_host.get(host).into_iter().flatten() {
             if let Some(u) = self.upstreams.get_mut(id) {
                 u.drained = drain;
-                self.dirty.insert(u.ann.service.clone());
+                self.dirty_services.insert(u.announcement.service.clone());
             }
         }
     }
 
-    /// Ends leases, moves ramps on and publishes what changed since the last
-    /// publication as one version; `None` if nothing did.
+    /// Expires leases, advances ramps and publishes all changes since the last
+    /// publication as one version. Returns `None` if nothing changed.
     ///
-    /// Announcements that wait to be taken should be taken first.
+    /// Pending announcements should be applied first.
     pub fn tick(&mut self, now: Instant) -> Option<Publication> {
-        self.latest = self.latest.max(now);
+        self.latest_call = self.latest_call.max(now);
         if now < self.first_publish_at {
             return None;
         }
         let is_first = self.seq == 0;
-        self.displaced.retain(|_, until| *until > now);
+        self.displaced_upstreams.retain(|_, until| *until > now);
         self.balancers.expire(now);
-        self.wake(now);
+        self.check_due_upstreams(now);
         if is_first {
-            self.dirty.extend(self.groups.keys().cloned());
+            self.dirty_services.extend(self.records.keys().cloned());
         }
-        let mut services = self.relist(now, is_first);
+        let mut services = self.rebuild_dirty_services(now, is_first);
         if is_first {
-            services.extend(self.names.keys());
+            services.extend(self.service_names.keys());
         }
         let balancers = self.balancers.take_changed();
         if services.is_empty() && !balancers && !is_first {
@@ -265,70 +284,76 @@
         Some(self.publish(services, balancers))
     }
 
-    /// Finds the upstreams for which something is due.
-    fn wake(&mut self, now: Instant) {
-        while let Some((at, id)) = self.wakes.first().copied().filter(|(at, _)| *at <= now) {
-            self.wakes.remove(&(at, id));
+    /// Marks the services of upstreams with a due change as dirty.
+    fn check_due_upstreams(&mut self, now: Instant) {
+        while let Some((at, id)) = self
+            .scheduled_checks
+            .first()
+            .copied()
+            .filter(|(at, _)| *at <= now)
+        {
+            self.scheduled_checks.remove(&(at, id));
             let Some(u) = self.upstreams.get_mut(&id) else {
                 continue;
             };
-            u.wake = None;
-            if u.due(now, &self.settings) <= now || u.is_lapsed(now) {
-                self.dirty.insert(u.ann.service.clone());
+            u.next_check = None;
+            if u.due(now, &self.settings) <= now || u.is_lease_expired(now) {
+                self.dirty_services.insert(u.announcement.service.clone());
             } else {
-                schedule(&mut self.wakes, id, u, now, &self.settings);
+                schedule_check(&mut self.scheduled_checks, id, u, now, &self.settings);
             }
         }
     }
 
-    /// Makes new lists of the services that may have changed, and returns
-    /// those that did.
-    fn relist(&mut self, now: Instant, is_first: bool) -> BTreeSet<ServiceId> {
-        let dirty = std::mem::take(&mut self.dirty);
+    /// Rebuilds the members of the services that may have changed. Returns those
+    /// that did change.
+    fn rebuild_dirty_services(&mut self, now: Instant, is_first: bool) -> BTreeSet<ServiceId> {
+        let dirty = std::mem::take(&mut self.dirty_services);
         let changed = dirty
             .iter()
-            .filter_map(|name| self.relist_service(now, is_first, name))
+            .filter_map(|name| self.rebuild_service(now, is_first, name))
             .collect();
-        // Dropping upstreams marked their services, which are done by now.
-        self.dirty.clear();
+        // Removing upstreams marked their services as dirty, but these are
+        // already rebuilt.
+        self.dirty_services.clear();
         changed
     }
 
-    /// Makes the new list of a service; its id if the list changed.
-    fn relist_service(
+    /// Rebuilds the members of a service. Returns its id if they changed.
+    fn rebuild_service(
         &mut self,
         now: Instant,
         is_first: bool,
         name: &ServiceName,
     ) -> Option<ServiceId> {
-        self.drop_gone(now, name);
-        let group = self.groups.get_mut(name)?;
-        for id in &group.upstreams {
+        self.remove_expired_upstreams(now, name);
+        let record = self.records.get_mut(name)?;
+        for id in &record.upstreams {
             let Some(u) = self.upstreams.get_mut(id) else {
                 continue;
             };
-            if group.id.is_some() {
-                u.list(now, is_first, &self.settings);
+            if record.id.is_some() {
+                u.mark_listed(now, is_first, &self.settings);
             }
             u.advance(now, &self.settings);
-            schedule(&mut self.wakes, *id, u, now, &self.settings);
+            schedule_check(&mut self.scheduled_checks, *id, u, now, &self.settings);
         }
-        if group.id.is_none() && group.upstreams.is_empty() {
-            self.groups.remove(name);
+        if record.id.is_none() && record.upstreams.is_empty() {
+            self.records.remove(name);
             return None;
         }
-        let id = group.id?;
-        group
-            .relist(now, &self.upstreams, &self.settings)
+        let id = record.id?;
+        record
+            .rebuild_members(now, &self.upstreams, &self.settings)
             .then_some(id)
     }
 
-    /// Removes the upstreams of a service that are no longer to be listed.
-    fn drop_gone(&mut self, now: Instant, name: &ServiceName) {
-        let Some(group) = self.groups.get(name) else {
+    /// Removes the upstreams of a service that must no longer be listed.
+    fn remove_expired_upstreams(&mut self, now: Instant, name: &ServiceName) {
+        let Some(record) = self.records.get(name) else {
             return;
         };
-        for id in group.gone(now, &self.upstreams, &self.settings) {
+        for id in record.upstreams_to_remove(now, &self.upstreams, &self.settings) {
             self.remove_upstream(id);
         }
     }
@@ -336,11 +361,14 @@
     fn publish(&mut self, services: BTreeSet<ServiceId>, balancers: bool) -> Publication {
         self.seq += 1;
         for id in &services {
-            let group = self.names.get(id).and_then(|n| self.groups.get_mut(n));
-            if let Some(group) = group {
-                self.by_seq.remove(&(group.seq, *id));
-                self.by_seq.insert((self.seq, *id));
-                group.seq = self.seq;
+            let record = self
+                .service_names
+                .get(id)
+                .and_then(|n| self.records.get_mut(n));
+            if let Some(record) = record {
+                self.services_by_seq.remove(&(record.seq, *id));
+                self.services_by_seq.insert((self.seq, *id));
+                record.seq = self.seq;
             }
         }
         if balancers {
@@ -353,57 +381,62 @@
         }
     }
 
-    /// When [`tick`](Registry::tick) may next have something to do; `None`
-    /// while nobody has a lease. A tick then may still find nothing.
+    /// Next instant at which [`tick`](Registry::tick) may have work to do; `None`
+    /// while there is no lease. The tick may still find no change.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Instant> {
         if self.seq == 0 {
             return Some(self.first_publish_at);
         }
-        if !self.dirty.is_empty() || self.balancers.is_changed() {
-            return Some(self.latest);
+        if !self.dirty_services.is_empty() || self.balancers.is_changed() {
+            return Some(self.latest_call);
         }
-        let wake = self.wakes.first().map(|(at, _)| *at);
-        wake.into_iter().chain(self.balancers.due()).min()
+        let next_check = self.scheduled_checks.first().map(|(at, _)| *at);
+        next_check.into_iter().chain(self.balancers.due()).min()
     }
 
-    /// The last published version; `None` before the first.
+    /// Returns the last published version; `None` before the first.
     #[must_use]
     pub fn version(&self) -> Option<(Term, u64)> {
-        (self.seq > 0).then_some((self.epoch, self.seq))
+        (self.seq > 0).then_some((self.term, self.seq))
     }
 
-    /// Services whose members changed after `have`; `None` if `have` is of
-    /// another term, whose reader needs the members of every service.
+    /// Returns the services whose members changed after version `have`; `None` if
+    /// `have` is from another term, so that the reader needs every service.
     #[must_use]
     pub fn changed_since(&self, have: (Term, u64)) -> Option<BTreeSet<ServiceId>> {
-        if have.0 != self.epoch {
+        if have.0 != self.term {
             return None;
         }
         let after = (have.1 + 1, ServiceId(0))..;
-        Some(self.by_seq.range(after).map(|(_, id)| *id).collect())
+        Some(
+            self.services_by_seq
+                .range(after)
+                .map(|(_, id)| *id)
+                .collect(),
+        )
     }
 
-    fn group(&self, service: ServiceId) -> Option<&Group> {
-        self.groups.get(self.names.get(&service)?)
+    fn record(&self, service: ServiceId) -> Option<&ServiceRecord> {
+        self.records.get(self.service_names.get(&service)?)
     }
 
     /// Members of a service in the last published version.
     #[must_use]
     pub fn members(&self, service: ServiceId) -> &BTreeMap<UpstreamId, Member> {
-        self.group(service).map_or(&NO_MEMBERS, |g| &g.members)
+        self.record(service).map_or(&NO_MEMBERS, |r| &r.members)
     }
 
     /// Version in which the members of a service last changed.
     #[must_use]
     pub fn members_version(&self, service: ServiceId) -> (Term, u64) {
-        (self.epoch, self.group(service).map_or(0, |g| g.seq))
+        (self.term, self.record(service).map_or(0, |r| r.seq))
     }
 
-    /// Balancers with a lease.
+    /// Balancers with a valid lease.
     #[must_use]
     pub fn balancers(&self) -> &BTreeMap<HostName, Balancer> {
-        self.balancers.listed()
+        self.balancers.registered()
     }
 
     /// Version number in which the list of balancers last changed.
@@ -412,43 +445,46 @@
         self.balancers_seq
     }
 
-    /// Latest loads of the upstreams of a service. They change all the time
-    /// and cost no version.
+    /// Latest loads of the upstreams of a service. Load changes do not create
+    /// versions.
     pub fn loads(&self, service: ServiceId) -> impl Iterator<Item = (UpstreamId, &Loads)> {
-        let ids = self.group(service).into_iter().flat_map(|g| &g.upstreams);
-        ids.filter_map(|id| Some((*id, &self.upstreams.get(id)?.ann.loads)))
+        let ids = self.record(service).into_iter().flat_map(|r| &r.upstreams);
+        ids.filter_map(|id| Some((*id, &self.upstreams.get(id)?.announcement.loads)))
     }
 
-    /// Present load and health of a service.
+    /// Returns the current load and health of a service.
     #[must_use]
     pub fn status(&self, service: ServiceId) -> ServiceStatus {
-        self.group(service)
-            .map(|g| g.status(self.latest, &self.upstreams))
+        self.record(service)
+            .map(|r| r.status(self.latest_call, &self.upstreams))
             .unwrap_or_default()
     }
 }
 
-/// Looks at an upstream again when something is due for it.
-fn schedule(
-    wakes: &mut BTreeSet<(Instant, UpstreamId)>,
+/// Schedules the next check of an upstream for its next due change.
+fn schedule_check(
+    scheduled_checks: &mut BTreeSet<(Instant, UpstreamId)>,
     id: UpstreamId,
     upstream: &mut Upstream,
     now: Instant,
     settings: &Settings,
 ) {
     let due = upstream.due(now, settings);
-    // A wake that comes too early finds nothing and is set again, so a
-    // renewed lease does not have to move it.
-    if upstream.wake.is_some_and(|wake| wake <= due) {
+    // A check that comes too early finds nothing due and is scheduled again,
+    // so the renewal of a lease need not reschedule it.
+    if upstream
+        .next_check
+        .is_some_and(|next_check| next_check <= due)
+    {
         return;
     }
-    if let Some(wake) = upstream.wake.replace(due) {
-        wakes.remove(&(wake, id));
+    if let Some(next_check) = upstream.next_check.replace(due) {
+        scheduled_checks.remove(&(next_check, id));
     }
-    wakes.insert((due, id));
+    scheduled_checks.insert((due, id));
 }
 
-fn leave_host(
+fn remove_from_host(
     by_host: &mut BTreeMap<HostName, BTreeSet<UpstreamId>>,
     host: &HostName,
     id: UpstreamId,
@@ -461,12 +497,12 @@
     }
 }
 
-fn move_host(
+fn move_to_host(
     by_host: &mut BTreeMap<HostName, BTreeSet<UpstreamId>>,
     upstream: &Upstream,
     host: &HostName,
     id: UpstreamId,
 ) {
-    leave_host(by_host, &upstream.host, id);
+    remove_from_host(by_host, &upstream.host, id);
     by_host.entry(host.clone()).or_default().insert(id);
 }
--- a/crates/member/src/process/group.rs
+++ b/crates/member/src/process/service_record.rs
@@ -1,4 +1,4 @@
-//! The upstreams of one service.
+//! Upstreams and members of one service.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -8,47 +8,49 @@
 use types::{ClassName, Member, ServiceId, Share, Slots, UpstreamId};
 
 use super::{Settings, upstream::Upstream};
-use crate::version::{ClassStatus, ServiceStatus, Standing, is_frozen};
+use crate::version::{Availability, ClassStatus, ServiceStatus, is_frozen};
 
-/// The upstreams that announced a service's name.
+/// Upstreams that announced the name of a service, and its published members.
 #[derive(Debug, Default)]
-pub(crate) struct Group {
-    /// `None` while no service of the name is configured.
+pub(crate) struct ServiceRecord {
+    /// Id of the service; `None` while no service of the name is configured.
     pub(crate) id: Option<ServiceId>,
-    /// Target of each class of work.
+    /// Target slots of each class of work.
     pub(crate) carry: BTreeMap<ClassName, Slots>,
-    /// Those with a lease and those kept by the rule of [`is_frozen`].
+    /// Upstreams with a lease, and those retained by the rule of [`is_frozen`].
     pub(crate) upstreams: BTreeSet<UpstreamId>,
     /// Members in the last published version.
     pub(crate) members: BTreeMap<UpstreamId, Member>,
-    /// Number of that version.
+    /// Sequence number of the version in which `members` last changed.
     pub(crate) seq: u64,
 }
 
-impl Group {
-    /// Upstreams that are no longer to be listed at `now`.
-    pub(crate) fn gone(
+impl ServiceRecord {
+    /// Returns the upstreams that must no longer be listed at `now`.
+    pub(crate) fn upstreams_to_remove(
         &self,
         now: Instant,
         all: &BTreeMap<UpstreamId, Upstream>,
         settings: &Settings,
     ) -> Vec<UpstreamId> {
-        let frozen = self.id.is_some() && is_frozen(self.standings(now, all, settings));
+        let frozen = self.id.is_some() && is_frozen(self.availabilities(now, all, settings));
         self.each(all)
-            .filter(|(_, u)| u.is_lapsed(now) && (!frozen || u.is_gone(now, settings)))
+            .filter(|(_, u)| {
+                u.is_lease_expired(now) && (!frozen || u.must_be_removed(now, settings))
+            })
             .map(|(id, _)| id)
             .collect()
     }
 
-    fn standings<'a>(
+    fn availabilities<'a>(
         &'a self,
         now: Instant,
         all: &'a BTreeMap<UpstreamId, Upstream>,
         settings: &'a Settings,
-    ) -> impl Iterator<Item = Standing> + 'a {
+    ) -> impl Iterator<Item = Availability> + 'a {
         self.each(all)
-            .filter(move |(_, u)| !u.is_gone(now, settings))
-            .map(move |(_, u)| u.standing(now))
+            .filter(move |(_, u)| !u.must_be_removed(now, settings))
+            .map(move |(_, u)| u.availability(now))
     }
 
     fn each<'a>(
@@ -60,20 +62,20 @@
             .filter_map(|id| Some((*id, all.get(id)?)))
     }
 
-    /// Makes the members of the next version; returns whether they differ
-    /// from the last one.
-    pub(crate) fn relist(
+    /// Computes the members of the next version. Returns true if they differ from
+    /// those of the last one.
+    pub(crate) fn rebuild_members(
         &mut self,
         now: Instant,
         all: &BTreeMap<UpstreamId, Upstream>,
         settings: &Settings,
     ) -> bool {
-        let frozen = is_frozen(self.standings(now, all, settings));
+        let frozen = is_frozen(self.availabilities(now, all, settings));
         let mut members: BTreeMap<_, _> = self
             .each(all)
             .map(|(id, u)| {
                 let present = self.members.get(&id).map(|m| m.share);
-                (id, u.member(u.standing(now).share(present, frozen)))
+                (id, u.member(u.availability(now).share(present, frozen)))
             })
             .collect();
         set_former_shares(&mut members, &self.members);
@@ -82,7 +84,7 @@
         changed
     }
 
-    /// Present load and health.
+    /// Returns the current load and health.
     pub(crate) fn status(
         &self,
         now: Instant,
@@ -90,16 +92,16 @@
     ) -> ServiceStatus {
         let mut status = ServiceStatus::default();
         for (_, u) in self.each(all) {
-            let ready = matches!(u.standing(now), Standing::Usable(_));
-            match u.standing(now) {
-                Standing::Usable(_) => status.ready_upstreams += 1,
-                Standing::Failing => status.down_upstreams += 1,
-                Standing::Leaving => {
+            let ready = matches!(u.availability(now), Availability::Usable(_));
+            match u.availability(now) {
+                Availability::Usable(_) => status.ready_upstreams += 1,
+                Availability::Failing => status.down_upstreams += 1,
+                Availability::Leaving => {
                     status.leaving_upstreams += 1;
-                    status.leaving_connections += u64::from(u.ann.connections.0);
+                    status.leaving_connections += u64::from(u.announcement.connections.0);
                 }
             }
-            if !u.is_lapsed(now) {
+            if !u.is_lease_expired(now) {
                 self.add_loads(&mut status.classes, u, ready);
             }
         }
@@ -112,7 +114,7 @@
         upstream: &Upstream,
         ready: bool,
     ) {
-        for (class, load) in &upstream.ann.loads {
+        for (class, load) in &upstream.announcement.loads {
             let sum = classes.entry(class.clone()).or_default();
             let add = |to: &mut Slots, n: Slots| to.0 = to.0.saturating_add(n.0);
             if ready {
@@ -128,10 +130,10 @@
     }
 }
 
-/// Fills in the shares before the present ones.
+/// Sets the former shares of the members.
 ///
-/// They move only when the shares do: a change of an address must not hide
-/// the former placement from flows that still depend on it.
+/// They change only when a share changes: a changed address must not discard the
+/// former placement, because existing flows still depend on it.
 fn set_former_shares(
     members: &mut BTreeMap<UpstreamId, Member>,
     last: &BTreeMap<UpstreamId, Member>,
@@ -145,8 +147,8 @@
         member.former_share = match before {
             Some(before) if moved => before.share,
             Some(before) => before.former_share,
-            // Listed with a share only by a new leader, whose predecessor gave
-            // it one before.
+            // Only a new leader lists an upstream with a share at once; the former
+            // leader had given it one.
             None => member.share,
         };
     }
--- a/crates/member/src/process/settings.rs
+++ b/crates/member/src/process/settings.rs
@@ -1,25 +1,23 @@
-//! Times and steps of the membership.
+//! Settings of the membership.
 
 use std::time::Duration;
 
 /// Settings of a [`Registry`](crate::Registry).
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Settings {
-    /// Time for which an announcement holds. Also the time that a new leader
-    /// waits before it publishes, so that every live process has announced
-    /// itself by then.
+    /// Lease duration of an announcement. A new leader also waits this long
+    /// before it publishes, so that every live process has announced itself.
     pub lease: Duration,
-    /// Time for which an upstream is listed with share 0 before it gets a
-    /// share, so that every balancer can forward its flows by then.
+    /// Time for which a new upstream is listed with share 0, so that every
+    /// balancer can forward its flows before it gets a share.
     pub propagation_delay: Duration,
-    /// Time from the first share of a cold upstream to its full share.
+    /// Time from the first share of a new upstream to its full share.
     pub ramp_duration: Duration,
-    /// Time for which load reports must ask for another share before they
-    /// get it.
+    /// Time for which load reports must consistently request another share
+    /// before it is applied.
     pub load_hold_time: Duration,
-    /// Time for which upstreams whose lease ended keep their place while
-    /// under half of their service is usable. It bounds how long new flows go
-    /// to hosts that are in fact lost.
+    /// Time for which upstreams with an expired lease stay listed while their
+    /// service is frozen. Bounds how long new flows go to hosts that are lost.
     pub lapsed_retention: Duration,
 }
 
--- a/crates/member/src/process/upstream.rs
+++ b/crates/member/src/process/upstream.rs
@@ -1,4 +1,4 @@
-//! One run of an upstream's agent.
+//! One incarnation of an upstream's agent.
 
 use std::{
     collections::BTreeMap,
@@ -8,128 +8,138 @@
 use types::{Announcement, ClassName, HostName, Member, Share, Slots, UpstreamState};
 
 use super::Settings;
-use crate::version::{LoadLevel, Ramp, Standing, wished_level};
+use crate::version::{Availability, LoadLevel, Ramp, requested_level};
 
 /// An upstream that announced itself.
 #[derive(Debug)]
 pub(crate) struct Upstream {
     pub(crate) host: HostName,
     /// The last announcement.
-    pub(crate) ann: Announcement,
-    /// When the last announcement came.
-    heard: Instant,
-    /// End of the lease.
+    pub(crate) announcement: Announcement,
+    /// Instant at which the last announcement was received.
+    announced_at: Instant,
+    /// Instant at which the lease expires.
     pub(crate) lease_until: Instant,
-    /// Whether an operator wants the host's upstream to leave.
+    /// Whether the host has a drain mark of an operator.
     pub(crate) drained: bool,
     /// `None` until the upstream is listed.
     ramp: Option<Ramp>,
     load: LoadLevel,
-    /// When the registry looks at the upstream again; at most `due`.
-    pub(crate) wake: Option<Instant>,
+    /// Scheduled check of the upstream by the registry; not later than `due`.
+    pub(crate) next_check: Option<Instant>,
 }
 
 impl Upstream {
     pub(crate) fn new(
         now: Instant,
         host: &HostName,
-        ann: &Announcement,
+        announcement: &Announcement,
         settings: &Settings,
     ) -> Self {
         Upstream {
             host: host.clone(),
-            ann: ann.clone(),
-            heard: now,
+            announcement: announcement.clone(),
+            announced_at: now,
             lease_until: now + settings.lease,
             drained: false,
             ramp: None,
             load: LoadLevel::default(),
-            wake: None,
+            next_check: None,
         }
     }
 
-    /// Takes a further announcement. Returns whether the list of members may
-    /// change because of it.
+    /// Applies a further announcement and renews the lease. Returns true if the
+    /// members may change because of it.
     ///
-    /// `has_share` says that the upstream has a share at present, which it
-    /// keeps when it recovers from a failure in a frozen service: taking it
-    /// away would push the work onto the few that did not fail.
+    /// `has_share` tells that the upstream currently has a share. It keeps it
+    /// when it recovers from a failure in a frozen service, because its removal
+    /// would shift the work to the few upstreams that did not fail.
     pub(crate) fn renew(
         &mut self,
         now: Instant,
         host: &HostName,
-        ann: &Announcement,
+        announcement: &Announcement,
         has_share: bool,
         settings: &Settings,
     ) -> bool {
         let listed_as = |a: &Announcement| (a.data_centre.clone(), a.data, a.peer, a.state);
-        let changed =
-            self.is_lapsed(now) || self.host != *host || listed_as(&self.ann) != listed_as(ann);
-        let recovers = (self.ann.state, ann.state) == (UpstreamState::Down, UpstreamState::Ready);
+        let changed = self.is_lease_expired(now)
+            || self.host != *host
+            || listed_as(&self.announcement) != listed_as(announcement);
+        let recovers = (self.announcement.state, announcement.state)
+            == (UpstreamState::Down, UpstreamState::Ready);
         if recovers && !has_share && self.ramp.is_some() {
-            // Cold again. The wait also bounds the versions that an upstream
-            // costs that goes up and down all the time.
-            let known_at = now + settings.propagation_delay;
-            self.ramp = Some(Ramp::start(known_at, Duration::ZERO, settings));
+            // The ramp starts again. The delay also bounds the number of versions
+            // that an upstream causes which repeatedly fails and recovers.
+            let first_share_at = now + settings.propagation_delay;
+            self.ramp = Some(Ramp::start(first_share_at, Duration::ZERO, settings));
         }
         self.host.clone_from(host);
-        self.ann.clone_from(ann);
-        self.heard = now;
+        self.announcement.clone_from(announcement);
+        self.announced_at = now;
         self.lease_until = now + settings.lease;
         changed
     }
 
-    /// Takes the loads of the last announcement.
-    pub(crate) fn weigh(
+    /// Updates the load level from the loads of the last announcement.
+    pub(crate) fn apply_loads(
         &mut self,
         now: Instant,
         carry: &BTreeMap<ClassName, Slots>,
         settings: &Settings,
     ) {
-        let wish = wished_level(&self.ann.loads, carry);
-        self.load.report(now, wish, settings.load_hold_time);
+        let requested = requested_level(&self.announcement.loads, carry);
+        self.load.report(now, requested, settings.load_hold_time);
     }
 
-    /// Whether the lease is over.
-    pub(crate) fn is_lapsed(&self, now: Instant) -> bool {
+    /// Returns true if the lease has expired.
+    pub(crate) fn is_lease_expired(&self, now: Instant) -> bool {
         self.lease_until <= now
     }
 
-    /// Whether the upstream leaves on purpose.
+    /// Returns true if the upstream announced that it leaves or its host has a
+    /// drain mark.
     pub(crate) fn is_leaving(&self) -> bool {
-        self.drained || self.ann.state == UpstreamState::Leaving
+        self.drained || self.announcement.state == UpstreamState::Leaving
     }
 
-    /// Whether the upstream has to go although its service is frozen.
-    pub(crate) fn is_gone(&self, now: Instant, settings: &Settings) -> bool {
-        let held = self.ramp.is_some() && !self.is_leaving();
-        let until = if held {
+    /// Returns true if the upstream must be removed even if its service is
+    /// frozen.
+    pub(crate) fn must_be_removed(&self, now: Instant, settings: &Settings) -> bool {
+        let retained = self.ramp.is_some() && !self.is_leaving();
+        let retention = if retained {
             settings.lapsed_retention
         } else {
             Duration::ZERO
         };
-        self.lease_until + until <= now
+        self.lease_until + retention <= now
     }
 
-    /// Lists the upstream, if it is not yet listed.
+    /// Starts the ramp of the upstream if it is not listed yet.
     ///
-    /// `first_list` says that this is the first publication of a term. Nodes
-    /// then know the upstreams of the former leader already, so one that was
-    /// ready long enough to be known gets its share at once.
-    pub(crate) fn list(&mut self, now: Instant, first_list: bool, settings: &Settings) {
+    /// `is_first_publication` tells that this is the first publication of a term.
+    /// Nodes then still have the membership of the former leader, so an upstream
+    /// that has been ready for `propagation_delay` gets its share at once.
+    pub(crate) fn mark_listed(
+        &mut self,
+        now: Instant,
+        is_first_publication: bool,
+        settings: &Settings,
+    ) {
         if self.ramp.is_some() {
             return;
         }
-        let age = self.ann.ready_for + (now - self.heard);
-        let is_known = first_list && self.ann.ready_for >= settings.propagation_delay;
-        let wait = if is_known {
+        let age = self.announcement.ready_for + (now - self.announced_at);
+        let is_propagated =
+            is_first_publication && self.announcement.ready_for >= settings.propagation_delay;
+        let wait = if is_propagated {
             Duration::ZERO
         } else {
             settings.propagation_delay
         };
         // The age counts only for agents that were ready before: a new one
-        // is cold however long it waited to be listed.
-        let age = if self.ann.ready_for.is_zero() {
+        // starts the whole ramp, however long it waited to be listed.
+        let age = if self.announcement.ready_for.is_zero() {
             Duration::ZERO
         } else {
             age + wait
@@ -137,12 +147,12 @@
         self.ramp = Some(Ramp::start(now + wait, age, settings));
     }
 
-    /// Forgets that the upstream was listed.
-    pub(crate) fn unlist(&mut self) {
+    /// Resets the ramp: the upstream is no longer listed.
+    pub(crate) fn mark_unlisted(&mut self) {
         self.ramp = None;
     }
 
-    /// Moves the ramp and the load level on.
+    /// Advances the ramp and the load level to `now`.
     pub(crate) fn advance(&mut self, now: Instant, settings: &Settings) {
         if let Some(ramp) = &mut self.ramp {
             ramp.advance(now, settings);
@@ -150,38 +160,39 @@
         self.load.advance(now);
     }
 
-    /// What the upstream may be given.
-    pub(crate) fn standing(&self, now: Instant) -> Standing {
+    /// Returns whether and how far the upstream takes new work at `now`.
+    pub(crate) fn availability(&self, now: Instant) -> Availability {
         if self.is_leaving() {
-            return Standing::Leaving;
+            return Availability::Leaving;
         }
-        if self.is_lapsed(now) || self.ann.state == UpstreamState::Down {
-            return Standing::Failing;
+        if self.is_lease_expired(now) || self.announcement.state == UpstreamState::Down {
+            return Availability::Failing;
         }
-        let ramped = self.ramp.as_ref().map_or(0, Ramp::level);
-        Standing::Usable(ramped.min(self.load.level()))
+        let ramp_level = self.ramp.as_ref().map_or(0, Ramp::level);
+        Availability::Usable(ramp_level.min(self.load.level()))
     }
 
-    /// The upstream as a member with this share.
+    /// Returns the upstream as a member with this share.
     pub(crate) fn member(&self, share: Share) -> Member {
-        let state = match self.ann.state {
+        let state = match self.announcement.state {
             UpstreamState::Ready if self.drained => UpstreamState::Leaving,
             state => state,
         };
         Member {
             host: self.host.clone(),
-            data_centre: self.ann.data_centre.clone(),
-            data: self.ann.data,
-            peer: self.ann.peer,
+            data_centre: self.announcement.data_centre.clone(),
+            data: self.announcement.data,
+            peer: self.announcement.peer,
             state,
             share,
             former_share: Share(0),
         }
     }
 
-    /// When the standing or the place in the list may next change by itself.
+    /// Next instant at which the availability or the listing may change without
+    /// an announcement.
     pub(crate) fn due(&self, now: Instant, settings: &Settings) -> Instant {
-        let end = if self.is_lapsed(now) {
+        let end = if self.is_lease_expired(now) {
             self.lease_until + settings.lapsed_retention
         } else {
             self.lease_until
--- a/crates/member/src/version/mod.rs
+++ b/crates/member/src/version/mod.rs
@@ -1,14 +1,14 @@
-//! What changes with a version of the membership.
+//! State that changes with a version of the membership.
 
-mod load;
-mod publish;
+mod availability;
+mod load_level;
+mod publication;
 mod ramp;
-mod standing;
 
-pub(crate) use load::{LoadLevel, wished_level};
-pub use publish::{ClassStatus, Publication, ServiceStatus};
+pub(crate) use availability::{Availability, is_frozen};
+pub(crate) use load_level::{LoadLevel, requested_level};
+pub use publication::{ClassStatus, Publication, ServiceStatus};
 pub(crate) use ramp::Ramp;
-pub(crate) use standing::{Standing, is_frozen};
 
-/// Parts into which a full share is divided by ramps and load levels.
-pub(crate) const PARTS: u8 = 8;
+/// Number of parts into which ramps and load levels divide a full share.
+pub(crate) const SHARE_PARTS: u8 = 8;
--- a/crates/member/src/version/publish.rs
+++ b/crates/member/src/version/publication.rs
@@ -1,4 +1,4 @@
-//! What a publication tells.
+//! Published changes, and the status of a service.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,7 +7,7 @@
 /// A new version of the membership.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Publication {
-    /// Number of the version within the leader's term; starts at 1.
+    /// Sequence number of the version within the leader's term; starts at 1.
     pub seq: u64,
     /// Services whose members changed.
     pub changed_services: BTreeSet<ServiceId>,
@@ -15,29 +15,30 @@
     pub balancers_changed: bool,
 }
 
-/// Present load and health of a service. Not versioned.
+/// Current load and health of a service. Not versioned.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct ServiceStatus {
-    /// Load of each class that the service or its upstreams name.
+    /// Load of each class of work that an upstream reports.
     pub classes: BTreeMap<ClassName, ClassStatus>,
-    /// Upstreams that take new work.
+    /// Number of upstreams that take new work.
     pub ready_upstreams: u32,
-    /// Upstreams that leave by themselves or by an operator's mark.
+    /// Number of upstreams that leave on their own or because of a drain mark.
     pub leaving_upstreams: u32,
-    /// Upstreams that refuse connections.
+    /// Number of upstreams that refuse connections or whose lease expired.
     pub down_upstreams: u32,
-    /// Connections that leaving upstreams still hold.
+    /// Number of connections that leaving upstreams still have.
     pub leaving_connections: u64,
 }
 
-/// Present load of a class of work, summed over the upstreams with a lease.
+/// Current load of a class of work, summed over the upstreams with a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct ClassStatus {
-    /// Requests that the ready upstreams should carry by their targets.
+    /// Concurrent requests that the ready upstreams should carry according to
+    /// their targets.
     pub carry: Slots,
     /// Slots that the ready upstreams offer.
     pub slots: Slots,
-    /// Requests in progress, at leaving upstreams too.
+    /// Requests in progress, including those at leaving upstreams.
     pub in_flight: Slots,
     /// Requests that wait for a slot.
     pub queued: Slots,
--- a/crates/member/tests/common/mod.rs
+++ b/crates/member/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A leader's registry with one service, driven by milliseconds.
+//! A leader's registry with one service, on a simulated clock in milliseconds.
 #![allow(dead_code)]
 
 use std::{
@@ -14,7 +14,7 @@
 
 pub const SERVICE: ServiceId = ServiceId(1);
 
-/// Slots of each upstream by its target.
+/// Target slots of each upstream.
 pub const CARRY: u32 = 8;
 
 pub fn host(n: u64) -> HostName {
@@ -30,8 +30,8 @@
     BTreeMap::from([("default".parse().unwrap(), load)])
 }
 
-/// Announcement of upstream `n`, idle and ready for a minute.
-pub fn ann(n: u64) -> Announcement {
+/// Announcement of upstream `n`, idle and ready since one minute.
+pub fn announcement(n: u64) -> Announcement {
     let port = u16::try_from(n).unwrap();
     Announcement {
         id: UpstreamId(n),
@@ -47,20 +47,27 @@
 }
 
 pub fn in_state(n: u64, state: UpstreamState) -> Announcement {
-    Announcement { state, ..ann(n) }
+    Announcement {
+        state,
+        ..announcement(n)
+    }
 }
 
-/// Announcement of upstream `n` with slots, requests in flight and queued.
-pub fn busy(n: u64, slots: u32, in_flight: u32, queued: u32) -> Announcement {
+/// Announcement of upstream `n` with the given slots and requests in flight and
+/// queued.
+pub fn with_load(n: u64, slots: u32, in_flight: u32, queued: u32) -> Announcement {
     let loads = loads(slots, in_flight, queued);
-    Announcement { loads, ..ann(n) }
+    Announcement {
+        loads,
+        ..announcement(n)
+    }
 }
 
-pub fn cold(n: u64) -> Announcement {
+pub fn newly_ready(n: u64) -> Announcement {
     let ready_for = Duration::ZERO;
     Announcement {
         ready_for,
-        ..ann(n)
+        ..announcement(n)
     }
 }
 
@@ -88,10 +95,10 @@
         }
     }
 
-    /// A leader whose first publication has the upstreams `1..=n`, warm.
-    pub fn with(n: u64) -> Self {
+    /// A leader whose first publication has the upstreams `1..=n` at full share.
+    pub fn with_warm_upstreams(n: u64) -> Self {
         let mut leader = Leader::new();
-        leader.run(3000, &(1..=n).map(ann).collect::<Vec<_>>());
+        leader.run(3000, &(1..=n).map(announcement).collect::<Vec<_>>());
         leader
     }
 
@@ -99,23 +106,24 @@
         self.start + Duration::from_millis(millis)
     }
 
-    pub fn announce(&mut self, ann: &Announcement) {
+    pub fn announce(&mut self, announcement: &Announcement) {
         let now = self.at(self.now);
-        self.registry.announce(now, &host(ann.id.0), ann);
+        self.registry
+            .announce(now, &host(announcement.id.0), announcement);
     }
 
     pub fn tick(&mut self) -> Option<Publication> {
         self.registry.tick(self.at(self.now))
     }
 
-    /// Lets time pass in steps of 500 ms with these announcements at each of
-    /// them; returns the versions that were published.
-    pub fn run(&mut self, millis: u64, anns: &[Announcement]) -> Vec<Publication> {
+    /// Advances the clock in steps of 500 ms, with these announcements at each
+    /// step. Returns the published versions.
+    pub fn run(&mut self, millis: u64, announcements: &[Announcement]) -> Vec<Publication> {
         let mut published = Vec::new();
         for _ in 0..millis / 500 {
             self.now += 500;
-            for ann in anns {
-                self.announce(ann);
+            for announcement in announcements {
+                self.announce(announcement);
             }
             published.extend(self.tick());
         }
--- a/crates/member/tests/properties.rs
+++ b/crates/member/tests/properties.rs
@@ -1,11 +1,11 @@
-//! What holds whatever happens in whatever order.
+//! Invariants that hold for any sequence of events.
 
 mod common;
 
 use std::collections::BTreeMap;
 
 use arbtest::{arbitrary, arbtest};
-use common::{Leader, ann, busy, cold, host};
+use common::{Leader, announcement, host, newly_ready, with_load};
 use types::{Announcement, Member, Share, UpstreamId, UpstreamState::*};
 
 /// Number of random runs; the case number is the seed.
@@ -15,13 +15,13 @@
 const INPUT_BYTES: u64 = 4096;
 
 /// Lease of an announcement in milliseconds.
-const LEASE: u64 = 3000;
+const LEASE_MILLIS: u64 = 3000;
 
-/// Guards against live upstreams that disappear, new work for upstreams that
-/// leave, versions that go back, publications of a leader that has not heard
-/// everybody, and a lone upstream that gets the work of all.
+/// Guards against live upstreams that disappear, new work for leaving upstreams,
+/// versions that decrease, publications before one lease has passed, and a
+/// single remaining upstream that gets the load of all.
 #[test]
-fn memberships_keep_their_promises() {
+fn invariants_hold_after_any_events() {
     for case in 0..CASES {
         arbtest(random_run).seed(case << 32 | INPUT_BYTES);
     }
@@ -29,8 +29,8 @@
 
 fn random_run(u: &mut arbitrary::Unstructured) -> arbitrary::Result<()> {
     let mut leader = Leader::new();
-    // What each upstream last said, and when.
-    let mut heard = BTreeMap::new();
+    // Time and state of the last announcement of each upstream.
+    let mut announced = BTreeMap::new();
     let mut drained = [false; 6];
     for _ in 0..u.int_in_range(1..=150)? {
         let n = u.int_in_range(1..=5)?;
@@ -41,21 +41,26 @@
                 leader.registry.set_drain(&host(n), *mark);
             }
             1..=6 => {
-                let ready_for = if u.arbitrary()? { ann(n) } else { cold(n) }.ready_for;
-                let ann = Announcement {
+                let ready_for = if u.arbitrary()? {
+                    announcement(n)
+                } else {
+                    newly_ready(n)
+                }
+                .ready_for;
+                let announcement = Announcement {
                     state: *u.choose(&[Ready, Ready, Ready, Leaving, Down])?,
                     ready_for,
-                    ..busy(n, 8, u.int_in_range(0..=20)?, u.int_in_range(0..=5)?)
+                    ..with_load(n, 8, u.int_in_range(0..=20)?, u.int_in_range(0..=5)?)
                 };
-                leader.announce(&ann);
-                heard.insert(n, (leader.now, ann.state));
+                leader.announce(&announcement);
+                announced.insert(n, (leader.now, announcement.state));
             }
             _ => {
                 leader.now += u.int_in_range(0..=1500)?;
                 let (version, members) = (leader.registry.version(), leader.members().clone());
                 let published = leader.tick().is_some();
                 assert_eq!(leader.registry.version() > version, published);
-                check(&leader, &heard, drained, &members);
+                check(&leader, &announced, drained, &members);
             }
         }
     }
@@ -64,18 +69,18 @@
 
 fn check(
     leader: &Leader,
-    heard: &BTreeMap<u64, (u64, types::UpstreamState)>,
+    announced: &BTreeMap<u64, (u64, types::UpstreamState)>,
     drained: [bool; 6],
     before: &BTreeMap<UpstreamId, Member>,
 ) {
     let (version, members) = (leader.registry.version(), leader.members());
-    if leader.now < LEASE {
+    if leader.now < LEASE_MILLIS {
         assert_eq!((version, members.len()), (None, 0));
         return;
     }
     let (mut usable, mut failing) = (0, 0);
-    for (n, (at, state)) in heard {
-        let live = at + LEASE > leader.now;
+    for (n, (at, state)) in announced {
+        let live = at + LEASE_MILLIS > leader.now;
         let leaves = *state == Leaving || drained[usize::try_from(*n).unwrap()];
         let listed = members.get(&UpstreamId(*n));
         assert!(listed.is_some() || !live, "{n} has a lease");
