--- a/crates/admit/src/process/admission.rs
+++ b/crates/admit/src/process/admission.rs
@@ -145,8 +145,8 @@
         class: &ClassName,
         report: LoadReport,
     ) -> Vec<DeferredDecision> {
-        if let Some(known) = self.classes.get_mut(class) {
-            known.apply_report(now, report, &self.settings);
+        if let Some(class_state) = self.classes.get_mut(class) {
+            class_state.apply_report(now, report, &self.settings);
         }
         self.start_queued(now, class)
     }
@@ -310,21 +310,21 @@
     /// and asks peers for queued requests.
     pub fn tick(&mut self, now: Instant) -> Vec<DeferredDecision> {
         let mut decisions = self.refuse_timed_out(now);
-        let lapsed = self.reservations.iter().filter(|(_, r)| r.expires <= now);
-        let lapsed: Vec<ReservationId> = lapsed.map(|(id, _)| *id).collect();
-        for id in lapsed {
+        let expired = self.reservations.iter().filter(|(_, r)| r.expires <= now);
+        let expired: Vec<ReservationId> = expired.map(|(id, _)| *id).collect();
+        for id in expired {
             decisions.extend(self.release(now, id));
         }
         let names: Vec<ClassName> = self.classes.keys().cloned().collect();
         for name in &names {
             let class = self.classes.get_mut(name);
-            let (old, ask) = class.map_or((false, false), |class| {
+            let (limit_expired, ask_due) = class.map_or((false, false), |class| {
                 (class.drop_expired_limit(now), class.next_ask_at <= now)
             });
-            if old {
+            if limit_expired {
                 decisions.extend(self.start_queued(now, name));
             }
-            if ask {
+            if ask_due {
                 decisions.extend(self.ask_again(now, name));
             }
             self.remove_unused_class(name);
@@ -336,23 +336,32 @@
     #[must_use]
     pub fn next_deadline(&self) -> Option<Instant> {
         let timeout = self.timeouts.first().map(|(at, _)| *at);
-        let lapse = self
+        let reservation_expiry = self
             .reservations
             .values()
             .map(|reservation| reservation.expires)
             .min();
-        let limit = self
+        let limit_expiry = self
             .classes
             .values()
             .filter_map(Class::limit_expires_at)
             .min();
-        let asks = self.can_ask_peers() && self.settings.ask_interval.is_some();
-        let waits = self.classes.values().filter(|c| !c.is_queue_empty());
-        let ask = waits.map(|class| class.next_ask_at).min().filter(|_| asks);
-        [timeout, lapse, limit, ask, self.health.next_probe()]
-            .into_iter()
-            .flatten()
+        let asking_enabled = self.can_ask_peers() && self.settings.ask_interval.is_some();
+        let with_queue = self.classes.values().filter(|c| !c.is_queue_empty());
+        let ask = with_queue
+            .map(|class| class.next_ask_at)
             .min()
+            .filter(|_| asking_enabled);
+        [
+            timeout,
+            reservation_expiry,
+            limit_expiry,
+            ask,
+            self.health.next_probe(),
+        ]
+        .into_iter()
+        .flatten()
+        .min()
     }
 
     pub(crate) fn is_serving(&self) -> bool {
@@ -364,8 +373,8 @@
     }
 
     pub(crate) fn start(&mut self, now: Instant, id: RequestId, class: ClassName) {
-        if let Some(known) = self.classes.get_mut(&class) {
-            known.in_flight += 1;
+        if let Some(class_state) = self.classes.get_mut(&class) {
+            class_state.in_flight += 1;
         }
         let running = Running {
             class,
--- a/crates/admit/src/request/reserve.rs
+++ b/crates/admit/src/request/reserve.rs
@@ -30,15 +30,15 @@
         self.peers.record_full(now, from, class, &self.settings);
         let serving = self.is_serving();
         match self.classes.get_mut(class) {
-            Some(known) if serving && now < deadline && known.has_free_slot() => {
+            Some(class_state) if serving && now < deadline && class_state.has_free_slot() => {
                 let expires = deadline.min(now + self.settings.reservation_timeout);
-                known.reserved += 1;
+                class_state.reserved += 1;
                 let class = class.clone();
                 self.reservations.insert(id, Reservation { class, expires });
                 ReservationAnswer::Granted { expires }
             }
-            Some(known) if serving => {
-                known.record_refused_peer(from, now + self.settings.offer_window);
+            Some(class_state) if serving => {
+                class_state.record_refused_peer(from, now + self.settings.offer_window);
                 ReservationAnswer::Refused(self.loads())
             }
             _ => ReservationAnswer::Refused(self.loads()),
@@ -54,12 +54,12 @@
             return offers;
         }
         let expires = now + self.settings.reservation_timeout;
-        for (name, known) in &mut self.classes {
-            while known.has_free_slot()
-                && let Some(peer) = known.take_refused_peer(now)
+        for (name, class_state) in &mut self.classes {
+            while class_state.has_free_slot()
+                && let Some(peer) = class_state.take_refused_peer(now)
             {
                 let id = ReservationId(self.rng.random());
-                known.reserved += 1;
+                class_state.reserved += 1;
                 let class = name.clone();
                 self.reservations.insert(id, Reservation { class, expires });
                 let class = name.clone();
--- a/crates/admit/src/request/waiting.rs
+++ b/crates/admit/src/request/waiting.rs
@@ -113,8 +113,8 @@
             .filter(|_| self.can_ask_peers())?;
         let class = self.classes.get_mut(name)?;
         class.next_ask_at = now + pause.mul_f64(self.rng.random_range(0.75..1.25));
-        let idle = |id: &RequestId| matches!(self.requests.get(id), Some(RequestState::Waiting(w)) if w.awaited_peer.is_none());
-        let id = class.queued().find(idle)?;
+        let has_no_pending_ask = |id: &RequestId| matches!(self.requests.get(id), Some(RequestState::Waiting(w)) if w.awaited_peer.is_none());
+        let id = class.queued().find(has_no_pending_ask)?;
         let peer = self.peers.choose(now, name, &[], &mut self.rng)?;
         if let Some(RequestState::Waiting(waiting)) = self.requests.get_mut(&id) {
             waiting.awaited_peer = Some(peer);
--- a/crates/admit/src/version/class.rs
+++ b/crates/admit/src/version/class.rs
@@ -114,11 +114,11 @@
 
     /// Drops an expired limit. Returns true if there was one.
     pub(crate) fn drop_expired_limit(&mut self, now: Instant) -> bool {
-        let old = self.slot_limit.is_some_and(|(_, until)| until <= now);
-        if old {
+        let expired = self.slot_limit.is_some_and(|(_, until)| until <= now);
+        if expired {
             self.slot_limit = None;
         }
-        old
+        expired
     }
 
     pub(crate) fn record_service_time(&mut self, sample: Duration) {
--- a/crates/admit/src/version/peers.rs
+++ b/crates/admit/src/version/peers.rs
@@ -10,15 +10,16 @@
 
 use crate::Settings;
 
-/// Maximum number of peers for which a request may ask every peer in order.
-const MAX_PEERS_ASKED_IN_ORDER: usize = 16;
+/// Maximum number of peers up to which all of them are candidates for each ask.
+/// With more peers, a random sample is taken.
+const MAX_PEERS_WITHOUT_SAMPLING: usize = 16;
 
 /// Number of peers sampled for each ask when there are more than
-/// [`MAX_PEERS_ASKED_IN_ORDER`]; the one with the most free slots is asked.
+/// [`MAX_PEERS_WITHOUT_SAMPLING`]; the best of them by known load is asked.
 const SAMPLED_PEERS: usize = 4;
 
 /// Maximum number of peers that one request asks when there are more than
-/// [`MAX_PEERS_ASKED_IN_ORDER`].
+/// [`MAX_PEERS_WITHOUT_SAMPLING`].
 const MAX_SAMPLED_ASKS: usize = 4;
 
 /// Time for which an unreachable peer is not asked again.
@@ -50,7 +51,10 @@
 
 impl Peer {
     fn may_be_asked(&self, now: Instant, class: &ClassName) -> bool {
-        let full = self.classes.get(class).and_then(|known| known.retry_at);
+        let full = self
+            .classes
+            .get(class)
+            .and_then(|peer_class| peer_class.retry_at);
         [self.retry_at, full]
             .into_iter()
             .flatten()
@@ -62,7 +66,7 @@
     fn free_slots(&self, class: &ClassName) -> u32 {
         self.classes
             .get(class)
-            .map_or(u32::MAX, |known| known.load.free().0)
+            .map_or(u32::MAX, |peer_class| peer_class.load.free().0)
     }
 }
 
@@ -93,10 +97,10 @@
             return;
         };
         for (class, load) in loads {
-            let known = peer.classes.entry(class.clone()).or_default();
-            known.load = *load;
+            let peer_class = peer.classes.entry(class.clone()).or_default();
+            peer_class.load = *load;
             if load.free().0 > 0 {
-                known.retry_at = None;
+                peer_class.retry_at = None;
             }
         }
     }
@@ -111,9 +115,13 @@
         settings: &Settings,
     ) {
         if let Some(peer) = self.by_id.get_mut(&id) {
-            let known = peer.classes.entry(class.clone()).or_default();
-            let backlog = known.load.queued.0.div_ceil(known.load.slots.0.max(1));
-            known.retry_at = Some(now + settings.full_peer_backoff * (1 + backlog));
+            let peer_class = peer.classes.entry(class.clone()).or_default();
+            let backlog = peer_class
+                .load
+                .queued
+                .0
+                .div_ceil(peer_class.load.slots.0.max(1));
+            peer_class.retry_at = Some(now + settings.full_peer_backoff * (1 + backlog));
         }
     }
 
@@ -125,9 +133,9 @@
 
     /// Records that a slot of the peer was taken.
     pub(crate) fn record_granted(&mut self, id: UpstreamId, class: &ClassName) {
-        let known = self.by_id.get_mut(&id);
-        if let Some(known) = known.and_then(|peer| peer.classes.get_mut(class)) {
-            known.load.in_flight.0 = known.load.in_flight.0.saturating_add(1);
+        let peer = self.by_id.get_mut(&id);
+        if let Some(peer_class) = peer.and_then(|peer| peer.classes.get_mut(class)) {
+            peer_class.load.in_flight.0 = peer_class.load.in_flight.0.saturating_add(1);
         }
     }
 
@@ -148,7 +156,7 @@
                 .filter(|peer| peer.may_be_asked(now, class))?;
             (!asked_peers.contains(id)).then_some((peer.same_data_centre, peer.free_slots(class)))
         };
-        let candidates = if self.ids.len() <= MAX_PEERS_ASKED_IN_ORDER {
+        let candidates = if self.ids.len() <= MAX_PEERS_WITHOUT_SAMPLING {
             self.ids.clone()
         } else if asked_peers.len() < MAX_SAMPLED_ASKS {
             let random_id = |_| self.ids[rng.random_range(0..self.ids.len())];
--- a/crates/dedup/src/lib.rs
+++ b/crates/dedup/src/lib.rs
@@ -32,8 +32,8 @@
 //! assert_eq!(home.begin(start, now, key, fingerprint, first), BeginReply::Run);
 //! let answer = StoredAnswer::new(200, Vec::new(), "ok".into());
 //! home.end(now, key, KeyedOutcome::Answered(answer.clone()));
-//! let resend = AttemptId { upstream: UpstreamId(1), attempt: 2 };
-//! assert_eq!(home.begin(start, now, key, fingerprint, resend), BeginReply::Answered(answer));
+//! let retry = AttemptId { upstream: UpstreamId(1), attempt: 2 };
+//! assert_eq!(home.begin(start, now, key, fingerprint, retry), BeginReply::Answered(answer));
 //! ```
 
 pub mod process;
