--- a/crates/agent/src/connection/accept.rs
+++ b/crates/agent/src/connection/accept.rs
@@ -17,34 +17,34 @@
 const HANDSHAKES_BEFORE_RETRY: usize = 256;
 
 /// Handshakes under way from which on first packets are dropped.
-const MAX_HANDSHAKES: usize = 4096;
+const MAX_PENDING_HANDSHAKES: usize = 4096;
 
 /// Longest time for a handshake.
-const HANDSHAKE: Duration = Duration::from_secs(10);
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// What becomes of a first packet, before the limit of connections is looked
 /// at.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum FirstPacket {
+pub enum HandshakeDecision {
     /// A handshake may begin.
-    Admit,
+    Accept,
     /// The caller must first show that it receives at its address.
     Retry,
     /// It is dropped without an answer.
     Ignore,
 }
 
-impl FirstPacket {
+impl HandshakeDecision {
     /// Decides by the number of handshakes under way. `may_retry` says that the
     /// caller's address is not validated yet.
     #[must_use]
-    pub fn judge(handshakes: usize, may_retry: bool) -> Self {
-        if handshakes >= MAX_HANDSHAKES {
-            FirstPacket::Ignore
+    pub fn decide(handshakes: usize, may_retry: bool) -> Self {
+        if handshakes >= MAX_PENDING_HANDSHAKES {
+            HandshakeDecision::Ignore
         } else if handshakes >= HANDSHAKES_BEFORE_RETRY && may_retry {
-            FirstPacket::Retry
+            HandshakeDecision::Retry
         } else {
-            FirstPacket::Admit
+            HandshakeDecision::Accept
         }
     }
 }
@@ -89,12 +89,12 @@
             tokio::select! {
                 incoming = self.endpoint.accept() => {
                     let Some(incoming) = incoming else { return };
-                    if let Some(connecting) = self.admit(incoming, handshakes.len()).await {
-                        handshakes.push(timeout(HANDSHAKE, connecting));
+                    if let Some(connecting) = self.accept_handshake(incoming, handshakes.len()).await {
+                        handshakes.push(timeout(HANDSHAKE_TIMEOUT, connecting));
                     }
                 }
-                Some(done) = handshakes.next() => match done {
-                    Ok(Ok(connection)) => self.start(connection),
+                Some(finished) = handshakes.next() => match finished {
+                    Ok(Ok(connection)) => self.spawn_connection(connection),
                     _ => self.cx.admission.send(AdmissionCommand::CloseConnection),
                 },
                 Some(_) = self.connections.join_next() => {}
@@ -104,20 +104,20 @@
     }
 
     /// Decides about a first packet.
-    async fn admit(&self, incoming: Incoming, handshakes: usize) -> Option<Connecting> {
-        match FirstPacket::judge(handshakes, incoming.may_retry()) {
-            FirstPacket::Ignore => {
+    async fn accept_handshake(&self, incoming: Incoming, handshakes: usize) -> Option<Connecting> {
+        match HandshakeDecision::decide(handshakes, incoming.may_retry()) {
+            HandshakeDecision::Ignore => {
                 self.count_refused("handshakes");
                 incoming.ignore();
                 return None;
             }
-            FirstPacket::Retry => {
+            HandshakeDecision::Retry => {
                 self.count_refused("retry");
                 // Fails only if the address is validated, which was checked.
                 let _ = incoming.retry();
                 return None;
             }
-            FirstPacket::Admit => {}
+            HandshakeDecision::Accept => {}
         }
         if !self.open_connection().await {
             self.count_refused("limit");
@@ -134,19 +134,19 @@
 
     async fn open_connection(&self) -> bool {
         let admission: &AdmissionHandle = &self.cx.admission;
-        let may = admission.ask(AdmissionCommand::OpenConnection).await;
-        may.unwrap_or(false)
+        let accepted = admission.ask(AdmissionCommand::OpenConnection).await;
+        accepted.unwrap_or(false)
     }
 
-    fn start(&mut self, connection: Connection) {
+    fn spawn_connection(&mut self, connection: Connection) {
         let cx = self.cx.clone();
         let leaving = self.leaving.clone();
         self.connections.spawn_local(async move {
-            let gauge = cx.metrics.connections.clone();
+            let open_connections = cx.metrics.open_connections.clone();
             let admission = cx.admission.clone();
-            gauge.inc();
+            open_connections.inc();
             serve(cx, connection, leaving).await;
-            gauge.dec();
+            open_connections.dec();
             admission.send(AdmissionCommand::CloseConnection);
         });
     }
--- a/crates/agent/src/connection/cid.rs
+++ b/crates/agent/src/connection/cid.rs
@@ -11,11 +11,11 @@
 
 /// Time after which a connection id is replaced, so that connections follow a
 /// change of key within one lifetime.
-const LIFETIME: Duration = Duration::from_mins(10);
+const CID_LIFETIME: Duration = Duration::from_mins(10);
 
 /// What connection ids are made with.
 #[derive(Debug, Clone)]
-pub struct CidSource {
+pub struct CidConfig {
     /// Keys of the version in force.
     pub codec: CidCodec,
     /// The agent's service.
@@ -25,33 +25,33 @@
 /// Makes connection ids that lead back to this agent.
 #[derive(Debug, Clone)]
 pub struct CidGenerator {
-    own: UpstreamId,
-    source: watch::Receiver<CidSource>,
+    own_id: UpstreamId,
+    config: watch::Receiver<CidConfig>,
 }
 
 impl CidGenerator {
     /// Creates a generator for the agent with the id `own`.
     #[must_use]
-    pub fn new(own: UpstreamId, source: watch::Receiver<CidSource>) -> Self {
-        CidGenerator { own, source }
+    pub fn new(own_id: UpstreamId, config: watch::Receiver<CidConfig>) -> Self {
+        CidGenerator { own_id, config }
     }
 }
 
 impl ConnectionIdGenerator for CidGenerator {
     fn generate_cid(&mut self) -> ConnectionId {
         let mut rng = rand::rng();
-        let source = self.source.borrow();
+        let config = self.config.borrow();
         let id = wire::ConnectionId {
-            upstream: self.own,
-            tag: source.tag,
+            upstream: self.own_id,
+            tag: config.tag,
             nonce: rng.random(),
         };
-        ConnectionId::new(&source.codec.encode(&id, rng.random()))
+        ConnectionId::new(&config.codec.encode(&id, rng.random()))
     }
 
     fn validate(&self, cid: &ConnectionId) -> Result<(), InvalidCid> {
-        match self.source.borrow().codec.decode(cid) {
-            Ok(id) if id.upstream == self.own => Ok(()),
+        match self.config.borrow().codec.decode(cid) {
+            Ok(id) if id.upstream == self.own_id => Ok(()),
             _ => Err(InvalidCid),
         }
     }
@@ -61,6 +61,6 @@
     }
 
     fn cid_lifetime(&self) -> Option<Duration> {
-        Some(LIFETIME)
+        Some(CID_LIFETIME)
     }
 }
--- a/crates/agent/src/connection/mod.rs
+++ b/crates/agent/src/connection/mod.rs
@@ -5,7 +5,10 @@
 mod quic;
 mod serve;
 
-pub use accept::{AcceptTask, FirstPacket};
-pub use cid::{CidGenerator, CidSource};
-pub use quic::{BidiStream, Link, Opener, RecvStream, SendStream, StreamEnd, StreamEnds};
+pub use accept::{AcceptTask, HandshakeDecision};
+pub use cid::{CidConfig, CidGenerator};
+pub use quic::{
+    BidiStream, H3Connection, RecvStream, SendStream, StreamCompletion, StreamCompletions,
+    StreamOpener,
+};
 pub use serve::serve;
--- a/crates/agent/src/connection/quic.rs
+++ b/crates/agent/src/connection/quic.rs
@@ -28,22 +28,22 @@
     task::{JoinHandle, JoinSet},
 };
 
-type Bidi = (quinn::SendStream, quinn::RecvStream);
+type BidiStreams = (quinn::SendStream, quinn::RecvStream);
 
 /// A QUIC connection that reports how its streams end.
-pub struct Link {
-    opener: Opener,
-    bidi: mpsc::Receiver<Bidi>,
+pub struct H3Connection {
+    opener: StreamOpener,
+    bidi: mpsc::Receiver<BidiStreams>,
     uni: mpsc::Receiver<quinn::RecvStream>,
-    ends: StreamEnds,
+    completions: StreamCompletions,
     /// Tasks that accept streams.
     _tasks: JoinSet<()>,
 }
 
-impl Link {
+impl H3Connection {
     /// Takes over the streams of a connection. Their ends go to `ends`.
     #[must_use]
-    pub fn new(connection: &quinn::Connection, ends: StreamEnds) -> Self {
+    pub fn new(connection: &quinn::Connection, completions: StreamCompletions) -> Self {
         let mut tasks = JoinSet::new();
         // One stream waits in each channel; QUIC's own limits bound the others.
         let (bidi_tx, bidi) = mpsc::channel(1);
@@ -64,11 +64,11 @@
                 }
             }
         });
-        Link {
-            opener: Opener::new(connection.clone()),
+        H3Connection {
+            opener: StreamOpener::new(connection.clone()),
             bidi,
             uni,
-            ends,
+            completions,
             _tasks: tasks,
         }
     }
@@ -79,9 +79,9 @@
     }
 }
 
-impl<B: Buf> quic::Connection<B> for Link {
+impl<B: Buf> quic::Connection<B> for H3Connection {
     type RecvStream = RecvStream;
-    type OpenStreams = Opener;
+    type OpenStreams = StreamOpener;
 
     fn poll_accept_recv(
         &mut self,
@@ -97,17 +97,17 @@
     ) -> Poll<Result<BidiStream<B>, ConnectionErrorIncoming>> {
         let (send, recv) = ready!(self.bidi.poll_recv(cx)).ok_or_else(|| self.close_reason())?;
         let send = SendStream::new(send);
-        self.ends.watch(&send);
+        self.completions.track(&send);
         let recv = RecvStream(recv);
         Poll::Ready(Ok(BidiStream { send, recv }))
     }
 
-    fn opener(&self) -> Opener {
-        Opener::new(self.opener.connection.clone())
+    fn opener(&self) -> StreamOpener {
+        StreamOpener::new(self.opener.connection.clone())
     }
 }
 
-impl<B: Buf> quic::OpenStreams<B> for Link {
+impl<B: Buf> quic::OpenStreams<B> for H3Connection {
     type BidiStream = BidiStream<B>;
     type SendStream = SendStream<B>;
 
@@ -131,21 +131,21 @@
 }
 
 /// Opens the streams of the server.
-pub struct Opener {
+pub struct StreamOpener {
     connection: quinn::Connection,
     opening: Option<JoinHandle<Result<quinn::SendStream, ConnectionError>>>,
 }
 
-impl Opener {
+impl StreamOpener {
     fn new(connection: quinn::Connection) -> Self {
-        Opener {
+        StreamOpener {
             connection,
             opening: None,
         }
     }
 }
 
-impl<B: Buf> quic::OpenStreams<B> for Opener {
+impl<B: Buf> quic::OpenStreams<B> for StreamOpener {
     type BidiStream = BidiStream<B>;
     type SendStream = SendStream<B>;
 
@@ -170,7 +170,7 @@
         self.opening = None;
         Poll::Ready(match opened {
             Ok(Ok(stream)) => Ok(SendStream::new(stream)),
-            Ok(Err(e)) => Err(lost(e)),
+            Ok(Err(e)) => Err(connection_lost(e)),
             Err(e) => Err(unknown(io::Error::other(e))),
         })
     }
@@ -239,7 +239,7 @@
 /// The direction towards the caller.
 pub struct SendStream<B: Buf> {
     stream: quinn::SendStream,
-    writing: Option<WriteBuf<B>>,
+    pending_write: Option<WriteBuf<B>>,
     /// Whether the stream has a clean end.
     finished: bool,
 }
@@ -248,7 +248,7 @@
     fn new(stream: quinn::SendStream) -> Self {
         SendStream {
             stream,
-            writing: None,
+            pending_write: None,
             finished: false,
         }
     }
@@ -257,23 +257,23 @@
 impl<B: Buf> quic::SendStream<B> for SendStream<B> {
     fn poll_ready(&mut self, cx: &mut Context<'_>) -> Poll<Result<(), StreamErrorIncoming>> {
         while let Some(data) = self
-            .writing
+            .pending_write
             .as_mut()
             .filter(|data| Buf::has_remaining(*data))
         {
             let stream = Pin::new(&mut self.stream);
-            let written = ready!(stream.poll_write(cx, data.chunk())).map_err(not_written)?;
+            let written = ready!(stream.poll_write(cx, data.chunk())).map_err(write_error)?;
             data.advance(written);
         }
-        self.writing = None;
+        self.pending_write = None;
         Poll::Ready(Ok(()))
     }
 
     fn send_data<T: Into<WriteBuf<B>>>(&mut self, data: T) -> Result<(), StreamErrorIncoming> {
-        if self.writing.is_some() {
+        if self.pending_write.is_some() {
             return Err(unknown(io::ErrorKind::ResourceBusy.into()));
         }
-        self.writing = Some(data.into());
+        self.pending_write = Some(data.into());
         Ok(())
     }
 
@@ -319,7 +319,7 @@
         Poll::Ready(match chunk {
             Ok(chunk) => Ok(chunk.map(|chunk| chunk.bytes)),
             Err(ReadError::Reset(code)) => Err(terminated(code)),
-            Err(ReadError::ConnectionLost(e)) => Err(lost(e)),
+            Err(ReadError::ConnectionLost(e)) => Err(connection_lost(e)),
             Err(e) => Err(unknown(io::Error::other(e))),
         })
     }
@@ -344,32 +344,32 @@
 
 /// How the answers of a connection end, by stream.
 #[derive(Clone, Default)]
-pub struct StreamEnds {
+pub struct StreamCompletions {
     /// Shared by the connection and its requests, which run on one thread.
-    ends: Rc<RefCell<BTreeMap<u64, StreamEnd>>>,
+    completions: Rc<RefCell<BTreeMap<u64, StreamCompletion>>>,
 }
 
-impl StreamEnds {
-    fn watch<B: Buf>(&self, send: &SendStream<B>) {
+impl StreamCompletions {
+    fn track<B: Buf>(&self, send: &SendStream<B>) {
         let stopped = send.stream.stopped();
-        let end = StreamEnd(actix_rt::spawn(stopped));
-        let mut ends = self.ends.borrow_mut();
+        let completion = StreamCompletion(actix_rt::spawn(stopped));
+        let mut completions = self.completions.borrow_mut();
         // Streams that h3 rejected are never taken.
-        ends.retain(|_, end| !end.0.is_finished());
-        ends.insert(send.send_id().into_inner(), end);
+        completions.retain(|_, completion| !completion.0.is_finished());
+        completions.insert(send.send_id().into_inner(), completion);
     }
 
     /// Takes the end of a stream.
     #[must_use]
-    pub fn take(&self, id: StreamId) -> Option<StreamEnd> {
-        self.ends.borrow_mut().remove(&id.into_inner())
+    pub fn take(&self, id: StreamId) -> Option<StreamCompletion> {
+        self.completions.borrow_mut().remove(&id.into_inner())
     }
 }
 
 /// Comes about when the caller stops an answer or has received all of it.
-pub struct StreamEnd(JoinHandle<Result<Option<VarInt>, StoppedError>>);
+pub struct StreamCompletion(JoinHandle<Result<Option<VarInt>, StoppedError>>);
 
-impl StreamEnd {
+impl StreamCompletion {
     /// Waits for the end.
     pub async fn wait(&mut self) {
         // How it ended makes no difference to those who wait.
@@ -377,16 +377,16 @@
     }
 }
 
-impl Drop for StreamEnd {
+impl Drop for StreamCompletion {
     fn drop(&mut self) {
         self.0.abort();
     }
 }
 
-fn not_written(error: WriteError) -> StreamErrorIncoming {
+fn write_error(error: WriteError) -> StreamErrorIncoming {
     match error {
         WriteError::Stopped(code) => terminated(code),
-        WriteError::ConnectionLost(e) => lost(e),
+        WriteError::ConnectionLost(e) => connection_lost(e),
         e => unknown(io::Error::other(e)),
     }
 }
@@ -405,7 +405,7 @@
     }
 }
 
-fn lost(error: ConnectionError) -> StreamErrorIncoming {
+fn connection_lost(error: ConnectionError) -> StreamErrorIncoming {
     StreamErrorIncoming::ConnectionErrorIncoming {
         connection_error: connection_error(error),
     }
--- a/crates/agent/src/connection/serve.rs
+++ b/crates/agent/src/connection/serve.rs
@@ -7,28 +7,29 @@
 use quinn::{Connection, VarInt};
 use tokio::{sync::watch, task::JoinSet, time::sleep_until};
 
-use super::{Link, StreamEnds};
+use super::{H3Connection, StreamCompletions};
 use crate::request::{RequestContext, handle};
 
 /// Requests that a caller may still start after the first GOAWAY. They are
 /// handed off to peers; the caller had no time to hear of it.
-const GRACE_REQUESTS: usize = 100;
+const GOAWAY_GRACE_REQUESTS: usize = 100;
 
 /// Time between the first GOAWAY and the last one (RFC 9114, section 5.2):
 /// several round trips, so that the caller has heard of it.
-const GRACE: Duration = Duration::from_secs(1);
+const GOAWAY_INTERVAL: Duration = Duration::from_secs(1);
 
-type Server = h3::server::Connection<Link, Bytes>;
+type Server = h3::server::Connection<H3Connection, Bytes>;
 
 /// Serves the requests of a connection until it ends. When the agent leaves,
 /// requests in progress run to their end and no others are accepted.
 pub async fn serve(cx: RequestContext, connection: Connection, mut leaving: watch::Receiver<bool>) {
-    let ends = StreamEnds::default();
-    let Ok(mut server) = Server::new(Link::new(&connection, ends.clone())).await else {
+    let completions = StreamCompletions::default();
+    let Ok(mut server) = Server::new(H3Connection::new(&connection, completions.clone())).await
+    else {
         return;
     };
     let mut requests = JoinSet::new();
-    let mut goaway = Goaway::None;
+    let mut goaway = GoawayState::NotSent;
     if *leaving.borrow_and_update() {
         goaway.advance(&mut server).await;
     }
@@ -36,18 +37,18 @@
         tokio::select! {
             accepted = server.accept() => match accepted {
                 Ok(Some(resolver)) => {
-                    let (cx, ends) = (cx.clone(), ends.clone());
+                    let (cx, completions) = (cx.clone(), completions.clone());
                     requests.spawn_local(async move {
-                        if let Err(e) = handle(cx, resolver, ends).await {
+                        if let Err(e) = handle(cx, resolver, completions).await {
                             log::debug!(event = "request_aborted", error:% = e; "request aborted");
                         }
                     });
                 }
                 // No request follows; those in progress go on.
                 Ok(None) => {
-                    let all = async { while requests.join_next().await.is_some() {} };
+                    let finish_requests = async { while requests.join_next().await.is_some() {} };
                     tokio::select! {
-                        () = all => {}
+                        () = finish_requests => {}
                         _ = connection.closed() => {}
                     }
                     break;
@@ -60,11 +61,11 @@
                 Ok(()) => {}
                 Err(_) => break,
             },
-            () = sleep_until(goaway.next().into()), if goaway.is_pending() => {
+            () = sleep_until(goaway.last_due_at().into()), if goaway.is_pending() => {
                 goaway.advance(&mut server).await;
             }
         }
-        if goaway == Goaway::Last && requests.is_empty() {
+        if goaway == GoawayState::LastSent && requests.is_empty() {
             break;
         }
     }
@@ -74,22 +75,22 @@
 
 /// How far the caller was told to go away.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Goaway {
-    None,
+enum GoawayState {
+    NotSent,
     /// The last GOAWAY follows at this instant.
-    First(Instant),
-    Last,
+    FirstSent(Instant),
+    LastSent,
 }
 
-impl Goaway {
+impl GoawayState {
     fn is_pending(self) -> bool {
-        matches!(self, Goaway::First(_))
+        matches!(self, GoawayState::FirstSent(_))
     }
 
-    fn next(self) -> Instant {
+    fn last_due_at(self) -> Instant {
         match self {
-            Goaway::First(next) => next,
-            Goaway::None | Goaway::Last => Instant::now(),
+            GoawayState::FirstSent(last_due_at) => last_due_at,
+            GoawayState::NotSent | GoawayState::LastSent => Instant::now(),
         }
     }
 
@@ -97,15 +98,15 @@
     async fn advance(&mut self, server: &mut Server) {
         // A connection that cannot take it is ending anyway.
         match self {
-            Goaway::None => {
-                let _ = server.shutdown(GRACE_REQUESTS).await;
-                *self = Goaway::First(Instant::now() + GRACE);
+            GoawayState::NotSent => {
+                let _ = server.shutdown(GOAWAY_GRACE_REQUESTS).await;
+                *self = GoawayState::FirstSent(Instant::now() + GOAWAY_INTERVAL);
             }
-            Goaway::First(_) => {
+            GoawayState::FirstSent(_) => {
                 let _ = server.shutdown(0).await;
-                *self = Goaway::Last;
+                *self = GoawayState::LastSent;
             }
-            Goaway::Last => {}
+            GoawayState::LastSent => {}
         }
     }
 }
--- a/crates/agent/src/process/admission.rs
+++ b/crates/agent/src/process/admission.rs
@@ -22,38 +22,38 @@
 use wire::{OfferRequest, ReserveReply, ReserveRequest};
 
 use super::{
-    AdmissionCommand, AdmissionHandle, Grant,
-    commands::{AdmissionView, Summary},
+    AdmissionCommand, AdmissionHandle, AdmissionReply,
+    commands::{AdmissionConfig, UpstreamStatus},
     peer::{OFFER_PATH, RELEASE_PATH, RESERVE_PATH},
 };
 use crate::version::Peer;
 
 /// Time for a peer to answer, after which it counts as unreachable. Several
 /// times the delay between data centres, so that a lost packet fits in.
-const PEER_ANSWER: Duration = Duration::from_millis(100);
+const PEER_REPLY_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Time for which a peer is asked to hold a slot: the answer has to come back
 /// and the request has to go out.
-const HOLD: Duration = Duration::from_millis(200);
+const RESERVATION_HOLD: Duration = Duration::from_millis(200);
 
 /// Time for a probe of the upstream.
-const PROBE: Duration = Duration::from_secs(1);
+const UPSTREAM_PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Pause that bounds how late the admission's own deadlines are met.
-const IDLE: Duration = Duration::from_secs(1);
+const MAX_TICK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The task that owns the admission.
 pub struct AdmissionTask {
     admission: Admission,
-    budget: RetryBudget,
-    own: UpstreamId,
+    retry_budget: RetryBudget,
+    own_id: UpstreamId,
     data_centre: DataCentre,
-    upstream: SocketAddr,
+    upstream_address: SocketAddr,
     service: Option<ServiceId>,
     peers: BTreeMap<UpstreamId, Peer>,
     /// Requests without a grant: the class, and whoever waits.
-    waiting: BTreeMap<RequestId, (ClassName, oneshot::Sender<Grant>)>,
-    connections: Connections,
+    pending_requests: BTreeMap<RequestId, (ClassName, oneshot::Sender<AdmissionReply>)>,
+    open_connections: Connections,
     http: Http,
     handle: AdmissionHandle,
     rx: mpsc::UnboundedReceiver<AdmissionCommand>,
@@ -64,7 +64,7 @@
     #[must_use]
     pub fn new(
         cfg: &super::Settings,
-        own: UpstreamId,
+        own_id: UpstreamId,
         http: Http,
         handle: AdmissionHandle,
         rx: mpsc::UnboundedReceiver<AdmissionCommand>,
@@ -72,14 +72,14 @@
         let seed = rand::rng().random();
         AdmissionTask {
             admission: Admission::new(cfg.admission.clone(), seed),
-            budget: RetryBudget::new(),
-            own,
+            retry_budget: RetryBudget::new(),
+            own_id,
             data_centre: cfg.data_centre.clone(),
-            upstream: cfg.upstream_address,
+            upstream_address: cfg.upstream_address,
             service: None,
             peers: BTreeMap::new(),
-            waiting: BTreeMap::new(),
-            connections: Connections(0),
+            pending_requests: BTreeMap::new(),
+            open_connections: Connections(0),
             http,
             handle,
             rx,
@@ -89,8 +89,8 @@
     /// Runs until every handle is gone or the task is aborted.
     pub async fn run(mut self) {
         loop {
-            let idle = Instant::now() + IDLE;
-            let deadline = self.admission.next_deadline().unwrap_or(idle);
+            let idle_until = Instant::now() + MAX_TICK_INTERVAL;
+            let deadline = self.admission.next_deadline().unwrap_or(idle_until);
             let command = tokio::select! {
                 command = self.rx.recv() => match command {
                     Some(command) => Some(command),
@@ -108,9 +108,9 @@
 
     fn tick(&mut self, now: Instant) {
         let wakes = self.admission.tick(now);
-        self.wake(wakes);
+        self.apply_wakes(wakes);
         if self.admission.start_due_probe(now) {
-            self.probe();
+            self.probe_upstream();
         }
     }
 
@@ -120,15 +120,15 @@
             C::Arrive(info, tx) => self.arrive(now, info, tx),
             C::Finish(id, outcome) => {
                 let wakes = self.admission.finish(now, id, outcome);
-                self.wake(wakes);
+                self.apply_wakes(wakes);
             }
             C::Cancel(id) => {
-                self.waiting.remove(&id);
+                self.pending_requests.remove(&id);
                 let wakes = self.admission.cancel(now, id);
-                self.wake(wakes);
+                self.apply_wakes(wakes);
             }
-            C::Judge(attempt, tx) => {
-                let _ = tx.send(decide_retry(now, &attempt, &mut self.budget));
+            C::CheckRetry(attempt, tx) => {
+                let _ = tx.send(decide_retry(now, &attempt, &mut self.retry_budget));
             }
             C::Reserve(req, tx) => {
                 let _ = tx.send(self.reserve(now, &req));
@@ -138,67 +138,67 @@
             }
             C::Release(reservation) => {
                 let wakes = self.admission.release(now, reservation);
-                self.wake(wakes);
+                self.apply_wakes(wakes);
             }
-            C::Offer(offer) => self.offered(&offer),
+            C::Offer(offer) => self.handle_offer(&offer),
             C::OpenConnection(tx) => {
-                let may = self.admission.may_accept_connection();
-                if may {
+                let accepted = self.admission.may_accept_connection();
+                if accepted {
                     self.admission.connection_opened();
-                    self.connections.0 += 1;
+                    self.open_connections.0 += 1;
                 }
-                let _ = tx.send(may);
+                let _ = tx.send(accepted);
             }
             C::CloseConnection => {
                 self.admission.connection_closed();
-                self.connections.0 = self.connections.0.saturating_sub(1);
+                self.open_connections.0 = self.open_connections.0.saturating_sub(1);
             }
-            C::Report(class, report) => {
+            C::LoadReport(class, report) => {
                 let wakes = self.admission.apply_report(now, &class, report);
-                self.wake(wakes);
+                self.apply_wakes(wakes);
             }
-            C::Connected(ok) => self.connected(now, ok),
-            C::View(view) => self.apply(now, view),
+            C::ConnectResult(ok) => self.handle_connect_result(now, ok),
+            C::Configure(config) => self.apply(now, config),
             C::PeerLoads(loads) => {
-                let own = self.own;
-                for (peer, loads) in loads.into_iter().filter(|(id, _)| *id != own) {
+                let own_id = self.own_id;
+                for (peer, loads) in loads.into_iter().filter(|(id, _)| *id != own_id) {
                     let wakes = self.admission.update_peer_loads(now, peer, &loads);
-                    self.wake(wakes);
+                    self.apply_wakes(wakes);
                 }
             }
             C::PeerAnswered(id, peer, reservation, answer) => {
                 if let Some(decision) = self.admission.handle_peer_answer(now, id, peer, answer) {
-                    self.decide(id, decision, Some(reservation));
+                    self.carry_out(id, decision, Some(reservation));
                 }
             }
-            C::Summarise(tx) => {
-                let _ = tx.send(self.summary());
+            C::GetStatus(tx) => {
+                let _ = tx.send(self.status());
             }
         }
     }
 
-    fn arrive(&mut self, now: Instant, info: RequestInfo, tx: oneshot::Sender<Grant>) {
+    fn arrive(&mut self, now: Instant, info: RequestInfo, tx: oneshot::Sender<AdmissionReply>) {
         let id = info.id;
-        self.budget.deposit();
-        self.waiting.insert(id, (info.class.clone(), tx));
+        self.retry_budget.deposit();
+        self.pending_requests.insert(id, (info.class.clone(), tx));
         let decision = self.admission.arrive(now, info);
-        self.decide(id, decision, None);
+        self.carry_out(id, decision, None);
     }
 
-    fn wake(&mut self, wakes: Vec<DeferredDecision>) {
+    fn apply_wakes(&mut self, wakes: Vec<DeferredDecision>) {
         for DeferredDecision { id, decision } in wakes {
-            self.decide(id, decision, None);
+            self.carry_out(id, decision, None);
         }
     }
 
     /// Carries out a decision. `reservation` is the one that a peer granted,
     /// if the decision follows a peer's answer.
-    fn decide(&mut self, id: RequestId, decision: Decision, reservation: Option<ReservationId>) {
+    fn carry_out(&mut self, id: RequestId, decision: Decision, reservation: Option<ReservationId>) {
         match (decision, reservation) {
-            (Decision::Run, _) => self.grant(id, Grant::Run),
-            (Decision::Refuse(reason), _) => self.grant(id, Grant::Refuse(reason)),
-            (Decision::AskPeer { peer }, _) => self.ask_peer(id, peer),
-            (Decision::Forward { peer }, Some(reservation)) => self.pass(id, peer, reservation),
+            (Decision::Run, _) => self.reply(id, AdmissionReply::Run),
+            (Decision::Refuse(reason), _) => self.reply(id, AdmissionReply::Refuse(reason)),
+            (Decision::AskPeer { peer }, _) => self.request_peer_slot(id, peer),
+            (Decision::Forward { peer }, Some(reservation)) => self.hand_off(id, peer, reservation),
             (Decision::Release { peer }, Some(reservation)) => self.release(peer, reservation),
             // A peer's slot is only ever given or returned on its answer.
             (Decision::Forward { .. } | Decision::Release { .. }, None)
@@ -206,15 +206,15 @@
         }
     }
 
-    fn grant(&mut self, id: RequestId, grant: Grant) {
-        let Some((_, tx)) = self.waiting.remove(&id) else {
+    fn reply(&mut self, id: RequestId, reply: AdmissionReply) {
+        let Some((_, tx)) = self.pending_requests.remove(&id) else {
             return;
         };
         // The request may have gone away meanwhile; its slot is free again.
-        match tx.send(grant) {
-            Ok(()) | Err(Grant::Refuse(_)) => {}
-            Err(Grant::Run) => self.handle.send(AdmissionCommand::Cancel(id)),
-            Err(Grant::Pass {
+        match tx.send(reply) {
+            Ok(()) | Err(AdmissionReply::Refuse(_)) => {}
+            Err(AdmissionReply::Run) => self.handle.send(AdmissionCommand::Cancel(id)),
+            Err(AdmissionReply::HandOff {
                 upstream,
                 reservation,
                 ..
@@ -222,26 +222,28 @@
         }
     }
 
-    fn pass(&mut self, id: RequestId, upstream: UpstreamId, reservation: ReservationId) {
-        let grant = match self.peers.get(&upstream) {
-            Some(peer) => Grant::Pass {
+    fn hand_off(&mut self, id: RequestId, upstream: UpstreamId, reservation: ReservationId) {
+        let reply = match self.peers.get(&upstream) {
+            Some(peer) => AdmissionReply::HandOff {
                 upstream,
                 peer: peer.clone(),
                 reservation,
             },
-            None => Grant::Refuse(RefusalReason::NotServing),
+            None => AdmissionReply::Refuse(RefusalReason::NotServing),
         };
-        self.grant(id, grant);
+        self.reply(id, reply);
     }
 
     /// Asks a peer for a slot; the answer comes back as a command.
-    fn ask_peer(&self, id: RequestId, upstream: UpstreamId) {
+    fn request_peer_slot(&self, id: RequestId, upstream: UpstreamId) {
         let reservation = ReservationId(rand::rng().random());
         let handle = self.handle.clone();
         let (Some(peer), Some(service), Some(class)) = (
             self.peers.get(&upstream).cloned(),
             self.service,
-            self.waiting.get(&id).map(|(class, _)| class.clone()),
+            self.pending_requests
+                .get(&id)
+                .map(|(class, _)| class.clone()),
         ) else {
             let answer = PeerAnswer::Unreachable;
             return handle.send(AdmissionCommand::PeerAnswered(
@@ -255,13 +257,13 @@
             id: reservation,
             service,
             upstream,
-            from: self.own,
+            from: self.own_id,
             class,
-            hold: HOLD,
+            hold: RESERVATION_HOLD,
         };
         let http = self.http.clone();
         actix_rt::spawn(async move {
-            let deadline = Instant::now() + PEER_ANSWER;
+            let deadline = Instant::now() + PEER_REPLY_TIMEOUT;
             let reply = http.post(peer.address, RESERVE_PATH, &req, deadline).await;
             let answer = match reply {
                 Ok(ReserveReply::Granted) => PeerAnswer::Granted,
@@ -281,17 +283,17 @@
     /// lapses at its deadline.
     fn release(&self, peer: UpstreamId, reservation: ReservationId) {
         if let Some(peer) = self.peers.get(&peer) {
-            self.tell(peer.address, RELEASE_PATH, reservation);
+            self.send_unacknowledged(peer.address, RELEASE_PATH, reservation);
         }
     }
 
     /// Passes a queued request against an offered slot, or returns the slot.
-    fn offered(&mut self, offer: &OfferRequest) {
-        if offer.upstream != self.own || Some(offer.service) != self.service {
+    fn handle_offer(&mut self, offer: &OfferRequest) {
+        if offer.upstream != self.own_id || Some(offer.service) != self.service {
             return;
         }
         match self.admission.accept_offer(offer.from, &offer.class) {
-            Some(DeferredDecision { id, decision }) => self.decide(id, decision, Some(offer.id)),
+            Some(DeferredDecision { id, decision }) => self.carry_out(id, decision, Some(offer.id)),
             None => self.release(offer.from, offer.id),
         }
     }
@@ -303,7 +305,7 @@
             return;
         };
         for Offer { peer, class, id } in self.admission.take_offers(now) {
-            let Some(known) = self.peers.get(&peer) else {
+            let Some(destination) = self.peers.get(&peer) else {
                 self.handle.send(AdmissionCommand::Release(id));
                 continue;
             };
@@ -311,24 +313,29 @@
                 id,
                 service,
                 upstream: peer,
-                from: self.own,
+                from: self.own_id,
                 class,
             };
-            self.tell(known.address, OFFER_PATH, offer);
+            self.send_unacknowledged(destination.address, OFFER_PATH, offer);
         }
     }
 
     /// Sends a message to a peer that may be lost.
-    fn tell<T: Serialize + 'static>(&self, address: SocketAddr, path: &'static str, message: T) {
+    fn send_unacknowledged<T: Serialize + 'static>(
+        &self,
+        address: SocketAddr,
+        path: &'static str,
+        message: T,
+    ) {
         let http = self.http.clone();
         actix_rt::spawn(async move {
-            let deadline = Instant::now() + PEER_ANSWER;
+            let deadline = Instant::now() + PEER_REPLY_TIMEOUT;
             let _: client::Result<()> = http.post(address, path, &message, deadline).await;
         });
     }
 
     fn reserve(&mut self, now: Instant, req: &ReserveRequest) -> ReserveReply {
-        if req.upstream != self.own || Some(req.service) != self.service {
+        if req.upstream != self.own_id || Some(req.service) != self.service {
             return ReserveReply::Misdirected;
         }
         let deadline = now + req.hold;
@@ -341,46 +348,47 @@
         }
     }
 
-    fn connected(&mut self, now: Instant, ok: bool) {
+    fn handle_connect_result(&mut self, now: Instant, ok: bool) {
         let wakes = if ok {
             self.admission.connect_succeeded(now)
         } else {
             self.admission.connect_failed(now)
         };
-        self.wake(wakes);
+        self.apply_wakes(wakes);
     }
 
     /// Tries to connect to an upstream that is down.
-    fn probe(&self) {
+    fn probe_upstream(&self) {
         let handle = self.handle.clone();
-        let upstream = self.upstream;
+        let upstream_address = self.upstream_address;
         actix_rt::spawn(async move {
-            let connected = timeout(PROBE, TcpStream::connect(upstream)).await;
+            let connected =
+                timeout(UPSTREAM_PROBE_TIMEOUT, TcpStream::connect(upstream_address)).await;
             let ok = matches!(connected, Ok(Ok(_)));
-            handle.send(AdmissionCommand::Connected(ok));
+            handle.send(AdmissionCommand::ConnectResult(ok));
         });
     }
 
-    fn apply(&mut self, now: Instant, view: AdmissionView) {
-        self.service = view.service;
-        let data_centres: BTreeMap<_, _> = view
+    fn apply(&mut self, now: Instant, config: AdmissionConfig) {
+        self.service = config.service;
+        let data_centres: BTreeMap<_, _> = config
             .peers
             .iter()
             .map(|(&id, peer)| (id, peer.data_centre.clone()))
             .collect();
-        self.peers = view.peers;
+        self.peers = config.peers;
         self.admission.set_peers(&self.data_centre, &data_centres);
-        let wakes = self.admission.set_targets(now, &view.targets);
-        self.wake(wakes);
-        let wakes = self.admission.set_leaving(now, view.leaving);
-        self.wake(wakes);
+        let wakes = self.admission.set_targets(now, &config.targets);
+        self.apply_wakes(wakes);
+        let wakes = self.admission.set_leaving(now, config.leaving);
+        self.apply_wakes(wakes);
     }
 
-    fn summary(&self) -> Summary {
-        Summary {
+    fn status(&self) -> UpstreamStatus {
+        UpstreamStatus {
             state: self.admission.state(),
             loads: self.admission.loads(),
-            connections: self.connections,
+            connections: self.open_connections,
         }
     }
 }
--- a/crates/agent/src/process/balancers.rs
+++ b/crates/agent/src/process/balancers.rs
@@ -8,48 +8,48 @@
 };
 
 /// Time without a datagram after which a balancer is no longer used.
-const SILENCE: Duration = Duration::from_millis(300);
+const UNREACHABLE_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Time without a datagram after which a kept balancer is probed: two probes
 /// fit into [`SILENCE`], so that one may be lost.
-const PROBE_AFTER: Duration = Duration::from_millis(150);
+const KEEPALIVE_PROBE_DELAY: Duration = Duration::from_millis(150);
 
 /// BalancerTracker that are kept heard by probes while answers are sent. The others
 /// are heard by traffic if there is enough of it. A probe and its answer take
 /// 88 bytes, so probes for all of a few balancers would already exceed the 2 KB
 /// a second that a node may spend on control.
-const KEPT: usize = 2;
+const MIN_REACHABLE_BALANCERS: usize = 2;
 
 /// Time for which answers count as being sent after the last one.
-const ACTIVE: Duration = Duration::from_secs(1);
+const ACTIVE_PERIOD: Duration = Duration::from_secs(1);
 
 /// Time between probes of a balancer that is not kept.
-const IDLE_PROBE: Duration = Duration::from_secs(2);
+const IDLE_PROBE_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Time for the answer to a probe, after which a balancer counts as lost.
-const PROBE_ANSWER: Duration = Duration::from_millis(200);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Deadlines of one balancer.
 #[derive(Debug, Clone, Copy)]
 struct Deadlines {
     /// Not used from this instant on, unless it is heard again.
-    silent: Instant,
+    unreachable_at: Instant,
     /// Not probed to be kept before this instant.
-    probe: Instant,
+    probe_at: Instant,
     /// Probed at this instant even if it is not kept.
-    idle_probe: Instant,
+    idle_probe_at: Instant,
     /// Counts as lost from this instant on; none while no probe waits for its
     /// answer.
-    lost: Option<Instant>,
+    lost_at: Option<Instant>,
 }
 
 impl Deadlines {
     fn is_lost(&self, now: Instant) -> bool {
-        self.lost.is_some_and(|at| at <= now)
+        self.lost_at.is_some_and(|at| at <= now)
     }
 
-    fn is_silent(&self, now: Instant) -> bool {
-        self.silent <= now
+    fn is_unreachable(&self, now: Instant) -> bool {
+        self.unreachable_at <= now
     }
 }
 
@@ -89,31 +89,31 @@
     active_until: Option<Instant>,
     /// Counts the answers that were sent while no balancer was heard, to try
     /// all in turn.
-    turn: usize,
+    fallback_index: usize,
 }
 
 impl<P: BalancerPolicy> BalancerTracker<P> {
     /// Replaces the known balancers. A new one is used once it is heard.
-    pub fn set(&mut self, now: Instant, addresses: &BTreeSet<SocketAddr>) {
+    pub fn set_known(&mut self, now: Instant, addresses: &BTreeSet<SocketAddr>) {
         self.known.retain(|address, _| addresses.contains(address));
-        let unheard = Deadlines {
-            silent: now,
-            probe: now,
-            idle_probe: now,
-            lost: None,
+        let deadlines = Deadlines {
+            unreachable_at: now,
+            probe_at: now,
+            idle_probe_at: now,
+            lost_at: None,
         };
         for &address in addresses {
-            self.known.entry(address).or_insert(unheard);
+            self.known.entry(address).or_insert(deadlines);
         }
     }
 
     /// Notes a datagram of a balancer; one of another sender is ignored.
-    pub fn heard(&mut self, now: Instant, from: SocketAddr) {
+    pub fn note_datagram(&mut self, now: Instant, from: SocketAddr) {
         if let Some(deadlines) = self.known.get_mut(&from) {
-            deadlines.silent = now + SILENCE;
-            deadlines.probe = now + PROBE_AFTER;
-            deadlines.idle_probe = now + IDLE_PROBE;
-            deadlines.lost = None;
+            deadlines.unreachable_at = now + UNREACHABLE_TIMEOUT;
+            deadlines.probe_at = now + KEEPALIVE_PROBE_DELAY;
+            deadlines.idle_probe_at = now + IDLE_PROBE_INTERVAL;
+            deadlines.lost_at = None;
         }
     }
 
@@ -121,14 +121,14 @@
     /// balancers that are heard. If there is none, those that are not lost are
     /// tried in turn, and else all.
     pub fn choose(&mut self, now: Instant, random: usize) -> Option<SocketAddr> {
-        self.active_until = Some(now + ACTIVE);
-        let heard = self.nth(random, |d| P::is_usable(now, d.silent));
-        if heard.is_some() {
-            return heard;
+        self.active_until = Some(now + ACTIVE_PERIOD);
+        let reachable = self.nth(random, |d| P::is_usable(now, d.unreachable_at));
+        if reachable.is_some() {
+            return reachable;
         }
-        self.turn += 1;
-        self.nth(self.turn, |d| !d.is_lost(now))
-            .or_else(|| self.nth(self.turn, |_| true))
+        self.fallback_index += 1;
+        self.nth(self.fallback_index, |d| !d.is_lost(now))
+            .or_else(|| self.nth(self.fallback_index, |_| true))
     }
 
     /// The `n`th of the balancers that `usable` accepts, counted in a circle.
@@ -141,16 +141,16 @@
 
     /// Takes the balancers that are to be probed now.
     pub fn due_probes(&mut self, now: Instant) -> BTreeSet<SocketAddr> {
-        let idle = self.known.iter().filter(|(_, d)| d.idle_probe <= now);
-        let mut due: BTreeSet<_> = idle.map(|(&address, _)| address).collect();
+        let idle_due = self.known.iter().filter(|(_, d)| d.idle_probe_at <= now);
+        let mut due: BTreeSet<_> = idle_due.map(|(&address, _)| address).collect();
         if self.active_until.is_some_and(|until| now < until) {
-            due.extend(self.to_keep(now));
+            due.extend(self.keepalive_probes(now));
         }
         for address in &due {
             if let Some(deadlines) = self.known.get_mut(address) {
-                deadlines.probe = now + PROBE_AFTER;
-                deadlines.idle_probe = now + IDLE_PROBE;
-                deadlines.lost.get_or_insert(now + PROBE_ANSWER);
+                deadlines.probe_at = now + KEEPALIVE_PROBE_DELAY;
+                deadlines.idle_probe_at = now + IDLE_PROBE_INTERVAL;
+                deadlines.lost_at.get_or_insert(now + PROBE_TIMEOUT);
             }
         }
         due
@@ -158,29 +158,37 @@
 
     /// BalancerTracker to probe so that enough are kept heard: those that are still
     /// heard before silent ones, and then those whose probe is longest ago.
-    fn to_keep(&self, now: Instant) -> Vec<SocketAddr> {
-        let kept = self.known.values().filter(|d| now < d.probe).count();
-        let mut others: Vec<_> = self
+    fn keepalive_probes(&self, now: Instant) -> Vec<SocketAddr> {
+        let recent_count = self.known.values().filter(|d| now < d.probe_at).count();
+        let mut candidates: Vec<_> = self
             .known
             .iter()
-            .filter(|(_, d)| d.probe <= now)
-            .map(|(&address, d)| (d.is_silent(now), d.probe, address))
+            .filter(|(_, d)| d.probe_at <= now)
+            .map(|(&address, d)| (d.is_unreachable(now), d.probe_at, address))
             .collect();
-        others.sort_unstable();
-        let missing = KEPT.saturating_sub(kept);
-        let missing = others.into_iter().take(missing);
+        candidates.sort_unstable();
+        let missing = MIN_REACHABLE_BALANCERS.saturating_sub(recent_count);
+        let missing = candidates.into_iter().take(missing);
         missing.map(|(_, _, address)| address).collect()
     }
 
     /// When the next probe is due.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Instant> {
-        let idle = self.known.values().map(|d| d.idle_probe).min()?;
-        let mut kept: Vec<_> = self.known.values().map(|d| d.probe).collect();
-        kept.sort_unstable_by(|a, b| b.cmp(a));
+        let next_idle_probe = self.known.values().map(|d| d.idle_probe_at).min()?;
+        let mut probe_times: Vec<_> = self.known.values().map(|d| d.probe_at).collect();
+        probe_times.sort_unstable_by(|a, b| b.cmp(a));
         // From then on fewer than the wanted number were heard or probed lately.
-        let keep = kept.get(KEPT - 1).or(kept.last()).copied();
-        let keep = keep.filter(|at| self.active_until.is_some_and(|until| *at < until));
-        Some(keep.map_or(idle, |keep| idle.min(keep)))
+        let keepalive_probe_at = probe_times
+            .get(MIN_REACHABLE_BALANCERS - 1)
+            .or(probe_times.last())
+            .copied();
+        let keepalive_probe_at =
+            keepalive_probe_at.filter(|at| self.active_until.is_some_and(|until| *at < until));
+        Some(
+            keepalive_probe_at.map_or(next_idle_probe, |keepalive_probe_at| {
+                next_idle_probe.min(keepalive_probe_at)
+            }),
+        )
     }
 }
--- a/crates/agent/src/process/commands.rs
+++ b/crates/agent/src/process/commands.rs
@@ -13,15 +13,15 @@
 };
 use wire::{OfferRequest, ReserveReply, ReserveRequest};
 
-use crate::{request::Failed, version::Peer};
+use crate::{request::AttemptError, version::Peer};
 
 /// What a request may do.
 #[derive(Debug)]
-pub enum Grant {
+pub enum AdmissionReply {
     /// Send it to the upstream; a slot is taken.
     Run,
     /// Send it to a peer, which holds a slot.
-    Pass {
+    HandOff {
         /// The peer's identity.
         upstream: UpstreamId,
         /// The peer.
@@ -35,7 +35,7 @@
 
 /// What a version tells the task.
 #[derive(Debug)]
-pub struct AdmissionView {
+pub struct AdmissionConfig {
     /// Service whose requests are served; none while it is not configured.
     pub service: Option<ServiceId>,
     /// Target of each class of work.
@@ -48,7 +48,7 @@
 
 /// What the agent announces.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Summary {
+pub struct UpstreamStatus {
     /// State of the upstream.
     pub state: UpstreamState,
     /// Load of each class of work.
@@ -61,13 +61,13 @@
 #[derive(Debug)]
 pub enum AdmissionCommand {
     /// A request arrived; the grant is its only answer.
-    Arrive(RequestInfo, oneshot::Sender<Grant>),
+    Arrive(RequestInfo, oneshot::Sender<AdmissionReply>),
     /// A request that ran here ended.
     Finish(RequestId, RequestOutcome),
     /// A request that waited or ran here is gone.
     Cancel(RequestId),
     /// An attempt failed; says what to do.
-    Judge(Attempt, oneshot::Sender<RetryDecision>),
+    CheckRetry(Attempt, oneshot::Sender<RetryDecision>),
     /// A peer asks for a slot.
     Reserve(ReserveRequest, oneshot::Sender<ReserveReply>),
     /// A peer sends a request against its reservation.
@@ -81,17 +81,17 @@
     /// A connection was closed.
     CloseConnection,
     /// The upstream reports its load of a class.
-    Report(ClassName, LoadReport),
+    LoadReport(ClassName, LoadReport),
     /// A connection to the upstream was opened or could not be.
-    Connected(bool),
+    ConnectResult(bool),
     /// A new version is in force.
-    View(AdmissionView),
+    Configure(AdmissionConfig),
     /// New loads of peers.
     PeerLoads(BTreeMap<UpstreamId, Loads>),
     /// A peer answered a question of this task.
     PeerAnswered(RequestId, UpstreamId, ReservationId, PeerAnswer),
     /// What to announce.
-    Summarise(oneshot::Sender<Summary>),
+    GetStatus(oneshot::Sender<UpstreamStatus>),
 }
 
 /// Sends commands to the task.
@@ -117,13 +117,13 @@
     }
 
     /// Tells the task what an attempt shows of the upstream.
-    pub fn note_attempt<T>(&self, result: &std::result::Result<T, Failed>) {
+    pub fn report_attempt<T>(&self, result: &std::result::Result<T, AttemptError>) {
         let connected = match result {
             Ok(_) => Some(true),
-            Err(failed) => failed.connected(),
+            Err(attempt_error) => attempt_error.upstream_connected(),
         };
         if let Some(ok) = connected {
-            self.send(AdmissionCommand::Connected(ok));
+            self.send(AdmissionCommand::ConnectResult(ok));
         }
     }
 
--- a/crates/agent/src/process/datagram.rs
+++ b/crates/agent/src/process/datagram.rs
@@ -17,57 +17,57 @@
 
 use super::{
     balancers::{BalancerPolicy, BalancerTracker},
+    endpoint_socket::CallerPacket,
     metrics::Metrics,
-    placement::{Placement, Placements},
-    port::Packet,
+    packet_router::{PacketDecision, PacketRouter},
 };
 
 /// Room for the largest UDP payload and a prefix.
-const BUFFER: usize = (64 << 10) + wire::MAX_PREFIX_LEN;
+const BUFFER_BYTES: usize = (64 << 10) + wire::MAX_PREFIX_LEN;
 
 /// Datagrams handled in each direction before commands are looked at.
-const BATCH: usize = 64;
+const MAX_BATCH_DATAGRAMS: usize = 64;
 
 /// Pause that bounds how late a due probe may be sent when nothing else
 /// happens.
-const IDLE: Duration = Duration::from_secs(1);
+const MAX_IDLE_WAIT: Duration = Duration::from_secs(1);
 
 /// What a version tells the task.
 #[derive(Debug)]
-pub struct DatagramView {
+pub struct DatagramConfig {
     /// State of the service, if it is configured.
     pub service: Option<ServiceState>,
     /// Where the balancers take answers.
     pub balancers: BTreeSet<SocketAddr>,
     /// Keys of connection ids.
-    pub keys: Option<CidCodec>,
+    pub cid_codec: Option<CidCodec>,
 }
 
 /// A message to the task.
 #[derive(Debug)]
 pub enum DatagramCommand {
     /// A new version is in force.
-    View(Box<DatagramView>),
+    Configure(Box<DatagramConfig>),
     /// The upstream leaves, or no longer does.
-    Leaving(bool),
+    SetLeaving(bool),
 }
 
 /// The task that owns the data socket.
 pub struct DatagramTask<P: BalancerPolicy> {
     socket: UdpSocket,
     commands: mpsc::Receiver<DatagramCommand>,
-    to_endpoint: mpsc::Sender<Packet>,
-    from_endpoint: mpsc::Receiver<Packet>,
-    placements: Placements,
+    to_endpoint: mpsc::Sender<CallerPacket>,
+    from_endpoint: mpsc::Receiver<CallerPacket>,
+    packet_router: PacketRouter,
     balancers: BalancerTracker<P>,
     metrics: Metrics,
-    buf: Vec<u8>,
+    recv_buf: Vec<u8>,
     /// Datagram that is being put together.
-    out: Vec<u8>,
+    send_buf: Vec<u8>,
 }
 
 /// What woke the task.
-enum Wake {
+enum WakeReason {
     Command(Option<DatagramCommand>),
     Datagrams,
 }
@@ -75,11 +75,11 @@
 impl<P: BalancerPolicy> DatagramTask<P> {
     /// Creates the task.
     pub fn new(
-        own: UpstreamId,
+        own_id: UpstreamId,
         socket: UdpSocket,
         commands: mpsc::Receiver<DatagramCommand>,
-        to_endpoint: mpsc::Sender<Packet>,
-        from_endpoint: mpsc::Receiver<Packet>,
+        to_endpoint: mpsc::Sender<CallerPacket>,
+        from_endpoint: mpsc::Receiver<CallerPacket>,
         metrics: Metrics,
     ) -> Self {
         DatagramTask {
@@ -87,54 +87,54 @@
             commands,
             to_endpoint,
             from_endpoint,
-            placements: Placements::new(Instant::now(), own),
+            packet_router: PacketRouter::new(Instant::now(), own_id),
             balancers: BalancerTracker::default(),
             metrics,
-            buf: vec![0; BUFFER],
-            out: Vec::with_capacity(BUFFER),
+            recv_buf: vec![0; BUFFER_BYTES],
+            send_buf: Vec::with_capacity(BUFFER_BYTES),
         }
     }
 
     /// Runs until the agent ends.
     pub async fn run(mut self) {
         loop {
-            let idle = Instant::now() + IDLE;
-            let probe_at = self.balancers.next_deadline().unwrap_or(idle);
-            let wake = tokio::select! {
-                wake = poll_fn(|cx| self.poll_wake(cx)) => Some(wake),
+            let idle_until = Instant::now() + MAX_IDLE_WAIT;
+            let probe_at = self.balancers.next_deadline().unwrap_or(idle_until);
+            let reason = tokio::select! {
+                reason = poll_fn(|cx| self.poll_next(cx)) => Some(reason),
                 () = sleep_until(probe_at.into()) => None,
             };
-            match wake {
-                Some(Wake::Command(Some(command))) => self.apply(command),
-                Some(Wake::Command(None)) => return,
-                Some(Wake::Datagrams) => {}
+            match reason {
+                Some(WakeReason::Command(Some(command))) => self.apply(command),
+                Some(WakeReason::Command(None)) => return,
+                Some(WakeReason::Datagrams) => {}
                 None => self.probe(),
             }
         }
     }
 
-    fn poll_wake(&mut self, cx: &mut Context<'_>) -> Poll<Wake> {
+    fn poll_next(&mut self, cx: &mut Context<'_>) -> Poll<WakeReason> {
         if let Poll::Ready(command) = self.commands.poll_recv(cx) {
-            return Poll::Ready(Wake::Command(command));
+            return Poll::Ready(WakeReason::Command(command));
         }
         let inbound = self.poll_inbound(cx);
         let outbound = self.poll_outbound(cx);
         if inbound.is_pending() && outbound.is_pending() {
             return Poll::Pending;
         }
-        Poll::Ready(Wake::Datagrams)
+        Poll::Ready(WakeReason::Datagrams)
     }
 
     fn poll_inbound(&mut self, cx: &mut Context<'_>) -> Poll<()> {
-        for _ in 0..BATCH {
-            let mut read = ReadBuf::new(&mut self.buf);
+        for _ in 0..MAX_BATCH_DATAGRAMS {
+            let mut read = ReadBuf::new(&mut self.recv_buf);
             match self.socket.poll_recv_from(cx, &mut read) {
                 Poll::Pending => return Poll::Pending,
                 // Errors of earlier sends show up here and concern no datagram.
                 Poll::Ready(Err(_)) => {}
                 Poll::Ready(Ok(from)) => {
                     let len = read.filled().len();
-                    self.receive(from, len);
+                    self.handle_datagram(from, len);
                 }
             }
         }
@@ -142,73 +142,73 @@
     }
 
     fn poll_outbound(&mut self, cx: &mut Context<'_>) -> Poll<()> {
-        for _ in 0..BATCH {
+        for _ in 0..MAX_BATCH_DATAGRAMS {
             match self.from_endpoint.poll_recv(cx) {
                 Poll::Pending | Poll::Ready(None) => return Poll::Pending,
-                Poll::Ready(Some(packet)) => self.answer(&packet),
+                Poll::Ready(Some(packet)) => self.send_to_caller(&packet),
             }
         }
         Poll::Ready(())
     }
 
     /// Handles the datagram in the first `len` bytes of the buffer.
-    fn receive(&mut self, from: SocketAddr, len: usize) {
+    fn handle_datagram(&mut self, from: SocketAddr, len: usize) {
         let now = Instant::now();
-        let (endpoints, arrival, payload) = match Prefix::decode(&self.buf[..len]) {
-            Ok((Prefix::Local, _)) => return self.balancers.heard(now, from),
+        let (endpoints, arrival, payload) = match Prefix::decode(&self.recv_buf[..len]) {
+            Ok((Prefix::Local, _)) => return self.balancers.note_datagram(now, from),
             Ok((Prefix::Proxy(endpoints), payload)) => (endpoints, Arrival::Forwarded, payload),
             Ok((Prefix::PassedOn(endpoints), payload)) => (endpoints, Arrival::PassedOn, payload),
-            Err(e) => return self.metrics.count_drop(e.category().as_str()),
+            Err(e) => return self.metrics.count_dropped_datagram(e.category().as_str()),
         };
         let payload = Bytes::copy_from_slice(payload);
-        self.balancers.heard(now, from);
-        let placement = self
-            .placements
+        self.balancers.note_datagram(now, from);
+        let decision = self
+            .packet_router
             .decide(now, endpoints.service, arrival, &payload);
-        match placement {
-            Placement::Own => self.deliver(endpoints.caller, payload),
-            Placement::Other(hop) => self.pass_on(&endpoints, &payload, hop),
-            Placement::None(cause) => self.metrics.count_drop(cause),
+        match decision {
+            PacketDecision::Deliver => self.deliver(endpoints.caller, payload),
+            PacketDecision::PassOn(hop) => self.pass_on(&endpoints, &payload, hop),
+            PacketDecision::Drop(cause) => self.metrics.count_dropped_datagram(cause),
         }
     }
 
     fn deliver(&mut self, caller: SocketAddr, payload: Bytes) {
-        let packet = Packet { caller, payload };
+        let packet = CallerPacket { caller, payload };
         match self.to_endpoint.try_send(packet) {
-            Ok(()) => self.metrics.received.inc(),
-            Err(_) => self.metrics.count_drop("endpoint_full"),
+            Ok(()) => self.metrics.received_datagrams.inc(),
+            Err(_) => self.metrics.count_dropped_datagram("endpoint_full"),
         }
     }
 
     fn pass_on(&mut self, endpoints: &Endpoints, payload: &[u8], hop: Hop) {
-        self.out.clear();
-        endpoints.encode_passed_on(&mut self.out);
-        self.out.extend_from_slice(payload);
-        match self.socket.try_send_to(&self.out, hop.address) {
-            Ok(_) => self.metrics.passed_on.inc(),
-            Err(_) => self.metrics.count_drop("send"),
+        self.send_buf.clear();
+        endpoints.encode_passed_on(&mut self.send_buf);
+        self.send_buf.extend_from_slice(payload);
+        match self.socket.try_send_to(&self.send_buf, hop.address) {
+            Ok(_) => self.metrics.passed_on_datagrams.inc(),
+            Err(_) => self.metrics.count_dropped_datagram("send"),
         }
     }
 
     /// Sends a packet of the endpoint to its caller, through a balancer.
-    fn answer(&mut self, packet: &Packet) {
-        let Some(service) = self.placements.service_address() else {
-            return self.metrics.count_drop("unknown_service");
+    fn send_to_caller(&mut self, packet: &CallerPacket) {
+        let Some(service) = self.packet_router.service_address() else {
+            return self.metrics.count_dropped_datagram("unknown_service");
         };
         let random = rand::rng().random_range(0..usize::MAX);
         let Some(balancer) = self.balancers.choose(Instant::now(), random) else {
-            return self.metrics.count_drop("no_balancer");
+            return self.metrics.count_dropped_datagram("no_balancer");
         };
         let endpoints = Endpoints {
             caller: packet.caller,
             service,
         };
-        self.out.clear();
-        endpoints.encode(&mut self.out);
-        self.out.extend_from_slice(&packet.payload);
-        match self.socket.try_send_to(&self.out, balancer) {
-            Ok(_) => self.metrics.sent.inc(),
-            Err(_) => self.metrics.count_drop("send"),
+        self.send_buf.clear();
+        endpoints.encode(&mut self.send_buf);
+        self.send_buf.extend_from_slice(&packet.payload);
+        match self.socket.try_send_to(&self.send_buf, balancer) {
+            Ok(_) => self.metrics.sent_datagrams.inc(),
+            Err(_) => self.metrics.count_dropped_datagram("send"),
         }
     }
 
@@ -222,10 +222,11 @@
 
     fn apply(&mut self, command: DatagramCommand) {
         match command {
-            DatagramCommand::Leaving(leaving) => self.placements.set_leaving(leaving),
-            DatagramCommand::View(view) => {
-                self.balancers.set(Instant::now(), &view.balancers);
-                self.placements.set(view.service, view.keys);
+            DatagramCommand::SetLeaving(leaving) => self.packet_router.set_leaving(leaving),
+            DatagramCommand::Configure(config) => {
+                self.balancers.set_known(Instant::now(), &config.balancers);
+                self.packet_router
+                    .configure(config.service, config.cid_codec);
             }
         }
     }
--- a/crates/agent/src/process/port.rs
+++ b/crates/agent/src/process/endpoint_socket.rs
@@ -18,7 +18,7 @@
 
 /// A datagram of a caller, or an answer to it.
 #[derive(Debug, Clone)]
-pub struct Packet {
+pub struct CallerPacket {
     /// The caller.
     pub caller: SocketAddr,
     /// The QUIC packet.
@@ -27,24 +27,24 @@
 
 /// The endpoint's end of the two channels.
 #[derive(Debug)]
-pub struct Port {
+pub struct EndpointSocket {
     /// Locked only by the endpoint's own task; quinn's trait takes `&self`.
-    rx: Mutex<mpsc::Receiver<Packet>>,
-    tx: mpsc::Sender<Packet>,
+    rx: Mutex<mpsc::Receiver<CallerPacket>>,
+    tx: mpsc::Sender<CallerPacket>,
 }
 
-impl Port {
+impl EndpointSocket {
     /// Creates the endpoint's end.
     #[must_use]
-    pub fn new(rx: mpsc::Receiver<Packet>, tx: mpsc::Sender<Packet>) -> Self {
-        Port {
+    pub fn new(rx: mpsc::Receiver<CallerPacket>, tx: mpsc::Sender<CallerPacket>) -> Self {
+        EndpointSocket {
             rx: Mutex::new(rx),
             tx,
         }
     }
 }
 
-impl AsyncUdpSocket for Port {
+impl AsyncUdpSocket for EndpointSocket {
     fn create_io_poller(self: Arc<Self>) -> Pin<Box<dyn UdpPoller>> {
         Box::pin(AlwaysWritable)
     }
@@ -52,7 +52,7 @@
     /// Sends by message. A datagram that finds the channel full is lost, as on
     /// a full socket buffer; QUIC's congestion control slows down.
     fn try_send(&self, transmit: &udp::Transmit<'_>) -> io::Result<()> {
-        let _ = self.tx.try_send(Packet {
+        let _ = self.tx.try_send(CallerPacket {
             caller: transmit.destination,
             payload: Bytes::copy_from_slice(transmit.contents),
         });
--- a/crates/agent/src/process/keys.rs
+++ b/crates/agent/src/process/keys.rs
@@ -21,17 +21,17 @@
 
 /// Time for a home to answer. Several times the delay between data centres, so
 /// that a lost packet fits in.
-const HOME_ANSWER: Duration = Duration::from_millis(150);
+const HOME_REPLY_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// Times that a home is asked or told before it is given up.
-const TRIES: u32 = 3;
+const MAX_HOME_ATTEMPTS: u32 = 3;
 
 /// Pause before the next try. A home that has changed is known by then.
-const PAUSE: Duration = Duration::from_millis(50);
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// A request of this agent that asks its key's home.
 #[derive(Debug)]
-pub struct Ask {
+pub struct HomeQuery {
     /// The key.
     pub key: IdempotencyKey,
     /// What the request asks.
@@ -39,22 +39,22 @@
     /// Random number of the attempt.
     pub attempt: u64,
     /// Times that a home was asked.
-    pub tries: u32,
+    pub query_count: u32,
     /// Whoever waits.
-    pub tx: oneshot::Sender<Asked>,
+    pub tx: oneshot::Sender<HomeReply>,
 }
 
 /// Answer to an [`Ask`].
 #[derive(Debug)]
-pub struct Asked {
+pub struct HomeReply {
     /// The home that answered; none if no home did.
     pub home: Option<UpstreamId>,
     /// Its answer; [`BeginReply::Indeterminate`] if no home answered.
     pub begin: BeginReply,
 }
 
-impl Asked {
-    const UNANSWERED: Asked = Asked {
+impl HomeReply {
+    const NO_ANSWER: HomeReply = HomeReply {
         home: None,
         begin: BeginReply::Indeterminate,
     };
@@ -62,16 +62,16 @@
 
 /// A message to the task.
 #[derive(Debug)]
-pub enum KeysCommand {
+pub enum IdempotencyCommand {
     /// A new version is in force.
-    View(Option<ServiceState>),
+    Configure(Option<ServiceState>),
     /// The version in force was current when an exchange began that the
     /// control group has confirmed.
-    Confirmed(Instant),
+    VersionConfirmed(Instant),
     /// A request of this agent asks its key's home.
-    Ask(Ask),
+    QueryHome(HomeQuery),
     /// A request of this agent that a home has let run has ended.
-    Report(EndRequest),
+    ReportEnd(EndRequest),
     /// A peer asks this agent as a home.
     Begin(BeginRequest, oneshot::Sender<BeginReply>),
     /// A peer tells this agent as a home.
@@ -83,47 +83,52 @@
 /// The channel is unbounded, because the end of a request must be noted
 /// whatever waits; each request sends a fixed number of commands.
 #[derive(Debug, Clone)]
-pub struct KeysHandle {
-    tx: mpsc::UnboundedSender<KeysCommand>,
+pub struct IdempotencyHandle {
+    tx: mpsc::UnboundedSender<IdempotencyCommand>,
 }
 
-impl KeysHandle {
+impl IdempotencyHandle {
     /// Creates the handle and the task's end.
     #[must_use]
-    pub fn channel() -> (Self, mpsc::UnboundedReceiver<KeysCommand>) {
+    pub fn channel() -> (Self, mpsc::UnboundedReceiver<IdempotencyCommand>) {
         let (tx, rx) = mpsc::unbounded_channel();
-        (KeysHandle { tx }, rx)
+        (IdempotencyHandle { tx }, rx)
     }
 
     /// Sends a command. Does nothing once the task has ended.
-    pub fn send(&self, command: KeysCommand) {
+    pub fn send(&self, command: IdempotencyCommand) {
         let _ = self.tx.send(command);
     }
 
     /// Asks the home of a key whether a request may run.
-    pub async fn ask(&self, key: IdempotencyKey, fingerprint: Fingerprint, attempt: u64) -> Asked {
+    pub async fn query_home(
+        &self,
+        key: IdempotencyKey,
+        fingerprint: Fingerprint,
+        attempt: u64,
+    ) -> HomeReply {
         let (tx, rx) = oneshot::channel();
-        self.send(KeysCommand::Ask(Ask {
+        self.send(IdempotencyCommand::QueryHome(HomeQuery {
             key,
             fingerprint,
             attempt,
-            tries: 0,
+            query_count: 0,
             tx,
         }));
-        rx.await.unwrap_or(Asked::UNANSWERED)
+        rx.await.unwrap_or(HomeReply::NO_ANSWER)
     }
 
     /// Answers a peer that asks this agent as a home.
     pub async fn begin(&self, req: BeginRequest) -> BeginReply {
         let (tx, rx) = oneshot::channel();
-        self.send(KeysCommand::Begin(req, tx));
+        self.send(IdempotencyCommand::Begin(req, tx));
         rx.await.unwrap_or(BeginReply::NotHome)
     }
 }
 
 /// The task that owns the results kept under idempotency keys.
-pub struct KeysTask {
-    own: UpstreamId,
+pub struct IdempotencyTask {
+    own_id: UpstreamId,
     home: Home,
     service: Option<ServiceId>,
     /// Members of the service in the version in force.
@@ -131,23 +136,23 @@
     /// Where the other members take requests.
     peers: BTreeMap<UpstreamId, SocketAddr>,
     http: Http,
-    handle: KeysHandle,
-    rx: mpsc::UnboundedReceiver<KeysCommand>,
+    handle: IdempotencyHandle,
+    rx: mpsc::UnboundedReceiver<IdempotencyCommand>,
 }
 
-impl KeysTask {
+impl IdempotencyTask {
     /// Creates the task.
     #[must_use]
     pub fn new(
         settings: Settings,
-        own: UpstreamId,
+        own_id: UpstreamId,
         http: Http,
-        handle: KeysHandle,
-        rx: mpsc::UnboundedReceiver<KeysCommand>,
+        handle: IdempotencyHandle,
+        rx: mpsc::UnboundedReceiver<IdempotencyCommand>,
     ) -> Self {
-        KeysTask {
-            own,
-            home: Home::new(settings, own),
+        IdempotencyTask {
+            own_id,
+            home: Home::new(settings, own_id),
             service: None,
             members: BTreeSet::new(),
             peers: BTreeMap::new(),
@@ -161,20 +166,21 @@
     pub async fn run(mut self) {
         while let Some(command) = self.rx.recv().await {
             match command {
-                KeysCommand::View(service) => self.apply(service),
-                KeysCommand::Confirmed(began) => {
-                    self.home.confirm_members(began, unix_now(), &self.members);
+                IdempotencyCommand::Configure(service) => self.apply(service),
+                IdempotencyCommand::VersionConfirmed(started_at) => {
+                    self.home
+                        .confirm_members(started_at, unix_now(), &self.members);
                 }
-                KeysCommand::Ask(ask) => self.ask(ask),
-                KeysCommand::Report(req) => self.report(req),
-                KeysCommand::Begin(req, tx) => {
+                IdempotencyCommand::QueryHome(query) => self.query_home(query),
+                IdempotencyCommand::ReportEnd(req) => self.report_end(req),
+                IdempotencyCommand::Begin(req, tx) => {
                     // The peer may be gone; its record then waits for its end.
                     let _ = tx.send(self.begin(&req));
                 }
-                KeysCommand::End(req) if req.home == self.own => {
+                IdempotencyCommand::End(req) if req.home == self.own_id => {
                     self.home.end(unix_now(), req.key, req.end);
                 }
-                KeysCommand::End(_) => {}
+                IdempotencyCommand::End(_) => {}
             }
         }
     }
@@ -189,41 +195,41 @@
             .collect();
     }
 
-    fn ask(&mut self, ask: Ask) {
-        let (Some(service), Some(home)) = (self.service, home_of(ask.key, &self.members)) else {
+    fn query_home(&mut self, query: HomeQuery) {
+        let (Some(service), Some(home)) = (self.service, home_of(query.key, &self.members)) else {
             // Whoever waited may be gone.
-            let _ = ask.tx.send(Asked::UNANSWERED);
+            let _ = query.tx.send(HomeReply::NO_ANSWER);
             return;
         };
         let req = BeginRequest {
             service,
             home,
-            key: ask.key,
-            fingerprint: ask.fingerprint,
+            key: query.key,
+            fingerprint: query.fingerprint,
             from: AttemptId {
-                upstream: self.own,
-                attempt: ask.attempt,
+                upstream: self.own_id,
+                attempt: query.attempt,
             },
         };
-        if home == self.own {
+        if home == self.own_id {
             let begin = self.begin(&req);
-            return answer(&self.handle, ask, home, begin);
+            return resolve_query(&self.handle, query, home, begin);
         }
         let Some(&address) = self.peers.get(&home) else {
-            return answer(&self.handle, ask, home, BeginReply::NotHome);
+            return resolve_query(&self.handle, query, home, BeginReply::NotHome);
         };
         let (http, handle) = (self.http.clone(), self.handle.clone());
         actix_rt::spawn(async move {
-            let deadline = Instant::now() + HOME_ANSWER;
+            let deadline = Instant::now() + HOME_REPLY_TIMEOUT;
             let begin = http.post(address, BEGIN_PATH, &req, deadline).await;
             // A home that does not answer may have noted the attempt; asking
             // again as the same attempt is harmless.
-            answer(&handle, ask, home, begin.unwrap_or(BeginReply::NotHome));
+            resolve_query(&handle, query, home, begin.unwrap_or(BeginReply::NotHome));
         });
     }
 
     fn begin(&mut self, req: &BeginRequest) -> BeginReply {
-        if req.home != self.own || Some(req.service) != self.service {
+        if req.home != self.own_id || Some(req.service) != self.service {
             return BeginReply::NotHome;
         }
         let (now, date) = (Instant::now(), unix_now());
@@ -231,8 +237,8 @@
             .begin(now, date, req.key, req.fingerprint, req.from)
     }
 
-    fn report(&mut self, req: EndRequest) {
-        if req.home == self.own {
+    fn report_end(&mut self, req: EndRequest) {
+        if req.home == self.own_id {
             return self.home.end(unix_now(), req.key, req.end);
         }
         let Some(&address) = self.peers.get(&req.home) else {
@@ -240,13 +246,13 @@
         };
         let http = self.http.clone();
         actix_rt::spawn(async move {
-            for _ in 0..TRIES {
-                let deadline = Instant::now() + HOME_ANSWER;
-                let told: client::Result<()> = http.post(address, END_PATH, &req, deadline).await;
-                if told.is_ok() {
+            for _ in 0..MAX_HOME_ATTEMPTS {
+                let deadline = Instant::now() + HOME_REPLY_TIMEOUT;
+                let result: client::Result<()> = http.post(address, END_PATH, &req, deadline).await;
+                if result.is_ok() {
                     return;
                 }
-                sleep(PAUSE).await;
+                sleep(RETRY_DELAY).await;
             }
             // The key stays in progress until this agent's lease ends.
             log::warn!(event = "end_not_reported", key:% = req.key; "the key's home does not answer");
@@ -255,19 +261,24 @@
 }
 
 /// Answers whoever waits, or asks again if no home has answered.
-fn answer(handle: &KeysHandle, mut ask: Ask, home: UpstreamId, begin: BeginReply) {
-    ask.tries += 1;
+fn resolve_query(
+    handle: &IdempotencyHandle,
+    mut query: HomeQuery,
+    home: UpstreamId,
+    begin: BeginReply,
+) {
+    query.query_count += 1;
     // Whoever waits may be gone.
     if begin != BeginReply::NotHome {
         let home = Some(home);
-        let _ = ask.tx.send(Asked { home, begin });
-    } else if ask.tries >= TRIES {
-        let _ = ask.tx.send(Asked::UNANSWERED);
+        let _ = query.tx.send(HomeReply { home, begin });
+    } else if query.query_count >= MAX_HOME_ATTEMPTS {
+        let _ = query.tx.send(HomeReply::NO_ANSWER);
     } else {
         let handle = handle.clone();
         actix_rt::spawn(async move {
-            sleep(PAUSE).await;
-            handle.send(KeysCommand::Ask(ask));
+            sleep(RETRY_DELAY).await;
+            handle.send(IdempotencyCommand::QueryHome(query));
         });
     }
 }
--- a/crates/agent/src/process/load.rs
+++ b/crates/agent/src/process/load.rs
@@ -15,15 +15,15 @@
 
 /// Time between two readings. A report is dropped after
 /// [`admit::Settings::report_lifetime`], so that several may fail in between.
-const INTERVAL: Duration = Duration::from_millis(500);
+const FETCH_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Largest report in bytes.
-const MAX_REPORT: usize = 64 << 10;
+const MAX_REPORT_BYTES: usize = 64 << 10;
 
 /// Load of one class, as the upstream's endpoint reports it in JSON:
 /// `{"default": {"slots": 7, "in_flight": 3}}`.
 #[derive(Debug, Clone, Copy, Deserialize)]
-struct Reported {
+struct ReportedLoad {
     slots: Slots,
     in_flight: Slots,
 }
@@ -52,29 +52,30 @@
     /// Runs until it is aborted.
     pub async fn run(self) {
         loop {
-            let next = Instant::now() + INTERVAL;
-            match timeout_at(next.into(), self.read()).await {
-                Ok(Some(report)) => self.pass_on(report),
+            let fetch_at = Instant::now() + FETCH_INTERVAL;
+            match timeout_at(fetch_at.into(), self.fetch_report()).await {
+                Ok(Some(report)) => self.send_report(report),
                 // The admission drops a report that is not renewed.
                 Ok(None) | Err(_) => log::debug!(event = "load_report_failed"; "no load report"),
             }
-            sleep_until(next.into()).await;
+            sleep_until(fetch_at.into()).await;
         }
     }
 
-    async fn read(&self) -> Option<BTreeMap<ClassName, Reported>> {
+    async fn fetch_report(&self) -> Option<BTreeMap<ClassName, ReportedLoad>> {
         let mut response = self.client.get(&self.url).send().await.ok()?;
         if !response.status().is_success() {
             return None;
         }
-        let body = response.body().limit(MAX_REPORT).await.ok()?;
+        let body = response.body().limit(MAX_REPORT_BYTES).await.ok()?;
         serde_json::from_slice(&body).ok()
     }
 
-    fn pass_on(&self, report: BTreeMap<ClassName, Reported>) {
-        for (class, Reported { slots, in_flight }) in report {
+    fn send_report(&self, report: BTreeMap<ClassName, ReportedLoad>) {
+        for (class, ReportedLoad { slots, in_flight }) in report {
             let report = LoadReport { slots, in_flight };
-            self.admission.send(AdmissionCommand::Report(class, report));
+            self.admission
+                .send(AdmissionCommand::LoadReport(class, report));
         }
     }
 }
--- a/crates/agent/src/process/metrics.rs
+++ b/crates/agent/src/process/metrics.rs
@@ -10,20 +10,20 @@
 #[derive(Debug, Clone)]
 pub struct Metrics {
     /// Datagrams of callers that were taken.
-    pub received: IntCounter,
+    pub received_datagrams: IntCounter,
     /// Datagrams that were sent to callers.
-    pub sent: IntCounter,
+    pub sent_datagrams: IntCounter,
     /// First packets that were passed on to a peer.
-    pub passed_on: IntCounter,
+    pub passed_on_datagrams: IntCounter,
     /// Connections that are open.
-    pub connections: IntGauge,
+    pub open_connections: IntGauge,
     /// Connections that were refused, by reason.
     pub refused_connections: IntCounterVec,
     /// Requests, by class and result.
     pub requests: IntCounterVec,
     /// Time from the head of a request to the head of its answer, by class.
     pub answer_seconds: HistogramVec,
-    dropped: IntCounterVec,
+    dropped_datagrams: IntCounterVec,
 }
 
 impl Metrics {
@@ -43,8 +43,9 @@
             registry.register(Box::new(counters.clone()))?;
             Ok(counters)
         };
-        let connections = IntGauge::new("limpet_agent_connections", "Connections that are open.")?;
-        registry.register(Box::new(connections.clone()))?;
+        let open_connections =
+            IntGauge::new("limpet_agent_connections", "Connections that are open.")?;
+        registry.register(Box::new(open_connections.clone()))?;
         let answer_seconds = HistogramVec::new(
             HistogramOpts::new(
                 "limpet_agent_answer_seconds",
@@ -54,19 +55,19 @@
         )?;
         registry.register(Box::new(answer_seconds.clone()))?;
         Ok(Metrics {
-            received: counter(
+            received_datagrams: counter(
                 "limpet_agent_received_datagrams_total",
                 "Datagrams of callers that were taken.",
             )?,
-            sent: counter(
+            sent_datagrams: counter(
                 "limpet_agent_sent_datagrams_total",
                 "Datagrams that were sent to callers.",
             )?,
-            passed_on: counter(
+            passed_on_datagrams: counter(
                 "limpet_agent_passed_on_datagrams_total",
                 "First packets that were passed on to a peer.",
             )?,
-            connections,
+            open_connections,
             refused_connections: counters(
                 "limpet_agent_refused_connections_total",
                 "Connections that were refused, by reason.",
@@ -78,7 +79,7 @@
                 &["class", "result"],
             )?,
             answer_seconds,
-            dropped: counters(
+            dropped_datagrams: counters(
                 "limpet_agent_dropped_datagrams_total",
                 "Datagrams that were dropped, by cause.",
                 &["cause"],
@@ -87,8 +88,8 @@
     }
 
     /// Counts a dropped datagram.
-    pub fn count_drop(&self, cause: &str) {
-        self.dropped.with_label_values(&[cause]).inc();
+    pub fn count_dropped_datagram(&self, cause: &str) {
+        self.dropped_datagrams.with_label_values(&[cause]).inc();
     }
 
     /// Counts a request that came to its end.
--- a/crates/agent/src/process/node.rs
+++ b/crates/agent/src/process/node.rs
@@ -11,14 +11,14 @@
 use wire::{CidCodec, ServiceTag, Update};
 
 use super::{
-    AdmissionCommand, AdmissionHandle, KeysCommand, KeysHandle, Settings,
-    commands::{AdmissionView, Summary},
-    datagram::{DatagramCommand, DatagramView},
+    AdmissionCommand, AdmissionHandle, IdempotencyCommand, IdempotencyHandle, Settings,
+    commands::{AdmissionConfig, UpstreamStatus},
+    datagram::{DatagramCommand, DatagramConfig},
 };
-use crate::{connection::CidSource, version::View};
+use crate::{connection::CidConfig, version::VersionView};
 
 /// Time between two looks at what is announced.
-const ANNOUNCE: Duration = Duration::from_millis(500);
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// What the node task needs of the others.
 pub struct NodeTask {
@@ -33,13 +33,13 @@
     /// The admission task.
     pub admission: AdmissionHandle,
     /// The task that keeps results under idempotency keys.
-    pub keys: KeysHandle,
+    pub keys: IdempotencyHandle,
     /// The datagram task.
     pub datagrams: mpsc::Sender<DatagramCommand>,
     /// State of the service, for requests.
     pub service: watch::Sender<Option<ServiceState>>,
     /// Keys, for new connection ids.
-    pub cids: watch::Sender<Option<CidSource>>,
+    pub cid_config: watch::Sender<Option<CidConfig>>,
     /// Whether the agent leaves, for connections.
     pub leaving: watch::Sender<bool>,
     /// Changes when the process is to stop.
@@ -52,8 +52,8 @@
 impl NodeTask {
     /// Runs until the agent ends.
     pub async fn run(mut self) {
-        let own = self.announcement.id;
-        let mut view = View::default();
+        let own_id = self.announcement.id;
+        let mut view = VersionView::default();
         let mut stopping = false;
         let mut announce_at = Instant::now();
         loop {
@@ -61,7 +61,7 @@
                 step = self.steps.recv() => match step {
                     Some(Step::Update(update, done)) => {
                         view.apply(&update, &self.cfg.service, &self.cfg.host);
-                        self.apply(own, &view, &update, stopping).await;
+                        self.apply(own_id, &view, &update, stopping).await;
                         self.admission.send(AdmissionCommand::PeerLoads(update.loads));
                         let _ = done.send(());
                     }
@@ -69,8 +69,8 @@
                         self.admission.send(AdmissionCommand::PeerLoads(loads));
                         continue;
                     }
-                    Some(Step::Confirmed(began)) => {
-                        self.keys.send(KeysCommand::Confirmed(began));
+                    Some(Step::Confirmed(started_at)) => {
+                        self.keys.send(IdempotencyCommand::VersionConfirmed(started_at));
                         continue;
                     }
                     None => return,
@@ -80,47 +80,50 @@
                     if changed.is_ok() {
                         log::info!(event = "leaving"; "agent leaves");
                     }
-                    self.set_leaving(own, &view, stopping).await;
+                    self.set_leaving(own_id, &view, stopping).await;
                 }
                 () = sleep_until(announce_at.into()) => {}
             }
-            announce_at = Instant::now() + ANNOUNCE;
+            announce_at = Instant::now() + ANNOUNCE_INTERVAL;
             self.announce(view.service.is_some()).await;
         }
     }
 
     /// Brings a version into force in every task.
-    async fn apply(&self, own: UpstreamId, view: &View, update: &Update, stopping: bool) {
-        let keys = update.keys.as_ref().map(CidCodec::new);
+    async fn apply(&self, own_id: UpstreamId, view: &VersionView, update: &Update, stopping: bool) {
+        let cid_codec = update.keys.as_ref().map(CidCodec::new);
         let service = view.service.clone();
-        if let (Some(codec), Some(state)) = (keys.clone(), &service) {
+        if let (Some(codec), Some(state)) = (cid_codec.clone(), &service) {
             let tag = ServiceTag::from(state.service.id);
-            self.cids.send_replace(Some(CidSource { codec, tag }));
+            self.cid_config.send_replace(Some(CidConfig { codec, tag }));
         }
         self.service.send_replace(service.clone());
-        self.keys.send(KeysCommand::View(service.clone()));
-        let datagrams = DatagramView {
+        self.keys
+            .send(IdempotencyCommand::Configure(service.clone()));
+        let datagrams = DatagramConfig {
             service,
             balancers: view.balancers.clone(),
-            keys,
+            cid_codec,
         };
-        self.send(DatagramCommand::View(Box::new(datagrams))).await;
-        self.set_leaving(own, view, stopping).await;
+        self.send(DatagramCommand::Configure(Box::new(datagrams)))
+            .await;
+        self.set_leaving(own_id, view, stopping).await;
         log::info!(event = "version_applied", version:% = update.version; "version applied");
     }
 
-    async fn set_leaving(&self, own: UpstreamId, view: &View, stopping: bool) {
-        let leaving = stopping || view.drained;
-        self.send(DatagramCommand::Leaving(leaving)).await;
-        self.admission.send(AdmissionCommand::View(AdmissionView {
-            service: view.service.as_ref().map(|state| state.service.id),
-            targets: view.targets(&self.cfg.served_classes),
-            peers: view.peers(own),
-            leaving,
-        }));
-        self.leaving.send_if_modified(|known| {
-            let changed = *known != leaving;
-            *known = leaving;
+    async fn set_leaving(&self, own_id: UpstreamId, view: &VersionView, stopping: bool) {
+        let leaving = stopping || view.drain_requested;
+        self.send(DatagramCommand::SetLeaving(leaving)).await;
+        self.admission
+            .send(AdmissionCommand::Configure(AdmissionConfig {
+                service: view.service.as_ref().map(|state| state.service.id),
+                targets: view.targets(&self.cfg.served_classes),
+                peers: view.peers(own_id),
+                leaving,
+            }));
+        self.leaving.send_if_modified(|current| {
+            let changed = *current != leaving;
+            *current = leaving;
             changed
         });
     }
@@ -132,34 +135,34 @@
 
     /// Tells the sync task what to announce, if it differs from the last time.
     async fn announce(&mut self, configured: bool) {
-        let Some(summary) = self.admission.ask(AdmissionCommand::Summarise).await else {
+        let Some(status) = self.admission.ask(AdmissionCommand::GetStatus).await else {
             return;
         };
-        if summary.state == UpstreamState::Down {
+        if status.state == UpstreamState::Down {
             self.ready_since = None;
         } else if configured {
             self.ready_since.get_or_insert_with(Instant::now);
         }
-        let upstream = Some(self.announcement_of(summary));
+        let upstream = Some(self.announcement_with(status));
         self.report.send_if_modified(|report| {
-            let urgent = state_of(report) != upstream.as_ref().map(|u| u.state);
+            let state_changed = reported_state(report) != upstream.as_ref().map(|u| u.state);
             report.upstream = upstream;
             // Loads go with the next regular sync; only a new state is worth
             // an extra one.
-            urgent
+            state_changed
         });
     }
 
-    fn announcement_of(&self, summary: Summary) -> Announcement {
-        let served = &self.cfg.served_classes;
-        let loads: Loads = summary
+    fn announcement_with(&self, status: UpstreamStatus) -> Announcement {
+        let served_classes = &self.cfg.served_classes;
+        let loads: Loads = status
             .loads
             .into_iter()
-            .filter(|(class, _)| served.is_empty() || served.contains(class))
+            .filter(|(class, _)| served_classes.is_empty() || served_classes.contains(class))
             .collect();
         Announcement {
-            state: summary.state,
-            connections: summary.connections,
+            state: status.state,
+            connections: status.connections,
             loads,
             ready_for: self.ready_since.map_or(Duration::ZERO, |at| at.elapsed()),
             ..self.announcement.clone()
@@ -167,6 +170,6 @@
     }
 }
 
-fn state_of(report: &NodeReport) -> Option<UpstreamState> {
+fn reported_state(report: &NodeReport) -> Option<UpstreamState> {
     report.upstream.as_ref().map(|upstream| upstream.state)
 }
--- a/crates/agent/src/process/placement.rs
+++ b/crates/agent/src/process/packet_router.rs
@@ -6,48 +6,48 @@
 use types::{FlowKey, FlowPhase, ServiceId, ServiceState, UpstreamId};
 use wire::{CidCodec, LongKind, QuicHeader, ServiceTag};
 
-use super::openers::Openers;
+use super::recent_flows::RecentFlows;
 
 /// Where a packet belongs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Placement {
+pub enum PacketDecision {
     /// It goes to the endpoint of this agent.
-    Own,
+    Deliver,
     /// It is passed on to a peer.
-    Other(Hop),
+    PassOn(Hop),
     /// It is dropped, for this cause.
-    None(&'static str),
+    Drop(&'static str),
 }
 
 /// Decides which packets are this agent's, by the version in force.
 #[derive(Debug)]
-pub struct Placements {
-    own: UpstreamId,
+pub struct PacketRouter {
+    own_id: UpstreamId,
     /// The service and its address; none while it is not configured.
     service: Option<(ServiceId, SocketAddr)>,
     table: RoutingTable,
-    keys: Option<CidCodec>,
-    openers: Openers,
+    cid_codec: Option<CidCodec>,
+    recent_flows: RecentFlows,
     leaving: bool,
 }
 
-impl Placements {
+impl PacketRouter {
     /// Placements of the agent `own`, which has no version yet.
     #[must_use]
-    pub fn new(now: Instant, own: UpstreamId) -> Self {
-        Placements {
-            own,
+    pub fn new(now: Instant, own_id: UpstreamId) -> Self {
+        PacketRouter {
+            own_id,
             service: None,
             table: RoutingTable::default(),
-            keys: None,
-            openers: Openers::new(now),
+            cid_codec: None,
+            recent_flows: RecentFlows::new(now),
             leaving: false,
         }
     }
 
     /// Brings a version into force.
-    pub fn set(&mut self, service: Option<ServiceState>, keys: Option<CidCodec>) {
-        self.keys = keys;
+    pub fn configure(&mut self, service: Option<ServiceState>, cid_codec: Option<CidCodec>) {
+        self.cid_codec = cid_codec;
         self.table = RoutingTable::default();
         let state = service.as_ref();
         self.service = state.map(|state| (state.service.id, state.service.address));
@@ -72,41 +72,53 @@
         address: SocketAddr,
         arrival: Arrival,
         packet: &[u8],
-    ) -> Placement {
-        let Some((service, _)) = self.service.filter(|(_, own)| *own == address) else {
-            return Placement::None("other_service");
+    ) -> PacketDecision {
+        let Some((service, _)) = self
+            .service
+            .filter(|(_, service_address)| *service_address == address)
+        else {
+            return PacketDecision::Drop("other_service");
         };
         let (kind, dcid) = match QuicHeader::decode(packet) {
             Ok(QuicHeader::Short { dcid }) => (LongKind::Handshake, dcid),
             Ok(QuicHeader::Long { kind, dcid }) => (kind, dcid),
-            Err(e) => return Placement::None(e.category().as_str()),
+            Err(e) => return PacketDecision::Drop(e.category().as_str()),
         };
-        match self.keys.as_ref().map(|keys| keys.decode(dcid)) {
-            Some(Ok(id)) if id.upstream != self.own => Placement::None("other_incarnation"),
-            Some(Ok(id)) if id.tag != ServiceTag::from(service) => Placement::None("other_service"),
-            Some(Ok(_)) => Placement::Own,
-            _ if kind == LongKind::Handshake => Placement::None("unknown_id"),
-            _ => self.opening(now, service, flow_key(service, dcid), arrival),
+        match self
+            .cid_codec
+            .as_ref()
+            .map(|cid_codec| cid_codec.decode(dcid))
+        {
+            Some(Ok(id)) if id.upstream != self.own_id => PacketDecision::Drop("other_incarnation"),
+            Some(Ok(id)) if id.tag != ServiceTag::from(service) => {
+                PacketDecision::Drop("other_service")
+            }
+            Some(Ok(_)) => PacketDecision::Deliver,
+            _ if kind == LongKind::Handshake => PacketDecision::Drop("unknown_id"),
+            _ => self.decide_initial(now, service, flow_key(service, dcid), arrival),
         }
     }
 
     /// Decides about a first packet. A leaving agent keeps the handshakes that
     /// it has begun.
-    fn opening(
+    fn decide_initial(
         &mut self,
         now: Instant,
         service: ServiceId,
         flow: FlowKey,
         arrival: Arrival,
-    ) -> Placement {
-        if !self.leaving || self.openers.contains(flow) {
-            self.openers.insert(now, flow);
-            return Placement::Own;
+    ) -> PacketDecision {
+        if !self.leaving || self.recent_flows.contains(flow) {
+            self.recent_flows.insert(now, flow);
+            return PacketDecision::Deliver;
         }
-        let opens = FlowPhase::Opens;
-        match self.table.pass_on(service, flow, self.own, opens, arrival) {
-            Decision::PassOn(hop) | Decision::Forward(hop) => Placement::Other(hop),
-            Decision::Drop(reason) => Placement::None(reason.as_str()),
+        let phase = FlowPhase::Opens;
+        match self
+            .table
+            .pass_on(service, flow, self.own_id, phase, arrival)
+        {
+            Decision::PassOn(hop) | Decision::Forward(hop) => PacketDecision::PassOn(hop),
+            Decision::Drop(reason) => PacketDecision::Drop(reason.as_str()),
         }
     }
 }
--- a/crates/agent/src/process/peer.rs
+++ b/crates/agent/src/process/peer.rs
@@ -32,14 +32,15 @@
 };
 
 use super::{
-    AdmissionCommand, AdmissionHandle, KeysCommand, KeysHandle,
+    AdmissionCommand, AdmissionHandle, IdempotencyCommand, IdempotencyHandle,
     keys::{BEGIN_PATH, END_PATH},
 };
 use crate::{
     Error, Result,
     request::{
-        Answer, Call, Connection, Head, RequestContext, RequestIds, Slot, Target, deadline_of,
-        ended, outcome_of, status_of,
+        ConnectionTask, EndToEndHeaders, ForwardTarget, ForwardedRequest, ForwardedResponse,
+        RequestContext, RequestGuard, RequestIdGenerator, deadline_of, outcome_of_error,
+        outcome_of_status, status_of_error,
     },
 };
 
@@ -53,19 +54,20 @@
 pub const OFFER_PATH: &str = "/v1/offer";
 
 /// Answer to a request without a valid reservation.
-const NOT_CLAIMED: (StatusCode, &str) = (StatusCode::SERVICE_UNAVAILABLE, ClaimHeader::NOT_RUN);
+const INVALID_RESERVATION: (StatusCode, &str) =
+    (StatusCode::SERVICE_UNAVAILABLE, ClaimHeader::NOT_RUN);
 
 /// Time for requests in progress when the server stops.
-const STOP_TIMEOUT_SECS: u64 = 3600;
+const DRAIN_TIMEOUT_SECS: u64 = 3600;
 
 /// What the handlers share; each worker has a copy.
 #[derive(Clone)]
 pub struct PeerContext {
     admission: AdmissionHandle,
-    keys: KeysHandle,
-    ids: RequestIds,
-    own: UpstreamId,
-    upstream: SocketAddr,
+    keys: IdempotencyHandle,
+    request_ids: RequestIdGenerator,
+    own_id: UpstreamId,
+    upstream_address: SocketAddr,
     service: watch::Receiver<Option<ServiceState>>,
     credentials: Option<Credentials>,
 }
@@ -73,13 +75,13 @@
 impl PeerContext {
     /// The same tasks that callers' requests use.
     #[must_use]
-    pub fn new(own: UpstreamId, cx: &RequestContext) -> Self {
+    pub fn new(own_id: UpstreamId, cx: &RequestContext) -> Self {
         PeerContext {
             admission: cx.admission.clone(),
             keys: cx.keys.clone(),
-            ids: cx.ids.clone(),
-            own,
-            upstream: cx.upstream,
+            request_ids: cx.request_ids.clone(),
+            own_id,
+            upstream_address: cx.upstream_address,
             service: cx.service.clone(),
             credentials: cx.credentials.clone(),
         }
@@ -93,19 +95,19 @@
 /// The listener cannot be used.
 pub fn serve(listener: TcpListener, cx: PeerContext, gate: Gate) -> Result<Server> {
     let address = listener.local_addr();
-    let upstream = cx.upstream;
+    let upstream_address = cx.upstream_address;
     let credentials = cx.credentials.clone();
     let factory = move || {
         App::new()
             .app_data(web::Data::new(cx.clone()))
             .app_data(gate.clone())
             .wrap(from_fn(auth::enforce))
-            .service(message_at(RESERVE_PATH).route(web::post().to(reserve)))
-            .service(message_at(OFFER_PATH).route(web::post().to(offer)))
-            .service(message_at(BEGIN_PATH).route(web::post().to(begin)))
-            .service(message_at(END_PATH).route(web::post().to(end)))
-            .service(message_at(RELEASE_PATH).route(web::post().to(release)))
-            .default_service(web::to(run_claimed))
+            .service(message_resource(RESERVE_PATH).route(web::post().to(reserve)))
+            .service(message_resource(OFFER_PATH).route(web::post().to(offer)))
+            .service(message_resource(BEGIN_PATH).route(web::post().to(begin)))
+            .service(message_resource(END_PATH).route(web::post().to(end)))
+            .service(message_resource(RELEASE_PATH).route(web::post().to(release)))
+            .default_service(web::to(run_handed_off))
     };
     let server = HttpServer::new(factory)
         .workers(1)
@@ -114,18 +116,18 @@
         .tcp_nodelay(true)
         // A peer that closes its connection has cancelled the request.
         .h1_allow_half_closed(false)
-        .shutdown_timeout(STOP_TIMEOUT_SECS);
+        .shutdown_timeout(DRAIN_TIMEOUT_SECS);
     let server = match credentials {
         Some(credentials) => server.listen_rustls_0_23(listener, credentials.server()),
         None => server.listen(listener),
     };
-    let server = server.map_err(|e| Error::Bind(address.unwrap_or(upstream), e))?;
+    let server = server.map_err(|e| Error::Bind(address.unwrap_or(upstream_address), e))?;
     Ok(server.run())
 }
 
 /// The messages of agents at a path. A caller's request may have the same path,
 /// but is told apart by its claim, a field that callers cannot set.
-fn message_at(path: &str) -> Resource {
+fn message_resource(path: &str) -> Resource {
     web::resource(path).guard(fn_guard(|cx| {
         !cx.head().headers().contains_key(ClaimHeader::RESERVATION)
     }))
@@ -140,7 +142,7 @@
         .ask(|tx| AdmissionCommand::Reserve(req, tx))
         .await
         .unwrap_or(ReserveReply::Misdirected);
-    message(&reply)
+    encode_reply(&reply)
 }
 
 async fn release(cx: web::Data<PeerContext>, body: Bytes) -> HttpResponse {
@@ -148,22 +150,22 @@
         return HttpResponse::BadRequest().finish();
     };
     cx.admission.send(AdmissionCommand::Release(id));
-    message(&())
+    encode_reply(&())
 }
 
 async fn begin(cx: web::Data<PeerContext>, body: Bytes) -> HttpResponse {
     let Ok(req) = wire::decode::<BeginRequest>(&body) else {
         return HttpResponse::BadRequest().finish();
     };
-    message(&cx.keys.begin(req).await)
+    encode_reply(&cx.keys.begin(req).await)
 }
 
 async fn end(cx: web::Data<PeerContext>, body: Bytes) -> HttpResponse {
     let Ok(req) = wire::decode::<EndRequest>(&body) else {
         return HttpResponse::BadRequest().finish();
     };
-    cx.keys.send(KeysCommand::End(req));
-    message(&())
+    cx.keys.send(IdempotencyCommand::End(req));
+    encode_reply(&())
 }
 
 async fn offer(cx: web::Data<PeerContext>, body: Bytes) -> HttpResponse {
@@ -171,10 +173,10 @@
         return HttpResponse::BadRequest().finish();
     };
     cx.admission.send(AdmissionCommand::Offer(offer));
-    message(&())
+    encode_reply(&())
 }
 
-fn message<T: Serialize>(reply: &T) -> HttpResponse {
+fn encode_reply<T: Serialize>(reply: &T) -> HttpResponse {
     match wire::encode(reply) {
         Ok(body) => HttpResponse::Ok()
             .content_type(wire::CONTENT_TYPE)
@@ -184,87 +186,92 @@
 }
 
 /// Runs a request of a peer against its reservation.
-async fn run_claimed(
+async fn run_handed_off(
     cx: web::Data<PeerContext>,
     req: HttpRequest,
     payload: web::Payload,
 ) -> HttpResponse {
-    let Some(reservation) = claimed(&cx, &req) else {
-        return outcome(cx.own, NOT_CLAIMED);
+    let Some(reservation) = claimed_reservation(&cx, &req) else {
+        return outcome_response(cx.own_id, INVALID_RESERVATION);
     };
-    let id = cx.ids.next();
-    let mut slot = Slot::new(id, cx.admission.clone());
+    let id = cx.request_ids.next();
+    let mut request_guard = RequestGuard::new(id, cx.admission.clone());
     let claim = cx
         .admission
         .ask(|tx| AdmissionCommand::Claim(reservation, id, tx))
         .await;
     if claim != Some(ClaimAnswer::Run) {
-        return outcome(cx.own, NOT_CLAIMED);
+        return outcome_response(cx.own_id, INVALID_RESERVATION);
     }
-    let Some(call) = call(&cx, &req, payload) else {
-        return outcome(cx.own, NOT_CLAIMED);
+    let Some(forwarded_request) = forwarded_request(&cx, &req, payload) else {
+        return outcome_response(cx.own_id, INVALID_RESERVATION);
     };
-    let result = call.send().await;
-    cx.admission.note_attempt(&result);
+    let result = forwarded_request.send().await;
+    cx.admission.report_attempt(&result);
     match result {
-        Ok(answer) => stream_answer(cx.own, answer, slot),
-        Err(failed) => {
-            slot.set(outcome_of(failed));
-            outcome(cx.own, status_of(failed))
+        Ok(forwarded) => stream_response(cx.own_id, forwarded, request_guard),
+        Err(attempt_error) => {
+            request_guard.set_outcome(outcome_of_error(attempt_error));
+            outcome_response(cx.own_id, status_of_error(attempt_error))
         }
     }
 }
 
 /// The reservation that a request claims, if it is meant for this upstream and
 /// this service.
-fn claimed(cx: &PeerContext, req: &HttpRequest) -> Option<ReservationId> {
+fn claimed_reservation(cx: &PeerContext, req: &HttpRequest) -> Option<ReservationId> {
     let field = |name: &str| req.headers().get(name)?.to_str().ok();
     let upstream: UpstreamId = field(ClaimHeader::UPSTREAM)?.parse().ok()?;
     let service: ServiceId = field(ClaimHeader::SERVICE)?.parse().ok()?;
     let own_service = cx.service.borrow().as_ref().map(|state| state.service.id);
-    (upstream == cx.own && Some(service) == own_service).then_some(())?;
+    (upstream == cx.own_id && Some(service) == own_service).then_some(())?;
     field(ClaimHeader::RESERVATION)?.parse().ok()
 }
 
 /// The same request for the upstream. `None` if it cannot be represented.
-fn call(
+fn forwarded_request(
     cx: &PeerContext,
     req: &HttpRequest,
     payload: web::Payload,
-) -> Option<Call<StreamBody<impl Stream<Item = io::Result<Frame<Bytes>>> + use<>>>> {
-    let parts = payload.map(|part| part.map(Frame::data).map_err(io::Error::other));
-    let mut request = Request::new(StreamBody::new(parts));
+) -> Option<ForwardedRequest<StreamBody<impl Stream<Item = io::Result<Frame<Bytes>>> + use<>>>> {
+    let chunks = payload.map(|chunk| chunk.map(Frame::data).map_err(io::Error::other));
+    let mut request = Request::new(StreamBody::new(chunks));
     *request.method_mut() = Method::from_bytes(req.method().as_str().as_bytes()).ok()?;
     *request.uri_mut() = req.uri().to_string().parse().ok()?;
     let fields = req.headers().iter();
-    let head = Head::copy(fields.map(|(name, value)| (name.as_str(), value.as_bytes())));
+    let headers =
+        EndToEndHeaders::from_fields(fields.map(|(name, value)| (name.as_str(), value.as_bytes())));
     let remaining = req.headers().get(ClaimHeader::TIMEOUT_MS);
-    Some(Call {
-        target: Target::Upstream(cx.upstream),
+    Some(ForwardedRequest {
+        target: ForwardTarget::Upstream(cx.upstream_address),
         deadline: deadline_of(Instant::now(), remaining.map(HeaderValue::as_bytes)),
         request,
-        head,
+        headers,
     })
 }
 
 /// Passes an answer on to the peer. The slot is given back when the body ends
 /// or the peer goes away.
-fn stream_answer(own: UpstreamId, answer: Answer, slot: Slot) -> HttpResponse {
-    let (parts, body, connection) = answer.into_parts();
+fn stream_response(
+    own_id: UpstreamId,
+    forwarded: ForwardedResponse,
+    request_guard: RequestGuard,
+) -> HttpResponse {
+    let (parts, body, connection) = forwarded.into_parts();
     let status = parts.status.as_u16();
     let mut response = HttpResponse::build(ActixStatus::from_u16(status).unwrap_or_default());
-    response.insert_header((ClaimHeader::UPSTREAM, own.to_string()));
-    let head = Head::of(&parts.headers).headers;
-    for (name, value) in &head {
+    response.insert_header((ClaimHeader::UPSTREAM, own_id.to_string()));
+    let headers = EndToEndHeaders::from_headers(&parts.headers).headers;
+    for (name, value) in &headers {
         if name != header::CONTENT_LENGTH {
             response.append_header((name.as_str(), value.as_bytes()));
         }
     }
-    let length = head.get(header::CONTENT_LENGTH);
+    let length = headers.get(header::CONTENT_LENGTH);
     let length = length.and_then(|value| value.to_str().ok()?.parse().ok());
-    let outcome = ended(parts.status);
-    let stream = unfold((body, connection, slot), move |state| {
-        next_part(state, outcome)
+    let outcome = outcome_of_status(parts.status);
+    let stream = unfold((body, connection, request_guard), move |state| {
+        next_chunk(state, outcome)
     });
     let stream = Box::pin(stream);
     match length {
@@ -275,20 +282,20 @@
 
 /// In the order in which they are dropped: the slot is given back once the
 /// connection to the upstream is closed.
-type AnswerState = (Incoming, Connection, Slot);
+type ResponseState = (Incoming, ConnectionTask, RequestGuard);
 
-async fn next_part(
-    (mut body, connection, mut slot): AnswerState,
+async fn next_chunk(
+    (mut body, connection, mut request_guard): ResponseState,
     outcome: RequestOutcome,
-) -> Option<(hyper::Result<Bytes>, AnswerState)> {
+) -> Option<(hyper::Result<Bytes>, ResponseState)> {
     loop {
-        let part = match body.frame().await {
+        let chunk = match body.frame().await {
             None => {
-                slot.set(outcome);
+                request_guard.set_outcome(outcome);
                 return None;
             }
             Some(Err(e)) => {
-                slot.set(RequestOutcome::Failed);
+                request_guard.set_outcome(RequestOutcome::Failed);
                 Err(e)
             }
             Some(Ok(frame)) => match frame.into_data() {
@@ -297,15 +304,18 @@
                 Err(_) => continue,
             },
         };
-        return Some((part, (body, connection, slot)));
+        return Some((chunk, (body, connection, request_guard)));
     }
 }
 
 /// The answer to a request without an answer of the upstream.
-fn outcome(own: UpstreamId, (status, value): (StatusCode, &'static str)) -> HttpResponse {
+fn outcome_response(
+    own_id: UpstreamId,
+    (status, value): (StatusCode, &'static str),
+) -> HttpResponse {
     let status = ActixStatus::from_u16(status.as_u16()).unwrap_or_default();
     HttpResponse::build(status)
-        .insert_header((ClaimHeader::UPSTREAM, own.to_string()))
+        .insert_header((ClaimHeader::UPSTREAM, own_id.to_string()))
         .insert_header((ClaimHeader::OUTCOME, value))
         .finish()
 }
--- a/crates/agent/src/process/openers.rs
+++ b/crates/agent/src/process/recent_flows.rs
@@ -8,10 +8,10 @@
 use types::FlowKey;
 
 /// Longest time for which a handshake repeats its first packets.
-const HANDSHAKE: Duration = Duration::from_secs(5);
+const MAX_HANDSHAKE_DURATION: Duration = Duration::from_secs(5);
 
 /// Flows remembered in each half; bounds the memory in a flood.
-const LIMIT: usize = 1 << 15;
+const MAX_FLOWS_PER_GENERATION: usize = 1 << 15;
 
 /// Remembers the flows that opened recently, for one to two times
 /// [`HANDSHAKE`].
@@ -19,38 +19,38 @@
 /// A leaving agent keeps the handshakes that it has begun and passes other
 /// first packets on.
 #[derive(Debug)]
-pub struct Openers {
-    recent: BTreeSet<FlowKey>,
-    older: BTreeSet<FlowKey>,
+pub struct RecentFlows {
+    current: BTreeSet<FlowKey>,
+    previous: BTreeSet<FlowKey>,
     /// When `recent` becomes `older`.
-    turn_at: Instant,
+    rotate_at: Instant,
 }
 
-impl Openers {
+impl RecentFlows {
     /// An empty memory.
     #[must_use]
     pub fn new(now: Instant) -> Self {
-        Openers {
-            recent: BTreeSet::new(),
-            older: BTreeSet::new(),
-            turn_at: now + HANDSHAKE,
+        RecentFlows {
+            current: BTreeSet::new(),
+            previous: BTreeSet::new(),
+            rotate_at: now + MAX_HANDSHAKE_DURATION,
         }
     }
 
     /// Remembers a flow.
     pub fn insert(&mut self, now: Instant, flow: FlowKey) {
-        if now >= self.turn_at {
-            self.older = std::mem::take(&mut self.recent);
-            self.turn_at = now + HANDSHAKE;
+        if now >= self.rotate_at {
+            self.previous = std::mem::take(&mut self.current);
+            self.rotate_at = now + MAX_HANDSHAKE_DURATION;
         }
-        if self.recent.len() < LIMIT {
-            self.recent.insert(flow);
+        if self.current.len() < MAX_FLOWS_PER_GENERATION {
+            self.current.insert(flow);
         }
     }
 
     /// Whether the flow opened here recently.
     #[must_use]
     pub fn contains(&self, flow: FlowKey) -> bool {
-        self.recent.contains(&flow) || self.older.contains(&flow)
+        self.current.contains(&flow) || self.previous.contains(&flow)
     }
 }
--- a/crates/agent/src/process/run.rs
+++ b/crates/agent/src/process/run.rs
@@ -21,31 +21,31 @@
 use wire::Subset;
 
 use super::{
-    AdmissionHandle, BalancerPolicy, KeysHandle, Metrics, ReachableOnly, ServiceCertificate,
+    AdmissionHandle, BalancerPolicy, IdempotencyHandle, Metrics, ReachableOnly, ServiceCertificate,
     Settings,
     admission::AdmissionTask,
     datagram::DatagramTask,
-    endpoint::{first_cid_source, open_endpoint},
-    keys::KeysTask,
+    endpoint::{first_cid_config, open_endpoint},
+    endpoint_socket::EndpointSocket,
+    keys::IdempotencyTask,
     load::LoadTask,
     node::NodeTask,
     peer::{self, PeerContext},
-    port::Port,
 };
 use crate::{
     Error, Result,
-    connection::{AcceptTask, CidSource},
-    request::{RequestContext, RequestIds},
+    connection::{AcceptTask, CidConfig},
+    request::{RequestContext, RequestIdGenerator},
 };
 
 /// Datagrams that may wait between endpoint and socket, in each direction.
-const PACKETS: usize = 4096;
+const PACKET_QUEUE_LEN: usize = 4096;
 
 /// Versions and commands that may wait for a task.
-const STEPS: usize = 4;
+const COMMAND_QUEUE_LEN: usize = 4;
 
 /// Time for the last announcement and the last packets.
-const FAREWELL: Duration = Duration::from_millis(200);
+const SHUTDOWN_DELAY: Duration = Duration::from_millis(200);
 
 /// Runs an agent. When `stop` changes it leaves: it ends once the last request
 /// is done, at the latest after `drain_timeout`.
@@ -73,13 +73,15 @@
     registry: &Registry,
     stop: watch::Receiver<bool>,
 ) -> Result<()> {
-    let (started, serving) = start::<P>(&cfg, registry, stop.clone())?;
-    let result = serving.run(&cfg, certificate, &started.peers, stop).await;
-    actix_rt::time::sleep(FAREWELL).await;
+    let (agent_tasks, caller_server) = start::<P>(&cfg, registry, stop.clone())?;
+    let result = caller_server
+        .run(&cfg, certificate, &agent_tasks.peer_server, stop)
+        .await;
+    actix_rt::time::sleep(SHUTDOWN_DELAY).await;
     // A graceful stop that is under way would hold this one up until requests
     // of peers have ended, which may be after the end of the stay.
-    let _ = timeout(FAREWELL, started.peers.stop(false)).await;
-    for task in started.tasks {
+    let _ = timeout(SHUTDOWN_DELAY, agent_tasks.peer_server.stop(false)).await;
+    for task in agent_tasks.tasks {
         task.abort();
     }
     log::info!(event = "agent_stopped"; "agent stopped");
@@ -87,18 +89,18 @@
 }
 
 /// The tasks that live as long as the agent.
-struct Started {
+struct AgentTasks {
     tasks: Vec<JoinHandle<()>>,
-    peers: ServerHandle,
+    peer_server: ServerHandle,
 }
 
 /// What serving connections needs.
-struct Serving {
-    own: UpstreamId,
+struct CallerServer {
+    own_id: UpstreamId,
     cx: RequestContext,
     /// The endpoint's end of the datagram task.
-    port: Port,
-    cids: watch::Receiver<Option<CidSource>>,
+    socket: EndpointSocket,
+    cid_config: watch::Receiver<Option<CidConfig>>,
     leaving: watch::Receiver<bool>,
 }
 
@@ -107,26 +109,26 @@
     cfg: &Settings,
     registry: &Registry,
     stop: watch::Receiver<bool>,
-) -> Result<(Started, Serving)> {
+) -> Result<(AgentTasks, CallerServer)> {
     let metrics = Metrics::new(registry)?;
-    let own = UpstreamId(rand::rng().random());
+    let own_id = UpstreamId(rand::rng().random());
     let data = net::bind_udp(cfg.data_listen).map_err(|e| Error::Bind(cfg.data_listen, e))?;
     let listener =
         TcpListener::bind(cfg.peer_listen).map_err(|e| Error::Bind(cfg.peer_listen, e))?;
-    let announcement = announcement(cfg, own, &data, &listener)?;
+    let announcement = announcement(cfg, own_id, &data, &listener)?;
     log::info!(
-        event = "agent_started", upstream:% = own, data:% = announcement.data,
+        event = "agent_started", upstream:% = own_id, data:% = announcement.data,
         peer:% = announcement.peer; "agent started"
     );
 
     let (admission, admission_rx) = AdmissionHandle::channel();
-    let (keys, keys_rx) = KeysHandle::channel();
-    let (datagram_tx, datagram_rx) = mpsc::channel(STEPS);
-    let (in_tx, in_rx) = mpsc::channel(PACKETS);
-    let (out_tx, out_rx) = mpsc::channel(PACKETS);
-    let (step_tx, step_rx) = mpsc::channel(STEPS);
+    let (keys, keys_rx) = IdempotencyHandle::channel();
+    let (datagram_tx, datagram_rx) = mpsc::channel(COMMAND_QUEUE_LEN);
+    let (inbound_tx, inbound_rx) = mpsc::channel(PACKET_QUEUE_LEN);
+    let (outbound_tx, outbound_rx) = mpsc::channel(PACKET_QUEUE_LEN);
+    let (step_tx, step_rx) = mpsc::channel(COMMAND_QUEUE_LEN);
     let (service_tx, service) = watch::channel(None);
-    let (cid_tx, cids) = watch::channel(None);
+    let (cid_config_tx, cid_config) = watch::channel(None);
     let (leaving_tx, leaving) = watch::channel(false);
     let (report_tx, report_rx) = watch::channel(NodeReport {
         upstream: Some(announcement.clone()),
@@ -134,8 +136,8 @@
     });
     let cx = RequestContext {
         admission: admission.clone(),
-        ids: RequestIds::default(),
-        upstream: cfg.upstream_address,
+        request_ids: RequestIdGenerator::default(),
+        upstream_address: cfg.upstream_address,
         service,
         keys: keys.clone(),
         metrics: metrics.clone(),
@@ -144,8 +146,8 @@
 
     let http = Http::new(cfg.credentials.as_ref());
     let gate = Gate::new(GatePort::Peer, cfg.credentials.as_ref(), registry)?;
-    let server = peer::serve(listener, PeerContext::new(own, &cx), gate)?;
-    let peers = server.handle();
+    let server = peer::serve(listener, PeerContext::new(own_id, &cx), gate)?;
+    let peer_server = server.handle();
     let node = NodeTask {
         cfg: cfg.clone(),
         announcement,
@@ -155,16 +157,17 @@
         keys: keys.clone(),
         datagrams: datagram_tx,
         service: service_tx,
-        cids: cid_tx,
+        cid_config: cid_config_tx,
         leaving: leaving_tx,
         stop,
         ready_since: None,
     };
-    let settings = dedup::Settings::default();
-    let keys_task = KeysTask::new(settings, own, http.clone(), keys, keys_rx);
+    let dedup_settings = dedup::Settings::default();
+    let keys_task = IdempotencyTask::new(dedup_settings, own_id, http.clone(), keys, keys_rx);
     let admission_task =
-        AdmissionTask::new(cfg, own, http.clone(), admission.clone(), admission_rx);
-    let datagram_task = DatagramTask::<P>::new(own, data, datagram_rx, in_tx, out_rx, metrics);
+        AdmissionTask::new(cfg, own_id, http.clone(), admission.clone(), admission_rx);
+    let datagram_task =
+        DatagramTask::<P>::new(own_id, data, datagram_rx, inbound_tx, outbound_rx, metrics);
     let sync_task = SyncTask::new(sync_settings(cfg), http, report_rx, step_tx);
     let mut tasks = vec![
         actix_rt::spawn(sync_task.run()),
@@ -180,33 +183,33 @@
         let task = LoadTask::new(cfg.upstream_address, &path.to_string(), admission);
         actix_rt::spawn(task.run())
     }));
-    let serving = Serving {
-        own,
+    let caller_server = CallerServer {
+        own_id,
         cx,
-        port: Port::new(in_rx, out_tx),
-        cids,
+        socket: EndpointSocket::new(inbound_rx, outbound_tx),
+        cid_config,
         leaving,
     };
-    Ok((Started { tasks, peers }, serving))
+    Ok((AgentTasks { tasks, peer_server }, caller_server))
 }
 
-impl Serving {
+impl CallerServer {
     /// Serves connections once the service is known, until the agent has left.
     async fn run(
         self,
         cfg: &Settings,
         certificate: ServiceCertificate,
-        peers: &ServerHandle,
+        peer_server: &ServerHandle,
         stop: watch::Receiver<bool>,
     ) -> Result<()> {
         let mut stopping = stop.clone();
-        let Some(cids) = first_cid_source(self.cids, &mut stopping).await else {
+        let Some(cid_config) = first_cid_config(self.cid_config, &mut stopping).await else {
             return Ok(());
         };
-        let endpoint = open_endpoint(certificate, self.own, cids, self.port)?;
+        let endpoint = open_endpoint(certificate, self.own_id, cid_config, self.socket)?;
         let accept = AcceptTask::new(endpoint.clone(), self.cx, self.leaving, stop);
         let accept = actix_rt::spawn(accept.run());
-        stay(cfg, stopping, accept, peers).await;
+        drain(cfg, stopping, accept, peer_server).await;
         endpoint.close(VarInt::from_u32(0), b"");
         Ok(())
     }
@@ -250,19 +253,19 @@
 
 /// Waits for the order to stop and then for the requests in progress, at most
 /// `drain_timeout`.
-async fn stay(
+async fn drain(
     cfg: &Settings,
     mut stop: watch::Receiver<bool>,
     accept: JoinHandle<()>,
-    peers: &ServerHandle,
+    peer_server: &ServerHandle,
 ) {
     let _ = stop.wait_for(|stop| *stop).await;
-    let stay_until = Instant::now() + cfg.drain_timeout;
-    let done = async {
+    let drain_deadline = Instant::now() + cfg.drain_timeout;
+    let drained = async {
         let _ = accept.await;
-        peers.stop(true).await;
+        peer_server.stop(true).await;
     };
-    if timeout_at(stay_until.into(), done).await.is_err() {
+    if timeout_at(drain_deadline.into(), drained).await.is_err() {
         log::warn!(event = "stay_ended"; "requests in progress are cut at the end of the stay");
     }
 }
--- a/crates/agent/src/request/body.rs
+++ b/crates/agent/src/request/body.rs
@@ -16,12 +16,12 @@
 /// Receiving half of a caller's stream.
 pub type RecvStream = RequestStream<connection::RecvStream, Bytes>;
 
-struct State {
+struct BodyState {
     stream: RecvStream,
     /// First part, read ahead to see whether there is a body.
-    ahead: Option<Bytes>,
+    first_chunk: Option<Bytes>,
     /// Whether a part has gone on, so that the body cannot be sent again.
-    started: bool,
+    consumed: bool,
     ended: bool,
 }
 
@@ -31,7 +31,7 @@
 /// could not be opened still has its body for the next attempt.
 #[derive(Clone)]
 pub struct CallerBody {
-    state: Rc<RefCell<State>>,
+    state: Rc<RefCell<BodyState>>,
 }
 
 impl CallerBody {
@@ -39,10 +39,10 @@
     #[must_use]
     pub fn new(stream: RecvStream) -> Self {
         CallerBody {
-            state: Rc::new(RefCell::new(State {
+            state: Rc::new(RefCell::new(BodyState {
                 stream,
-                ahead: None,
-                started: false,
+                first_chunk: None,
+                consumed: false,
                 ended: false,
             })),
         }
@@ -50,8 +50,8 @@
 
     /// Whether a part has gone on.
     #[must_use]
-    pub fn started(&self) -> bool {
-        self.state.borrow().started
+    pub fn is_consumed(&self) -> bool {
+        self.state.borrow().consumed
     }
 
     /// Waits for the first part or the end.
@@ -59,24 +59,24 @@
     /// # Errors
     ///
     /// The caller has reset the stream.
-    pub async fn read_ahead(&self) -> Result<(), StreamError> {
-        std::future::poll_fn(|cx| self.state.borrow_mut().poll_ahead(cx)).await
+    pub async fn wait_first_chunk(&self) -> Result<(), StreamError> {
+        std::future::poll_fn(|cx| self.state.borrow_mut().poll_first_chunk(cx)).await
     }
 }
 
-impl State {
-    fn poll_ahead(&mut self, cx: &mut Context<'_>) -> Poll<Result<(), StreamError>> {
-        if self.ahead.is_none() && !self.ended {
-            self.ahead = ready!(self.poll_part(cx))?;
+impl BodyState {
+    fn poll_first_chunk(&mut self, cx: &mut Context<'_>) -> Poll<Result<(), StreamError>> {
+        if self.first_chunk.is_none() && !self.ended {
+            self.first_chunk = ready!(self.poll_chunk(cx))?;
         }
         Poll::Ready(Ok(()))
     }
 
-    fn poll_part(&mut self, cx: &mut Context<'_>) -> Poll<Result<Option<Bytes>, StreamError>> {
-        let part = ready!(self.stream.poll_recv_data(cx))?;
-        let part = part.map(|mut buf| buf.copy_to_bytes(buf.remaining()));
-        self.ended = part.is_none();
-        Poll::Ready(Ok(part))
+    fn poll_chunk(&mut self, cx: &mut Context<'_>) -> Poll<Result<Option<Bytes>, StreamError>> {
+        let chunk = ready!(self.stream.poll_recv_data(cx))?;
+        let chunk = chunk.map(|mut buf| buf.copy_to_bytes(buf.remaining()));
+        self.ended = chunk.is_none();
+        Poll::Ready(Ok(chunk))
     }
 }
 
@@ -89,17 +89,17 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, StreamError>>> {
         let mut state = self.state.borrow_mut();
-        let part = match state.ahead.take() {
-            Some(part) => Some(part),
+        let chunk = match state.first_chunk.take() {
+            Some(chunk) => Some(chunk),
             None if state.ended => None,
-            None => ready!(state.poll_part(cx))?,
+            None => ready!(state.poll_chunk(cx))?,
         };
-        state.started |= part.is_some();
-        Poll::Ready(part.map(|part| Ok(Frame::data(part))))
+        state.consumed |= chunk.is_some();
+        Poll::Ready(chunk.map(|chunk| Ok(Frame::data(chunk))))
     }
 
     fn is_end_stream(&self) -> bool {
         let state = self.state.borrow();
-        state.ended && state.ahead.is_none()
+        state.ended && state.first_chunk.is_none()
     }
 }
--- a/crates/agent/src/request/call.rs
+++ b/crates/agent/src/request/forward.rs
@@ -24,16 +24,16 @@
 use types::{ReservationId, ServiceId, UpstreamId};
 use wire::ClaimHeader;
 
-use super::Head;
+use super::EndToEndHeaders;
 use crate::version::Peer;
 
 /// Time to open a connection. The upstream is on the same host and a peer a
 /// few milliseconds away; a lost packet is repeated within a second.
-const CONNECT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Where an attempt goes.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Target {
+pub enum ForwardTarget {
     /// The agent's own upstream.
     Upstream(SocketAddr),
     /// A peer that holds a slot.
@@ -49,49 +49,49 @@
     },
 }
 
-impl Target {
+impl ForwardTarget {
     fn address(&self) -> SocketAddr {
         match self {
-            Target::Upstream(address) => *address,
-            Target::Peer { peer, .. } => peer.address,
+            ForwardTarget::Upstream(address) => *address,
+            ForwardTarget::Peer { peer, .. } => peer.address,
         }
     }
 
     /// Adds the fields that the target needs to the head.
-    fn mark(&self, head: &mut Head) {
-        if let Target::Peer {
+    fn add_headers(&self, headers: &mut EndToEndHeaders) {
+        if let ForwardTarget::Peer {
             upstream,
             service,
             reservation,
             ..
         } = self
         {
-            head.set(ClaimHeader::RESERVATION, reservation);
-            head.set(ClaimHeader::SERVICE, service);
-            head.set(ClaimHeader::UPSTREAM, upstream);
+            headers.set(ClaimHeader::RESERVATION, reservation);
+            headers.set(ClaimHeader::SERVICE, service);
+            headers.set(ClaimHeader::UPSTREAM, upstream);
         }
     }
 }
 
 /// An attempt that brought no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Failed {
+pub struct AttemptError {
     /// How far it came.
     pub progress: Progress,
     /// Why it ended.
     pub failure: Failure,
 }
 
-impl Failed {
+impl AttemptError {
     fn not_started(failure: Failure) -> Self {
-        Failed {
+        AttemptError {
             progress: Progress::NotStarted,
             failure,
         }
     }
 
     fn started(failure: Failure) -> Self {
-        Failed {
+        AttemptError {
             progress: Progress::Started,
             failure,
         }
@@ -100,7 +100,7 @@
     /// What an attempt at the upstream shows of it: whether it could be
     /// connected to, or nothing if time ran out before.
     #[must_use]
-    pub fn connected(self) -> Option<bool> {
+    pub fn upstream_connected(self) -> Option<bool> {
         match (self.progress, self.failure) {
             (_, Failure::Connect) => Some(false),
             (Progress::NotStarted, _) => None,
@@ -112,16 +112,16 @@
 /// An answer whose head has come. Dropping it closes the connection, which
 /// cancels the request at the upstream.
 #[derive(Debug)]
-pub struct Answer {
+pub struct ForwardedResponse {
     /// The head and the body, which is still coming in.
     pub response: Response<Incoming>,
     /// The task that drives the connection.
-    connection: Connection,
+    connection: ConnectionTask,
 }
 
-impl Answer {
+impl ForwardedResponse {
     /// Splits the answer; the connection lives as long as its guard.
-    pub fn into_parts(self) -> (http::response::Parts, Incoming, Connection) {
+    pub fn into_parts(self) -> (http::response::Parts, Incoming, ConnectionTask) {
         let (parts, body) = self.response.into_parts();
         (parts, body, self.connection)
     }
@@ -129,9 +129,9 @@
 
 /// Ends the task that drives a connection when it is dropped.
 #[derive(Debug)]
-pub struct Connection(JoinHandle<()>);
+pub struct ConnectionTask(JoinHandle<()>);
 
-impl Drop for Connection {
+impl Drop for ConnectionTask {
     fn drop(&mut self) {
         self.0.abort();
     }
@@ -139,18 +139,18 @@
 
 /// A request to be sent.
 #[derive(Debug)]
-pub struct Call<B> {
+pub struct ForwardedRequest<B> {
     /// Where it goes.
-    pub target: Target,
+    pub target: ForwardTarget,
     /// Method, path and body; header fields come from `head`.
     pub request: Request<B>,
     /// Header fields.
-    pub head: Head,
+    pub headers: EndToEndHeaders,
     /// Instant after which the caller no longer waits.
     pub deadline: Option<Instant>,
 }
 
-impl<B> Call<B>
+impl<B> ForwardedRequest<B>
 where
     B: Body<Data = Bytes> + 'static,
     B::Error: Into<Box<dyn StdError + Send + Sync>>,
@@ -164,8 +164,8 @@
     /// # Errors
     ///
     /// Nothing was sent, or the answer was lost, as the progress says.
-    pub async fn send(self) -> Result<Answer, Failed> {
-        let stream = self.connect(open(self.target.address())).await?;
+    pub async fn send(self) -> Result<ForwardedResponse, AttemptError> {
+        let stream = self.connect(open_connection(self.target.address())).await?;
         self.send_on(stream).await
     }
 
@@ -175,100 +175,109 @@
     ///
     /// Nothing was sent, or the answer was lost, as the progress says. A
     /// handshake that fails has sent nothing of the request.
-    pub async fn send_to_peer(self, credentials: Option<&Credentials>) -> Result<Answer, Failed> {
+    pub async fn send_to_peer(
+        self,
+        credentials: Option<&Credentials>,
+    ) -> Result<ForwardedResponse, AttemptError> {
         let Some(credentials) = credentials else {
             return self.send().await;
         };
         let address = self.target.address();
-        let secured = async {
-            let stream = open(address).await?;
+        let tls_connect = async {
+            let stream = open_connection(address).await?;
             credentials.secure(address, stream).await
         };
-        let stream = self.connect(secured).await?;
+        let stream = self.connect(tls_connect).await?;
         self.send_on(stream).await
     }
 
-    async fn send_on<S>(mut self, stream: S) -> Result<Answer, Failed>
+    async fn send_on<S>(mut self, stream: S) -> Result<ForwardedResponse, AttemptError>
     where
         S: AsyncRead + AsyncWrite + Unpin + 'static,
     {
         let handshake = http1::handshake(TokioIo::new(stream)).await;
         let (mut sender, connection) =
-            handshake.map_err(|_| Failed::not_started(Failure::Connect))?;
-        let connection = Connection(actix_rt::spawn(async move {
+            handshake.map_err(|_| AttemptError::not_started(Failure::Connect))?;
+        let connection = ConnectionTask(actix_rt::spawn(async move {
             // A broken connection also fails the request, which reports it.
             let _ = connection.await;
         }));
 
-        self.head.set_remaining(Instant::now(), self.deadline);
-        self.target.mark(&mut self.head);
-        *self.request.headers_mut() = self.head.headers;
-        let answer = before(self.deadline, sender.send_request(self.request)).await;
-        let answer = answer.ok_or(Failed::started(Failure::Deadline))?;
-        let response = answer.map_err(|_| Failed::started(Failure::Broken))?;
-        self.target.check(Answer {
+        self.headers.set_timeout(Instant::now(), self.deadline);
+        self.target.add_headers(&mut self.headers);
+        *self.request.headers_mut() = self.headers.headers;
+        let received = until_deadline(self.deadline, sender.send_request(self.request)).await;
+        let received = received.ok_or(AttemptError::started(Failure::Deadline))?;
+        let response = received.map_err(|_| AttemptError::started(Failure::Broken))?;
+        self.target.check_response(ForwardedResponse {
             response,
             connection,
         })
     }
 
     /// Waits for a connection, at most [`CONNECT`] and until the deadline.
-    async fn connect<S>(&self, connect: impl Future<Output = io::Result<S>>) -> Result<S, Failed> {
-        let connected = before(self.deadline, timeout(CONNECT, connect)).await;
+    async fn connect<S>(
+        &self,
+        connect: impl Future<Output = io::Result<S>>,
+    ) -> Result<S, AttemptError> {
+        let connected = until_deadline(self.deadline, timeout(CONNECT_TIMEOUT, connect)).await;
         match connected {
             Some(Ok(Ok(stream))) => Ok(stream),
-            Some(_) => Err(Failed::not_started(Failure::Connect)),
-            None => Err(Failed::not_started(Failure::Deadline)),
+            Some(_) => Err(AttemptError::not_started(Failure::Connect)),
+            None => Err(AttemptError::not_started(Failure::Deadline)),
         }
     }
 }
 
-impl Target {
+impl ForwardTarget {
     /// Reads the outcome that a peer reports. An upstream's fields of these
     /// names have no meaning; only agents set them.
-    fn check(&self, answer: Answer) -> Result<Answer, Failed> {
-        let Target::Peer { upstream, .. } = self else {
-            return Ok(answer);
+    fn check_response(
+        &self,
+        received: ForwardedResponse,
+    ) -> Result<ForwardedResponse, AttemptError> {
+        let ForwardTarget::Peer { upstream, .. } = self else {
+            return Ok(received);
         };
-        match PeerSays::read(answer.response.headers(), *upstream) {
-            PeerSays::Answer => Ok(answer),
-            PeerSays::NotRun => Err(Failed::not_started(Failure::PeerRefused)),
-            PeerSays::Lost => Err(Failed::started(Failure::Broken)),
+        match PeerOutcome::from_headers(received.response.headers(), *upstream) {
+            PeerOutcome::Response => Ok(received),
+            PeerOutcome::NotRun => Err(AttemptError::not_started(Failure::PeerRefused)),
+            PeerOutcome::Unknown => Err(AttemptError::started(Failure::Broken)),
         }
     }
 }
 
 /// What the answer to a request that was handed off is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum PeerSays {
+pub enum PeerOutcome {
     /// The answer of the upstream that was meant.
-    Answer,
+    Response,
     /// An agent says that the request was not run.
     NotRun,
     /// The answer is lost, or comes from a server that is not the peer: the
     /// address may have a new owner, and a server may answer before its
     /// handlers see the request. Either may have run it.
-    Lost,
+    Unknown,
 }
 
-impl PeerSays {
+impl PeerOutcome {
     /// Reads the head of the answer to a request that was meant for `upstream`.
     /// Every agent puts its identity into the answers that it gives or passes
     /// on, and runs only requests that name it.
     #[must_use]
-    pub fn read(headers: &HeaderMap, upstream: UpstreamId) -> Self {
+    pub fn from_headers(headers: &HeaderMap, upstream: UpstreamId) -> Self {
         let field = |name: &str| headers.get(name)?.to_str().ok();
-        let from = field(ClaimHeader::UPSTREAM).and_then(|id| id.parse::<UpstreamId>().ok());
-        match (from, headers.get(ClaimHeader::OUTCOME)) {
-            (Some(from), None) if from == upstream => PeerSays::Answer,
-            (Some(_), Some(outcome)) if outcome == ClaimHeader::NOT_RUN => PeerSays::NotRun,
-            _ => PeerSays::Lost,
+        let sender_id = field(ClaimHeader::UPSTREAM).and_then(|id| id.parse::<UpstreamId>().ok());
+        match (sender_id, headers.get(ClaimHeader::OUTCOME)) {
+            (Some(sender_id), None) if sender_id == upstream => PeerOutcome::Response,
+            (Some(_), Some(outcome)) if outcome == ClaimHeader::NOT_RUN => PeerOutcome::NotRun,
+            _ => PeerOutcome::Unknown,
         }
     }
 }
 
 /// Waits for a future until the deadline; `None` if it passed.
-async fn before<F: Future>(deadline: Option<Instant>, future: F) -> Option<F::Output> {
+async fn until_deadline<F: Future>(deadline: Option<Instant>, future: F) -> Option<F::Output> {
     let Some(deadline) = deadline else {
         return Some(future.await);
     };
@@ -280,7 +289,7 @@
 
 /// Opens a connection. A small part of a feed must not wait for the last one's
 /// acknowledgement; it is only slower if that cannot be set.
-async fn open(address: SocketAddr) -> io::Result<TcpStream> {
+async fn open_connection(address: SocketAddr) -> io::Result<TcpStream> {
     let stream = TcpStream::connect(address).await?;
     let _ = stream.set_nodelay(true);
     Ok(stream)
--- a/crates/agent/src/request/handle.rs
+++ b/crates/agent/src/request/handle.rs
@@ -21,12 +21,12 @@
 use wire::ClaimHeader;
 
 use super::{
-    Answer, Call, CallerBody, Failed, Head, RequestIds, Slot, Target, body::RecvStream,
-    deadline_of, is_idempotent, keyed,
+    AttemptError, CallerBody, EndToEndHeaders, ForwardTarget, ForwardedRequest, ForwardedResponse,
+    RequestGuard, RequestIdGenerator, body::RecvStream, deadline_of, idempotency, is_idempotent,
 };
 use crate::{
-    connection::{self, Link, StreamEnds},
-    process::{AdmissionCommand, AdmissionHandle, Grant, KeysHandle, Metrics},
+    connection::{self, H3Connection, StreamCompletions},
+    process::{AdmissionCommand, AdmissionHandle, AdmissionReply, IdempotencyHandle, Metrics},
 };
 
 /// Seconds after which a caller may try again when nothing is free.
@@ -34,7 +34,7 @@
 
 /// Time to wait for the end of a stream without a body; a lost packet is
 /// repeated within it. After it the body is passed on as it comes.
-const BODY_END: Duration = Duration::from_secs(1);
+const EMPTY_BODY_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Sending half of a caller's stream.
 pub(super) type SendStream = RequestStream<connection::SendStream<Bytes>, Bytes>;
@@ -45,13 +45,13 @@
     /// The admission task.
     pub admission: AdmissionHandle,
     /// Numbers of requests.
-    pub ids: RequestIds,
+    pub request_ids: RequestIdGenerator,
     /// The agent's own upstream.
-    pub upstream: SocketAddr,
+    pub upstream_address: SocketAddr,
     /// State of the service; none while it is not configured.
     pub service: watch::Receiver<Option<ServiceState>>,
     /// The task that keeps results under idempotency keys.
-    pub keys: KeysHandle,
+    pub keys: IdempotencyHandle,
     /// Metrics of the agent.
     pub metrics: Metrics,
     /// Proofs of identity towards peers; plain HTTP without them.
@@ -59,27 +59,27 @@
 }
 
 /// A request as the caller sent it.
-pub(super) struct Exchange {
+pub(super) struct CallerRequest {
     pub(super) cx: RequestContext,
     service: ServiceId,
     class: ClassName,
     pub(super) method: Method,
     /// Path and query.
     pub(super) uri: Uri,
-    head: Head,
+    headers: EndToEndHeaders,
     deadline: Option<Instant>,
     body: CallerBody,
     started_at: Instant,
 }
 
 /// What the caller gets when there is no answer to pass on.
-pub(super) enum Refusal {
+pub(super) enum RequestFailure {
     /// The request was not run.
     NotRun(Option<RefusalReason>),
     /// The request may have run.
-    Unknown(Failure),
+    OutcomeUnknown(Failure),
     /// The caller is gone.
-    Gone,
+    CallerGone,
 }
 
 /// Serves one request from its head until the caller has all of its answer.
@@ -89,24 +89,24 @@
 /// The caller's stream or connection has ended.
 pub async fn handle(
     cx: RequestContext,
-    resolver: RequestResolver<Link, Bytes>,
-    ends: StreamEnds,
+    resolver: RequestResolver<H3Connection, Bytes>,
+    completions: StreamCompletions,
 ) -> Result<(), StreamError> {
     let (req, stream) = resolver.resolve_request().await?;
-    let Some(mut end) = ends.take(stream.id()) else {
+    let Some(mut completion) = completions.take(stream.id()) else {
         return Ok(());
     };
     let (mut send, recv) = stream.split();
-    let served = tokio::select! {
-        served = serve(cx, &req, recv, &mut send) => Some(served),
+    let result = tokio::select! {
+        result = serve(cx, &req, recv, &mut send) => Some(result),
         // The caller stopped the answer. Whatever the request held is dropped,
         // which gives back its slot and cancels it at the upstream.
-        () = end.wait() => None,
+        () = completion.wait() => None,
     };
-    match served {
+    match result {
         // The connection may be closed when this returns, so the caller must
         // have the answer by then.
-        Some(Ok(())) => end.wait().await,
+        Some(Ok(())) => completion.wait().await,
         Some(Err(e)) => return Err(e),
         None => send.stop_stream(Code::H3_REQUEST_CANCELLED),
     }
@@ -119,151 +119,170 @@
     recv: RecvStream,
     send: &mut SendStream,
 ) -> Result<(), StreamError> {
-    let found = cx
+    let matched = cx
         .service
         .borrow()
         .as_ref()
-        .and_then(|state| class_of(state, req.uri()));
-    let Some((service, class)) = found else {
-        return refuse(send, &Refusal::NotRun(Some(RefusalReason::UnknownClass))).await;
+        .and_then(|state| match_class(state, req.uri()));
+    let Some((service, class)) = matched else {
+        return send_failure(
+            send,
+            &RequestFailure::NotRun(Some(RefusalReason::UnknownClass)),
+        )
+        .await;
     };
     let now = Instant::now();
     let remaining = req.headers().get(ClaimHeader::TIMEOUT_MS);
-    let exchange = Exchange {
+    let caller_request = CallerRequest {
         service,
         class,
         method: req.method().clone(),
-        uri: path_of(req.uri()),
-        head: head_of(req),
+        uri: origin_form(req.uri()),
+        headers: upstream_headers(req),
         deadline: deadline_of(now, remaining.map(HeaderValue::as_bytes)),
         body: CallerBody::new(recv),
         started_at: now,
         cx,
     };
     if expects_no_body(req)
-        && let Ok(ahead) = timeout(BODY_END, exchange.body.read_ahead()).await
+        && let Ok(first_chunk) =
+            timeout(EMPTY_BODY_TIMEOUT, caller_request.body.wait_first_chunk()).await
     {
-        ahead?;
+        first_chunk?;
     }
-    if let Some(key) = keyed::key_of(req) {
-        return keyed::serve(exchange, key, send).await;
+    if let Some(key) = idempotency::key_of(req) {
+        return idempotency::serve(caller_request, key, send).await;
     }
-    match exchange.run().await {
-        Ok((answer, slot)) => exchange.pass(answer, slot, send).await,
-        Err(refusal) => {
-            exchange.count(refusal.label());
-            refuse(send, &refusal).await
+    match caller_request.run().await {
+        Ok((forwarded, request_guard)) => {
+            caller_request
+                .forward_response(forwarded, request_guard, send)
+                .await
+        }
+        Err(request_failure) => {
+            caller_request.count_result(request_failure.label());
+            send_failure(send, &request_failure).await
         }
     }
 }
 
-impl Exchange {
+impl CallerRequest {
     /// Attempts the request until there is an answer or a refusal.
-    pub(super) async fn run(&self) -> Result<(Answer, Option<Slot>), Refusal> {
+    pub(super) async fn run(
+        &self,
+    ) -> Result<(ForwardedResponse, Option<RequestGuard>), RequestFailure> {
         let mut elsewhere = false;
         loop {
-            let id = self.cx.ids.next();
-            let mut slot = Slot::new(id, self.cx.admission.clone());
+            let id = self.cx.request_ids.next();
+            let mut request_guard = RequestGuard::new(id, self.cx.admission.clone());
             let info = RequestInfo {
                 deadline: self.deadline,
                 exclude_local: elsewhere,
                 ..RequestInfo::new(id, self.class.clone())
             };
-            let grant = self
+            let reply = self
                 .cx
                 .admission
                 .ask(|tx| AdmissionCommand::Arrive(info, tx))
                 .await;
-            let failed = match grant {
-                None => return Err(Refusal::NotRun(None)),
-                Some(Grant::Refuse(reason)) => return Err(Refusal::NotRun(Some(reason))),
-                Some(Grant::Run) => match self.run_here().await {
-                    Ok(answer) => return Ok((answer, Some(slot))),
-                    Err(failed) => {
-                        slot.set(outcome_of(failed));
-                        elsewhere |= failed.failure == Failure::Connect;
-                        failed
+            let attempt_error = match reply {
+                None => return Err(RequestFailure::NotRun(None)),
+                Some(AdmissionReply::Refuse(reason)) => {
+                    return Err(RequestFailure::NotRun(Some(reason)));
+                }
+                Some(AdmissionReply::Run) => match self.forward_to_upstream().await {
+                    Ok(forwarded) => return Ok((forwarded, Some(request_guard))),
+                    Err(attempt_error) => {
+                        request_guard.set_outcome(outcome_of_error(attempt_error));
+                        elsewhere |= attempt_error.failure == Failure::Connect;
+                        attempt_error
                     }
                 },
-                Some(Grant::Pass {
+                Some(AdmissionReply::HandOff {
                     upstream,
                     peer,
                     reservation,
                 }) => {
-                    let target = Target::Peer {
+                    let target = ForwardTarget::Peer {
                         peer,
                         upstream,
                         service: self.service,
                         reservation,
                     };
-                    let call = self.call(target);
-                    match call.send_to_peer(self.cx.credentials.as_ref()).await {
-                        Ok(answer) => return Ok((answer, None)),
-                        Err(failed) => failed,
+                    let forwarded_request = self.forwarded_request(target);
+                    match forwarded_request
+                        .send_to_peer(self.cx.credentials.as_ref())
+                        .await
+                    {
+                        Ok(forwarded) => return Ok((forwarded, None)),
+                        Err(attempt_error) => attempt_error,
                     }
                 }
             };
-            drop(slot);
-            self.judge(&failed).await?;
+            drop(request_guard);
+            self.check_retry(&attempt_error).await?;
         }
     }
 
-    async fn run_here(&self) -> Result<Answer, Failed> {
-        let result = self.call(Target::Upstream(self.cx.upstream)).send().await;
-        self.cx.admission.note_attempt(&result);
+    async fn forward_to_upstream(&self) -> Result<ForwardedResponse, AttemptError> {
+        let result = self
+            .forwarded_request(ForwardTarget::Upstream(self.cx.upstream_address))
+            .send()
+            .await;
+        self.cx.admission.report_attempt(&result);
         result
     }
 
-    fn call(&self, target: Target) -> Call<CallerBody> {
+    fn forwarded_request(&self, target: ForwardTarget) -> ForwardedRequest<CallerBody> {
         let mut request = Request::new(self.body.clone());
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
-        Call {
+        ForwardedRequest {
             target,
             request,
-            head: self.head.clone(),
+            headers: self.headers.clone(),
             deadline: self.deadline,
         }
     }
 
     /// Returns if the request is to be attempted again.
-    async fn judge(&self, failed: &Failed) -> Result<(), Refusal> {
-        let not_run = failed.progress == Progress::NotStarted;
-        if self.body.started() {
+    async fn check_retry(&self, attempt_error: &AttemptError) -> Result<(), RequestFailure> {
+        let not_started = attempt_error.progress == Progress::NotStarted;
+        if self.body.is_consumed() {
             // The body is spent, so there is nothing to repeat.
-            return Err(if not_run {
-                Refusal::NotRun(None)
+            return Err(if not_started {
+                RequestFailure::NotRun(None)
             } else {
-                Refusal::Unknown(failed.failure)
+                RequestFailure::OutcomeUnknown(attempt_error.failure)
             });
         }
         let attempt = Attempt {
-            progress: failed.progress,
-            failure: failed.failure,
+            progress: attempt_error.progress,
+            failure: attempt_error.failure,
             idempotent: is_idempotent(&self.method),
             deadline: self.deadline,
         };
         let verdict = self
             .cx
             .admission
-            .ask(|tx| AdmissionCommand::Judge(attempt, tx))
+            .ask(|tx| AdmissionCommand::CheckRetry(attempt, tx))
             .await;
         match verdict {
             Some(RetryDecision::Retry) => Ok(()),
-            Some(RetryDecision::Done) => Err(Refusal::Gone),
-            _ if not_run => Err(Refusal::NotRun(None)),
-            _ => Err(Refusal::Unknown(failed.failure)),
+            Some(RetryDecision::Done) => Err(RequestFailure::CallerGone),
+            _ if not_started => Err(RequestFailure::NotRun(None)),
+            _ => Err(RequestFailure::OutcomeUnknown(attempt_error.failure)),
         }
     }
 
     /// Passes an answer on to the caller, whole or ended by a reset.
-    async fn pass(
+    async fn forward_response(
         &self,
-        answer: Answer,
-        mut slot: Option<Slot>,
+        forwarded: ForwardedResponse,
+        mut request_guard: Option<RequestGuard>,
         send: &mut SendStream,
     ) -> Result<(), StreamError> {
-        let (parts, mut body, _connection) = answer.into_parts();
+        let (parts, mut body, _connection) = forwarded.into_parts();
         self.cx
             .metrics
             .answer_seconds
@@ -271,48 +290,48 @@
             .observe(self.started_at.elapsed().as_secs_f64());
         let mut response = Response::new(());
         *response.status_mut() = parts.status;
-        *response.headers_mut() = Head::of(&parts.headers).headers;
+        *response.headers_mut() = EndToEndHeaders::from_headers(&parts.headers).headers;
         send.send_response(response).await?;
         while let Some(frame) = body.frame().await {
             let Ok(frame) = frame else {
                 // The upstream broke off; a clean end would pass a part off as
                 // the whole answer.
                 send.stop_stream(Code::H3_INTERNAL_ERROR);
-                if let Some(slot) = &mut slot {
-                    slot.set(RequestOutcome::Failed);
+                if let Some(request_guard) = &mut request_guard {
+                    request_guard.set_outcome(RequestOutcome::Failed);
                 }
-                self.count("broken");
+                self.count_result("broken");
                 return Ok(());
             };
             if let Ok(data) = frame.into_data() {
                 send.send_data(data).await?;
             }
         }
-        if let Some(slot) = &mut slot {
-            slot.set(ended(parts.status));
+        if let Some(request_guard) = &mut request_guard {
+            request_guard.set_outcome(outcome_of_status(parts.status));
         }
-        drop(slot);
-        self.count("answered");
+        drop(request_guard);
+        self.count_result("answered");
         send.finish().await
     }
 
-    pub(super) fn count(&self, result: &str) {
+    pub(super) fn count_result(&self, result: &str) {
         self.cx.metrics.count_request(self.class.as_str(), result);
     }
 }
 
-impl Refusal {
+impl RequestFailure {
     pub(super) fn label(&self) -> &'static str {
         match self {
-            Refusal::NotRun(_) => "not_run",
-            Refusal::Unknown(_) => "unknown",
-            Refusal::Gone => "cancelled",
+            RequestFailure::NotRun(_) => "not_run",
+            RequestFailure::OutcomeUnknown(_) => "unknown",
+            RequestFailure::CallerGone => "cancelled",
         }
     }
 }
 
 /// Outcome of a request whose whole answer came.
-pub(crate) fn ended(status: StatusCode) -> RequestOutcome {
+pub(crate) fn outcome_of_status(status: StatusCode) -> RequestOutcome {
     if status == StatusCode::SERVICE_UNAVAILABLE {
         RequestOutcome::Shed
     } else {
@@ -321,42 +340,42 @@
 }
 
 /// Outcome of a request without an answer.
-pub(crate) fn outcome_of(failed: Failed) -> RequestOutcome {
-    match failed.progress {
+pub(crate) fn outcome_of_error(attempt_error: AttemptError) -> RequestOutcome {
+    match attempt_error.progress {
         Progress::NotStarted => RequestOutcome::NotStarted,
         _ => RequestOutcome::Failed,
     }
 }
 
 /// Status and outcome field of a request without an answer.
-pub(crate) fn status_of(failed: Failed) -> (StatusCode, &'static str) {
-    match (failed.progress, failed.failure) {
+pub(crate) fn status_of_error(attempt_error: AttemptError) -> (StatusCode, &'static str) {
+    match (attempt_error.progress, attempt_error.failure) {
         (Progress::NotStarted, _) => (StatusCode::SERVICE_UNAVAILABLE, ClaimHeader::NOT_RUN),
         (_, Failure::Deadline) => (StatusCode::GATEWAY_TIMEOUT, ClaimHeader::UNKNOWN),
         _ => (StatusCode::BAD_GATEWAY, ClaimHeader::UNKNOWN),
     }
 }
 
-fn class_of(state: &ServiceState, uri: &Uri) -> Option<(ServiceId, ClassName)> {
+fn match_class(state: &ServiceState, uri: &Uri) -> Option<(ServiceId, ClassName)> {
     let (class, _) = state.service.class_of(uri.path().as_bytes())?;
     Some((state.service.id, class.clone()))
 }
 
 /// The form of the target that HTTP/1.1 sends to an upstream.
-fn path_of(uri: &Uri) -> Uri {
+fn origin_form(uri: &Uri) -> Uri {
     let path = uri.path_and_query().cloned();
     path.map_or_else(|| Uri::from_static("/"), Uri::from)
 }
 
 /// Header fields for the upstream. HTTP/3 carries the authority outside the
 /// fields, HTTP/1.1 in `Host`.
-fn head_of(req: &Request<()>) -> Head {
-    let mut head = Head::of(req.headers());
-    head.join_cookies();
+fn upstream_headers(req: &Request<()>) -> EndToEndHeaders {
+    let mut headers = EndToEndHeaders::from_headers(req.headers());
+    headers.join_cookies();
     if let Some(authority) = req.uri().authority() {
-        head.set(header::HOST.as_str(), authority);
+        headers.set(header::HOST.as_str(), authority);
     }
-    head
+    headers
 }
 
 /// Whether the request most likely has no body, so that waiting for the end of
@@ -370,13 +389,16 @@
     length.is_none() && bodiless
 }
 
-pub(super) async fn refuse(send: &mut SendStream, refusal: &Refusal) -> Result<(), StreamError> {
-    let (status, outcome, text) = match refusal {
-        Refusal::Gone => {
+pub(super) async fn send_failure(
+    send: &mut SendStream,
+    request_failure: &RequestFailure,
+) -> Result<(), StreamError> {
+    let (status, outcome, text) = match request_failure {
+        RequestFailure::CallerGone => {
             send.stop_stream(Code::H3_REQUEST_CANCELLED);
             return Ok(());
         }
-        Refusal::NotRun(reason) => (
+        RequestFailure::NotRun(reason) => (
             StatusCode::SERVICE_UNAVAILABLE,
             ClaimHeader::NOT_RUN,
             reason.map_or_else(
@@ -384,12 +406,12 @@
                 |r| r.to_string(),
             ),
         ),
-        Refusal::Unknown(failure) => {
-            let failed = Failed {
+        RequestFailure::OutcomeUnknown(failure) => {
+            let attempt_error = AttemptError {
                 progress: Progress::Started,
                 failure: *failure,
             };
-            let (status, outcome) = status_of(failed);
+            let (status, outcome) = status_of_error(attempt_error);
             (
                 status,
                 outcome,
@@ -397,25 +419,25 @@
             )
         }
     };
-    answer_text(send, status, outcome, &text).await
+    send_text(send, status, outcome, &text).await
 }
 
 /// Answers in the name of the system.
-pub(super) async fn answer_text(
+pub(super) async fn send_text(
     send: &mut SendStream,
     status: StatusCode,
     outcome: &'static str,
     text: &str,
 ) -> Result<(), StreamError> {
-    let mut head = Head::default();
-    head.set(ClaimHeader::OUTCOME, &outcome);
-    head.set(header::CONTENT_TYPE.as_str(), &"text/plain");
+    let mut headers = EndToEndHeaders::default();
+    headers.set(ClaimHeader::OUTCOME, &outcome);
+    headers.set(header::CONTENT_TYPE.as_str(), &"text/plain");
     if status == StatusCode::SERVICE_UNAVAILABLE {
-        head.set(header::RETRY_AFTER.as_str(), &RETRY_AFTER_SECS);
+        headers.set(header::RETRY_AFTER.as_str(), &RETRY_AFTER_SECS);
     }
     let mut response = Response::new(());
     *response.status_mut() = status;
-    *response.headers_mut() = head.headers;
+    *response.headers_mut() = headers.headers;
     send.send_response(response).await?;
     send.send_data(Bytes::from(format!("{text}\n"))).await?;
     send.finish().await
--- a/crates/agent/src/request/head.rs
+++ b/crates/agent/src/request/headers.rs
@@ -7,7 +7,7 @@
 
 /// Header fields that concern one connection only (RFC 9110, section 7.6.1),
 /// and the length of the message framing that replaces them.
-const HOP_BY_HOP: [HeaderName; 7] = [
+const HOP_BY_HOP_FIELDS: [HeaderName; 7] = [
     header::CONNECTION,
     header::PROXY_AUTHENTICATE,
     header::PROXY_AUTHORIZATION,
@@ -19,12 +19,12 @@
 
 /// Start of the names of this system's header fields. They have a meaning for
 /// one hop only: neither a caller nor an upstream can set one for the next.
-const INTERNAL: &str = "limpet-";
+const INTERNAL_FIELD_PREFIX: &str = "limpet-";
 
 /// Whether a header field concerns one connection only.
 #[must_use]
 pub fn is_hop_by_hop(name: &HeaderName) -> bool {
-    HOP_BY_HOP.contains(name) || matches!(name.as_str(), "keep-alive" | "proxy-connection")
+    HOP_BY_HOP_FIELDS.contains(name) || matches!(name.as_str(), "keep-alive" | "proxy-connection")
 }
 
 /// Whether a request with this method may be run twice (RFC 9110, section
@@ -46,15 +46,15 @@
 
 /// Head of a request or answer, without the fields of its last hop.
 #[derive(Debug, Clone, Default)]
-pub struct Head {
+pub struct EndToEndHeaders {
     /// The header fields.
     pub headers: HeaderMap,
 }
 
-impl Head {
+impl EndToEndHeaders {
     /// Takes over the fields that go to the next hop. A field that cannot be
     /// represented is left out.
-    pub fn copy<'a>(fields: impl IntoIterator<Item = (&'a str, &'a [u8])>) -> Self {
+    pub fn from_fields<'a>(fields: impl IntoIterator<Item = (&'a str, &'a [u8])>) -> Self {
         let mut headers = HeaderMap::new();
         for (name, value) in fields {
             let (Ok(name), Ok(value)) = (
@@ -65,23 +65,23 @@
             };
             headers.append(name, value);
         }
-        let last_hop: Vec<HeaderName> = headers
+        let removed: Vec<HeaderName> = headers
             .keys()
-            .filter(|name| is_hop_by_hop(name) || name.as_str().starts_with(INTERNAL))
+            .filter(|name| is_hop_by_hop(name) || name.as_str().starts_with(INTERNAL_FIELD_PREFIX))
             .cloned()
-            .chain(nominated(&headers))
+            .chain(connection_options(&headers))
             .collect();
-        for name in last_hop {
+        for name in removed {
             headers.remove(name);
         }
-        Head { headers }
+        EndToEndHeaders { headers }
     }
 
     /// Takes over the fields of a header map.
     #[must_use]
-    pub fn of(headers: &HeaderMap) -> Self {
+    pub fn from_headers(headers: &HeaderMap) -> Self {
         let fields = headers.iter();
-        Head::copy(fields.map(|(name, value)| (name.as_str(), value.as_bytes())))
+        EndToEndHeaders::from_fields(fields.map(|(name, value)| (name.as_str(), value.as_bytes())))
     }
 
     /// Joins the parts into which HTTP/3 may split a cookie field; HTTP/1.1 has
@@ -101,7 +101,7 @@
     }
 
     /// Replaces the caller's deadline by the time that remains.
-    pub fn set_remaining(&mut self, now: Instant, deadline: Option<Instant>) {
+    pub fn set_timeout(&mut self, now: Instant, deadline: Option<Instant>) {
         match deadline {
             Some(deadline) => {
                 let remaining = deadline.saturating_duration_since(now).as_millis();
@@ -122,7 +122,7 @@
 }
 
 /// Fields that `Connection` fields name: they concern one connection only.
-fn nominated(headers: &HeaderMap) -> impl Iterator<Item = HeaderName> {
+fn connection_options(headers: &HeaderMap) -> impl Iterator<Item = HeaderName> {
     let values = headers.get_all(header::CONNECTION).into_iter();
     values
         .flat_map(|value| value.as_bytes().split(|b| *b == b','))
--- a/crates/agent/src/request/keyed.rs
+++ b/crates/agent/src/request/idempotency.rs
@@ -11,29 +11,29 @@
 use wire::ClaimHeader;
 
 use super::{
-    Answer, Head, Permit, Slot, ended,
-    handle::{Exchange, Refusal, SendStream, refuse},
-    is_idempotent,
+    EndToEndHeaders, ForwardedResponse, KeyPermit, RequestGuard,
+    handle::{CallerRequest, RequestFailure, SendStream, send_failure},
+    is_idempotent, outcome_of_status,
 };
-use crate::process::Asked;
+use crate::process::HomeReply;
 
 /// Header field of the key
 /// (draft-ietf-httpapi-idempotency-key-header).
-const KEY_FIELD: &str = "idempotency-key";
+const IDEMPOTENCY_KEY_FIELD: &str = "idempotency-key";
 
 /// Parts of an answer that may wait for the caller.
-const PARTS: usize = 16;
+const EVENT_QUEUE_LEN: usize = 16;
 
 /// Largest body that is collected to be kept.
-const MAX_BODY: usize = 64 << 10;
+const MAX_STORED_BODY_BYTES: usize = 64 << 10;
 
 /// What the caller's side of a request is told.
-enum Part {
+enum ResponseEvent {
     Head(Box<response::Parts>),
     Data(Bytes),
     /// The answer broke off.
-    Broken,
-    Refused(Refusal),
+    Truncated,
+    Failed(RequestFailure),
 }
 
 /// The key of a request that must not run twice. Keys without a date are left
@@ -42,93 +42,113 @@
     if is_idempotent(req.method()) || req.method() == Method::CONNECT {
         return None;
     }
-    let text = req.headers().get(KEY_FIELD)?.to_str().ok()?;
+    let text = req.headers().get(IDEMPOTENCY_KEY_FIELD)?.to_str().ok()?;
     text.trim_matches('"').parse().ok()
 }
 
 /// Serves a request under a key.
 pub(super) async fn serve(
-    exchange: Exchange,
+    caller_request: CallerRequest,
     key: IdempotencyKey,
     send: &mut SendStream,
 ) -> Result<(), StreamError> {
-    let fingerprint = Fingerprint::of(exchange.method.as_str(), &exchange.uri.to_string());
+    let fingerprint = Fingerprint::of(
+        caller_request.method.as_str(),
+        &caller_request.uri.to_string(),
+    );
     let attempt = rand::rng().random();
-    let Asked { home, begin } = exchange.cx.keys.ask(key, fingerprint, attempt).await;
+    let HomeReply { home, begin } = caller_request
+        .cx
+        .keys
+        .query_home(key, fingerprint, attempt)
+        .await;
     match (begin, home) {
         (BeginReply::Run, Some(home)) => {
-            let permit = Permit::new(key, home, exchange.cx.keys.clone());
-            let (tx, rx) = mpsc::channel(PARTS);
+            let key_permit = KeyPermit::new(key, home, caller_request.cx.keys.clone());
+            let (tx, rx) = mpsc::channel(EVENT_QUEUE_LEN);
             // The request runs in a task of its own: a caller that goes away
             // will ask for the result again.
-            actix_rt::spawn(run(exchange, permit, tx));
-            relay(rx, send).await
+            actix_rt::spawn(run_to_end(caller_request, key_permit, tx));
+            send_events(rx, send).await
         }
         (BeginReply::Answered(kept), _) => {
-            exchange.count("kept");
+            caller_request.count_result("kept");
             replay(kept, send).await
         }
         (begin, _) => {
-            exchange.count("key_refused");
-            refuse_key(&begin, send).await
+            caller_request.count_result("key_refused");
+            send_key_failure(&begin, send).await
         }
     }
 }
 
 /// Runs the request to its end, whether or not the caller stays.
-async fn run(exchange: Exchange, mut permit: Permit, tx: mpsc::Sender<Part>) {
-    permit.note(KeyedOutcome::AnswerLost);
+async fn run_to_end(
+    caller_request: CallerRequest,
+    mut key_permit: KeyPermit,
+    tx: mpsc::Sender<ResponseEvent>,
+) {
+    key_permit.set_end(KeyedOutcome::AnswerLost);
     // The caller may be gone, whenever something is sent to it.
-    match exchange.run().await {
-        Ok((answer, slot)) => pump(&exchange, answer, slot, &mut permit, &tx).await,
-        Err(refusal) => {
-            if matches!(refusal, Refusal::NotRun(_)) {
-                permit.note(KeyedOutcome::NotRun);
+    match caller_request.run().await {
+        Ok((forwarded, request_guard)) => {
+            forward_and_store(
+                &caller_request,
+                forwarded,
+                request_guard,
+                &mut key_permit,
+                &tx,
+            )
+            .await
+        }
+        Err(request_failure) => {
+            if matches!(request_failure, RequestFailure::NotRun(_)) {
+                key_permit.set_end(KeyedOutcome::NotRun);
             }
-            exchange.count(refusal.label());
-            drop(permit);
-            let _ = tx.send(Part::Refused(refusal)).await;
+            caller_request.count_result(request_failure.label());
+            drop(key_permit);
+            let _ = tx.send(ResponseEvent::Failed(request_failure)).await;
         }
     }
 }
 
 /// Passes an answer on to the caller's side and collects it to be kept.
-async fn pump(
-    exchange: &Exchange,
-    answer: Answer,
-    mut slot: Option<Slot>,
-    permit: &mut Permit,
-    tx: &mpsc::Sender<Part>,
+async fn forward_and_store(
+    caller_request: &CallerRequest,
+    forwarded: ForwardedResponse,
+    mut request_guard: Option<RequestGuard>,
+    key_permit: &mut KeyPermit,
+    tx: &mpsc::Sender<ResponseEvent>,
 ) {
-    let (parts, mut body, _connection) = answer.into_parts();
+    let (parts, mut body, _connection) = forwarded.into_parts();
     let status = parts.status;
-    let head = Head::of(&parts.headers).headers;
-    let _ = tx.send(Part::Head(Box::new(parts))).await;
+    let head = EndToEndHeaders::from_headers(&parts.headers).headers;
+    let _ = tx.send(ResponseEvent::Head(Box::new(parts))).await;
     let mut collected = Some(BytesMut::new());
     while let Some(frame) = body.frame().await {
         let Ok(frame) = frame else {
-            if let Some(slot) = &mut slot {
-                slot.set(RequestOutcome::Failed);
+            if let Some(request_guard) = &mut request_guard {
+                request_guard.set_outcome(RequestOutcome::Failed);
             }
-            exchange.count("broken");
-            let _ = tx.send(Part::Broken).await;
+            caller_request.count_result("broken");
+            let _ = tx.send(ResponseEvent::Truncated).await;
             return;
         };
         let Ok(data) = frame.into_data() else {
             continue;
         };
-        collected = collected.and_then(|body| append(body, &data));
-        let gone = tx.send(Part::Data(data)).await.is_err();
-        if gone && collected.is_none() {
+        collected = collected.and_then(|body| append_chunk(body, &data));
+        let caller_gone = tx.send(ResponseEvent::Data(data)).await.is_err();
+        if caller_gone && collected.is_none() {
             // Nobody waits for the rest, and it is too large to be kept.
-            permit.note(KeyedOutcome::AnswerTooLarge);
+            key_permit.set_end(KeyedOutcome::AnswerTooLarge);
             return;
         }
     }
-    if let Some(slot) = &mut slot {
-        slot.set(ended(status));
+    if let Some(request_guard) = &mut request_guard {
+        request_guard.set_outcome(outcome_of_status(status));
     }
-    permit.note(match collected {
+    key_permit.set_end(match collected {
         Some(body) => KeyedOutcome::Answered(StoredAnswer::new(
             status.as_u16(),
             fields(&head),
@@ -136,13 +156,13 @@
         )),
         None => KeyedOutcome::AnswerTooLarge,
     });
-    exchange.count("answered");
+    caller_request.count_result("answered");
 }
 
 /// The collected body with one more part; `None` if it is too large.
-fn append(mut body: BytesMut, data: &Bytes) -> Option<BytesMut> {
+fn append_chunk(mut body: BytesMut, data: &Bytes) -> Option<BytesMut> {
     body.extend_from_slice(data);
-    (body.len() <= MAX_BODY).then_some(body)
+    (body.len() <= MAX_STORED_BODY_BYTES).then_some(body)
 }
 
 fn fields(head: &HeaderMap) -> Vec<(Bytes, Bytes)> {
@@ -153,21 +173,26 @@
 }
 
 /// Passes the parts on to the caller, whole or ended by a reset.
-async fn relay(mut rx: mpsc::Receiver<Part>, send: &mut SendStream) -> Result<(), StreamError> {
+async fn send_events(
+    mut rx: mpsc::Receiver<ResponseEvent>,
+    send: &mut SendStream,
+) -> Result<(), StreamError> {
     while let Some(part) = rx.recv().await {
         match part {
-            Part::Head(parts) => {
+            ResponseEvent::Head(parts) => {
                 let mut response = Response::new(());
                 *response.status_mut() = parts.status;
-                *response.headers_mut() = Head::of(&parts.headers).headers;
+                *response.headers_mut() = EndToEndHeaders::from_headers(&parts.headers).headers;
                 send.send_response(response).await?;
             }
-            Part::Data(data) => send.send_data(data).await?,
-            Part::Broken => {
+            ResponseEvent::Data(data) => send.send_data(data).await?,
+            ResponseEvent::Truncated => {
                 send.stop_stream(Code::H3_INTERNAL_ERROR);
                 return Ok(());
             }
-            Part::Refused(refusal) => return refuse(send, &refusal).await,
+            ResponseEvent::Failed(request_failure) => {
+                return send_failure(send, &request_failure).await;
+            }
         }
     }
     send.finish().await
@@ -193,7 +218,7 @@
 }
 
 /// Tells the caller why a request under a key is not run now.
-async fn refuse_key(begin: &BeginReply, send: &mut SendStream) -> Result<(), StreamError> {
+async fn send_key_failure(begin: &BeginReply, send: &mut SendStream) -> Result<(), StreamError> {
     let (status, outcome, text) = match begin {
         BeginReply::AnswerNotKept => (
             StatusCode::CONFLICT,
@@ -226,5 +251,5 @@
             "whether a request with this key has run is not known",
         ),
     };
-    super::handle::answer_text(send, status, outcome, text).await
+    super::handle::send_text(send, status, outcome, text).await
 }
--- a/crates/agent/src/request/mod.rs
+++ b/crates/agent/src/request/mod.rs
@@ -1,17 +1,19 @@
 //! One request on its way to an upstream and back.
 
 mod body;
-mod call;
+mod forward;
 mod handle;
-mod head;
-mod keyed;
-mod permit;
-mod slot;
+mod headers;
+mod idempotency;
+mod key_permit;
+mod request_guard;
 
 pub use body::CallerBody;
-pub use call::{Answer, Call, Connection, Failed, PeerSays, Target};
+pub use forward::{
+    AttemptError, ConnectionTask, ForwardTarget, ForwardedRequest, ForwardedResponse, PeerOutcome,
+};
 pub use handle::{RequestContext, handle};
-pub(crate) use handle::{ended, outcome_of, status_of};
-pub use head::{Head, deadline_of, is_hop_by_hop, is_idempotent};
-pub use permit::Permit;
-pub use slot::{RequestIds, Slot};
+pub(crate) use handle::{outcome_of_error, outcome_of_status, status_of_error};
+pub use headers::{EndToEndHeaders, deadline_of, is_hop_by_hop, is_idempotent};
+pub use key_permit::KeyPermit;
+pub use request_guard::{RequestGuard, RequestIdGenerator};
--- a/crates/agent/src/request/slot.rs
+++ b/crates/agent/src/request/request_guard.rs
@@ -12,11 +12,11 @@
 
 /// Gives each request of the process a number.
 #[derive(Debug, Clone, Default)]
-pub struct RequestIds {
+pub struct RequestIdGenerator {
     next: Arc<AtomicU64>,
 }
 
-impl RequestIds {
+impl RequestIdGenerator {
     /// The next number.
     #[must_use]
     pub fn next(&self) -> RequestId {
@@ -29,18 +29,18 @@
 /// It exists before the admission is asked, so a request that is dropped at
 /// any moment leaves no slot behind.
 #[derive(Debug)]
-pub struct Slot {
+pub struct RequestGuard {
     id: RequestId,
     /// How the request ended; none while it waits, or if it was cancelled.
     outcome: Option<RequestOutcome>,
     admission: AdmissionHandle,
 }
 
-impl Slot {
+impl RequestGuard {
     /// Creates the guard of a request.
     #[must_use]
     pub fn new(id: RequestId, admission: AdmissionHandle) -> Self {
-        Slot {
+        RequestGuard {
             id,
             outcome: None,
             admission,
@@ -48,12 +48,12 @@
     }
 
     /// Sets how the request ended.
-    pub fn set(&mut self, outcome: RequestOutcome) {
+    pub fn set_outcome(&mut self, outcome: RequestOutcome) {
         self.outcome = Some(outcome);
     }
 }
 
-impl Drop for Slot {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
         self.admission.send(match self.outcome {
             Some(outcome) => AdmissionCommand::Finish(self.id, outcome),
--- a/crates/agent/src/version/mod.rs
+++ b/crates/agent/src/version/mod.rs
@@ -21,20 +21,20 @@
 
 /// The agent's view of one version.
 #[derive(Debug, Clone, Default)]
-pub struct View {
+pub struct VersionView {
     /// State of the agent's service; none while it is not configured.
     pub service: Option<ServiceState>,
     /// Where the balancers take answers.
     pub balancers: BTreeSet<SocketAddr>,
     /// Whether an operator drains the upstream.
-    pub drained: bool,
+    pub drain_requested: bool,
 }
 
-impl View {
+impl VersionView {
     /// Takes an update over into the view.
     pub fn apply(&mut self, update: &Update, name: &ServiceName, host: &HostName) {
-        let known = self.service.as_ref().map(|state| state.service.id);
-        let removed = known.is_some_and(|id| update.removed.contains(&id));
+        let known_id = self.service.as_ref().map(|state| state.service.id);
+        let removed = known_id.is_some_and(|id| update.removed.contains(&id));
         if update.snapshot || removed {
             self.service = None;
         }
@@ -46,20 +46,20 @@
             .values()
             .map(|balancer| balancer.return_address)
             .collect();
-        self.drained = update.drains.contains(host);
+        self.drain_requested = update.drains.contains(host);
     }
 
     /// Targets of the service. A class that this upstream does not serve has
     /// no slots here, so that its requests are handed off.
     #[must_use]
-    pub fn targets(&self, served: &BTreeSet<ClassName>) -> BTreeMap<ClassName, Target> {
+    pub fn targets(&self, served_classes: &BTreeSet<ClassName>) -> BTreeMap<ClassName, Target> {
         let Some(state) = &self.service else {
             return BTreeMap::new();
         };
         let mut targets = state.service.targets.clone();
-        if !served.is_empty() {
+        if !served_classes.is_empty() {
             for (class, target) in &mut targets {
-                if !served.contains(class) {
+                if !served_classes.contains(class) {
                     target.carry = Slots(0);
                 }
             }
@@ -69,10 +69,10 @@
 
     /// The other upstreams of the service.
     #[must_use]
-    pub fn peers(&self, own: UpstreamId) -> BTreeMap<UpstreamId, Peer> {
+    pub fn peers(&self, own_id: UpstreamId) -> BTreeMap<UpstreamId, Peer> {
         let members = self.service.iter().flat_map(|state| &state.members);
         members
-            .filter(|(id, _)| **id != own)
+            .filter(|(id, _)| **id != own_id)
             .map(|(&id, member)| {
                 let peer = Peer {
                     data_centre: member.data_centre.clone(),
--- a/crates/agent/tests/calls.rs
+++ b/crates/agent/tests/calls.rs
@@ -8,7 +8,9 @@
 
 use admit::{Failure, Progress};
 use agent::{
-    request::{Call, Failed, Head, PeerSays, Target, deadline_of},
+    request::{
+        AttemptError, EndToEndHeaders, ForwardTarget, ForwardedRequest, PeerOutcome, deadline_of,
+    },
     version::Peer,
 };
 use bytes::Bytes;
@@ -39,20 +41,20 @@
     String::from_utf8_lossy(&read).into_owned()
 }
 
-fn call(target: Target) -> Call<Full<Bytes>> {
+fn call(target: ForwardTarget) -> ForwardedRequest<Full<Bytes>> {
     let mut request = Request::new(Full::new(Bytes::from_static(b"seat")));
     *request.method_mut() = Method::POST;
     *request.uri_mut() = "/claim/1".parse().expect("path");
-    Call {
+    ForwardedRequest {
         target,
         request,
-        head: Head::default(),
+        headers: EndToEndHeaders::default(),
         deadline: Some(Instant::now() + Duration::from_secs(5)),
     }
 }
 
-fn peer(address: SocketAddr) -> Target {
-    Target::Peer {
+fn peer(address: SocketAddr) -> ForwardTarget {
+    ForwardTarget::Peer {
         peer: Peer {
             data_centre: "dc1".parse().expect("name"),
             address,
@@ -73,8 +75,8 @@
     format!("HTTP/1.1 {status}\r\n{fields}content-length: 2\r\n\r\nok")
 }
 
-fn failed(progress: Progress, failure: Failure) -> Failed {
-    Failed { progress, failure }
+fn failed(progress: Progress, failure: Failure) -> AttemptError {
+    AttemptError { progress, failure }
 }
 
 /// P4, P5. Guards against an answer of a server that is not the peer that is
@@ -121,7 +123,7 @@
 async fn a_failed_attempt_says_how_far_it_came() {
     let (listener, address) = listen().await;
     drop(listener);
-    for target in [Target::Upstream(address), peer(address)] {
+    for target in [ForwardTarget::Upstream(address), peer(address)] {
         let e = call(target).send().await.err();
         assert_eq!(e, Some(failed(Progress::NotStarted, Failure::Connect)));
     }
@@ -129,13 +131,13 @@
     let (listener, address) = listen().await;
     let (_, sent) = tokio::join!(
         serve_once(listener, String::new()),
-        call(Target::Upstream(address)).send()
+        call(ForwardTarget::Upstream(address)).send()
     );
     let broken = failed(Progress::Started, Failure::Broken);
     assert_eq!(sent.err(), Some(broken));
 
     let (_listener, address) = listen().await;
-    let mut late = call(Target::Upstream(address));
+    let mut late = call(ForwardTarget::Upstream(address));
     late.deadline = Some(Instant::now() + Duration::from_millis(50));
     let e = late.send().await.err();
     assert_eq!(e, Some(failed(Progress::Started, Failure::Deadline)));
@@ -150,7 +152,7 @@
         let text = format!("HTTP/1.1 200 OK\r\n{head}\r\n\r\n2\r\nok\r\n");
         let (_, sent) = tokio::join!(
             serve_once(listener, text),
-            call(Target::Upstream(address)).send()
+            call(ForwardTarget::Upstream(address)).send()
         );
         let (_, body, _connection) = sent.expect("head").into_parts();
         assert!(body.collect().await.is_err(), "{head}");
@@ -161,13 +163,25 @@
 #[test]
 fn an_answer_of_a_peer_names_it() {
     let mut headers = HeaderMap::new();
-    assert_eq!(PeerSays::read(&headers, MEANT), PeerSays::Lost);
+    assert_eq!(
+        PeerOutcome::from_headers(&headers, MEANT),
+        PeerOutcome::Unknown
+    );
     let id = HeaderValue::from_str(&MEANT.to_string()).expect("id");
     headers.insert("limpet-upstream", id);
-    assert_eq!(PeerSays::read(&headers, MEANT), PeerSays::Answer);
-    assert_eq!(PeerSays::read(&headers, OTHER), PeerSays::Lost);
+    assert_eq!(
+        PeerOutcome::from_headers(&headers, MEANT),
+        PeerOutcome::Response
+    );
+    assert_eq!(
+        PeerOutcome::from_headers(&headers, OTHER),
+        PeerOutcome::Unknown
+    );
     headers.insert("limpet-outcome", HeaderValue::from_static("later"));
-    assert_eq!(PeerSays::read(&headers, MEANT), PeerSays::Lost);
+    assert_eq!(
+        PeerOutcome::from_headers(&headers, MEANT),
+        PeerOutcome::Unknown
+    );
 }
 
 /// Guards against fields that cross a hop: those of the connection, those that
@@ -188,7 +202,7 @@
         ("Limpet-Timeout-Ms", b"1"),
         ("bad name", b"1"),
     ];
-    let head = Head::copy(fields).headers;
+    let head = EndToEndHeaders::from_fields(fields).headers;
     let names: Vec<&HeaderName> = head.keys().collect();
     assert_eq!(names, ["accept"]);
     assert_eq!(head.get_all("accept").iter().count(), 2);
@@ -198,7 +212,8 @@
 /// servers read only the first.
 #[test]
 fn cookies_are_joined() {
-    let mut head = Head::copy([("cookie", &b"a=1"[..]), ("x", b"1"), ("cookie", b"b=2")]);
+    let mut head =
+        EndToEndHeaders::from_fields([("cookie", &b"a=1"[..]), ("x", b"1"), ("cookie", b"b=2")]);
     head.join_cookies();
     let cookies: Vec<_> = head.headers.get_all("cookie").iter().collect();
     assert_eq!(cookies, ["a=1; b=2"]);
--- a/crates/agent/tests/datagrams.rs
+++ b/crates/agent/tests/datagrams.rs
@@ -8,8 +8,8 @@
 };
 
 use agent::{
-    connection::FirstPacket,
-    process::{BalancerTracker, Openers, Placement, Placements},
+    connection::HandshakeDecision,
+    process::{BalancerTracker, PacketDecision, PacketRouter, RecentFlows},
 };
 use route::{Arrival, Hop};
 use types::{
@@ -19,7 +19,7 @@
 use wire::{CidCodec, ConnectionId, ServiceTag};
 
 /// Time after which a silent balancer is not used, as the design states it.
-const SILENCE: Duration = Duration::from_millis(300);
+const UNREACHABLE_TIMEOUT: Duration = Duration::from_millis(300);
 
 const OWN: UpstreamId = UpstreamId(1);
 const PEER: UpstreamId = UpstreamId(2);
@@ -45,20 +45,20 @@
     let all = BTreeSet::from([address(1), address(2), address(3)]);
     let mut balancers: BalancerTracker = BalancerTracker::default();
     assert_eq!(balancers.choose(start, 0), None);
-    balancers.set(start, &all);
+    balancers.set_known(start, &all);
     assert_eq!(chosen(&mut balancers, start), all, "none is heard yet");
 
-    balancers.heard(start, address(1));
-    balancers.heard(after(start, 200), address(2));
-    balancers.heard(start, address(9));
+    balancers.note_datagram(start, address(1));
+    balancers.note_datagram(after(start, 200), address(2));
+    balancers.note_datagram(start, address(9));
     let both = BTreeSet::from([address(1), address(2)]);
     assert_eq!(chosen(&mut balancers, after(start, 299)), both);
     let second = BTreeSet::from([address(2)]);
-    assert_eq!(chosen(&mut balancers, start + SILENCE), second);
+    assert_eq!(chosen(&mut balancers, start + UNREACHABLE_TIMEOUT), second);
     assert_eq!(chosen(&mut balancers, after(start, 500)), all);
 
-    balancers.heard(after(start, 600), address(3));
-    balancers.set(after(start, 600), &BTreeSet::from([address(1), address(3)]));
+    balancers.note_datagram(after(start, 600), address(3));
+    balancers.set_known(after(start, 600), &BTreeSet::from([address(1), address(3)]));
     let third = BTreeSet::from([address(3)]);
     assert_eq!(chosen(&mut balancers, after(start, 601)), third);
 }
@@ -89,7 +89,7 @@
         let now = after(start, 10 * step);
         if send_every.is_some_and(|every| step % every == 0) {
             let chosen = balancers.choose(now, usize::try_from(step).unwrap());
-            if now > start + SILENCE {
+            if now > start + UNREACHABLE_TIMEOUT {
                 used.extend(chosen);
             }
         }
@@ -97,7 +97,7 @@
             for probed in balancers.due_probes(now) {
                 bytes += PROBE_BYTES;
                 if !dead.contains(&probed) {
-                    balancers.heard(now, probed);
+                    balancers.note_datagram(now, probed);
                 }
             }
         }
@@ -114,7 +114,7 @@
     for send_every in [None, Some(50), Some(1)] {
         let start = Instant::now();
         let mut balancers: BalancerTracker = BalancerTracker::default();
-        balancers.set(start, &all);
+        balancers.set_known(start, &all);
         for second in 0..11 {
             let now = after(start, 1_000 * second);
             let (bytes, _) = pass_second(&mut balancers, now, &none, send_every);
@@ -141,7 +141,7 @@
     let start = Instant::now();
     let all = BTreeSet::from([address(1), address(2)]);
     let mut balancers: BalancerTracker = BalancerTracker::default();
-    balancers.set(start, &all);
+    balancers.set_known(start, &all);
     let dead = BTreeSet::from([address(1)]);
     pass_second(&mut balancers, start, &dead, Some(5));
     for second in 1..4 {
@@ -156,17 +156,17 @@
 #[test]
 fn the_memory_of_first_packets_is_bounded() {
     let start = Instant::now();
-    let mut openers = Openers::new(start);
+    let mut flows = RecentFlows::new(start);
     for n in 0..1 << 16 {
-        openers.insert(start, FlowKey(n));
+        flows.insert(start, FlowKey(n));
     }
-    let held = (0..1 << 16).filter(|n| openers.contains(FlowKey(*n)));
+    let held = (0..1 << 16).filter(|n| flows.contains(FlowKey(*n)));
     assert!(held.count() <= 1 << 15);
     // Two turns later none of them is left.
-    openers.insert(after(start, 5_000), FlowKey(1 << 20));
-    openers.insert(after(start, 10_000), FlowKey(1 << 21));
-    assert!(!openers.contains(FlowKey(0)));
-    assert!(openers.contains(FlowKey(1 << 20)));
+    flows.insert(after(start, 5_000), FlowKey(1 << 20));
+    flows.insert(after(start, 10_000), FlowKey(1 << 21));
+    assert!(!flows.contains(FlowKey(0)));
+    assert!(flows.contains(FlowKey(1 << 20)));
 }
 
 /// Guards against handshakes without a bound, and against a caller that shows
@@ -174,17 +174,17 @@
 #[test]
 fn many_handshakes_need_a_validated_address() {
     let cases = [
-        (0, true, FirstPacket::Admit),
-        (255, true, FirstPacket::Admit),
-        (256, true, FirstPacket::Retry),
-        (256, false, FirstPacket::Admit),
-        (4095, true, FirstPacket::Retry),
-        (4096, false, FirstPacket::Ignore),
-        (4096, true, FirstPacket::Ignore),
+        (0, true, HandshakeDecision::Accept),
+        (255, true, HandshakeDecision::Accept),
+        (256, true, HandshakeDecision::Retry),
+        (256, false, HandshakeDecision::Accept),
+        (4095, true, HandshakeDecision::Retry),
+        (4096, false, HandshakeDecision::Ignore),
+        (4096, true, HandshakeDecision::Ignore),
     ];
     for (handshakes, may_retry, expected) in cases {
-        let judged = FirstPacket::judge(handshakes, may_retry);
-        assert_eq!(judged, expected, "{handshakes} {may_retry}");
+        let decided = HandshakeDecision::decide(handshakes, may_retry);
+        assert_eq!(decided, expected, "{handshakes} {may_retry}");
     }
 }
 
@@ -252,34 +252,34 @@
 #[test]
 fn packets_of_others_are_dropped() {
     let now = Instant::now();
-    let mut placements = Placements::new(now, OWN);
+    let mut router = PacketRouter::new(now, OWN);
     let own = short(OWN, SERVICE);
     let forwarded = Arrival::Forwarded;
-    let before = placements.decide(now, address(100), forwarded, &own);
-    assert_eq!(before, Placement::None("other_service"));
+    let before = router.decide(now, address(100), forwarded, &own);
+    assert_eq!(before, PacketDecision::Drop("other_service"));
 
-    placements.set(Some(state(8)), Some(keys()));
+    router.configure(Some(state(8)), Some(keys()));
     let mut unknown = own.clone();
     unknown[5] ^= 1;
     let cases = [
-        (100, own.clone(), Placement::Own),
-        (100, initial([9; 8]), Placement::Own),
-        (101, own, Placement::None("other_service")),
-        (101, initial([9; 8]), Placement::None("other_service")),
+        (100, own.clone(), PacketDecision::Deliver),
+        (100, initial([9; 8]), PacketDecision::Deliver),
+        (101, own, PacketDecision::Drop("other_service")),
+        (101, initial([9; 8]), PacketDecision::Drop("other_service")),
         (
             100,
             short(OWN, ServiceId(8)),
-            Placement::None("other_service"),
+            PacketDecision::Drop("other_service"),
         ),
         (
             100,
             short(PEER, SERVICE),
-            Placement::None("other_incarnation"),
+            PacketDecision::Drop("other_incarnation"),
         ),
-        (100, unknown, Placement::None("unknown_id")),
+        (100, unknown, PacketDecision::Drop("unknown_id")),
     ];
     for (n, (to, packet, expected)) in cases.into_iter().enumerate() {
-        let decided = placements.decide(now, address(to), forwarded, &packet);
+        let decided = router.decide(now, address(to), forwarded, &packet);
         assert_eq!(decided, expected, "case {n}");
     }
 }
@@ -289,36 +289,36 @@
 #[test]
 fn a_leaving_agent_passes_first_packets_on() {
     let now = Instant::now();
-    let mut placements = Placements::new(now, OWN);
-    placements.set(Some(state(8)), Some(keys()));
-    let decide = |placements: &mut Placements, dcid, arrival| {
-        placements.decide(now, address(100), arrival, &initial(dcid))
+    let mut router = PacketRouter::new(now, OWN);
+    router.configure(Some(state(8)), Some(keys()));
+    let decide = |router: &mut PacketRouter, dcid, arrival| {
+        router.decide(now, address(100), arrival, &initial(dcid))
     };
     assert_eq!(
-        decide(&mut placements, [1; 8], Arrival::Forwarded),
-        Placement::Own
+        decide(&mut router, [1; 8], Arrival::Forwarded),
+        PacketDecision::Deliver
     );
-    placements.set(Some(state(0)), Some(keys()));
-    placements.set_leaving(true);
+    router.configure(Some(state(0)), Some(keys()));
+    router.set_leaving(true);
     assert_eq!(
-        decide(&mut placements, [1; 8], Arrival::Forwarded),
-        Placement::Own
+        decide(&mut router, [1; 8], Arrival::Forwarded),
+        PacketDecision::Deliver
     );
     let peer = Hop {
         upstream: PEER,
         address: address(2),
     };
     for n in 2..20 {
-        let passed = decide(&mut placements, [n; 8], Arrival::Forwarded);
-        assert_eq!(passed, Placement::Other(peer));
-        let again = decide(&mut placements, [n; 8], Arrival::PassedOn);
-        assert!(matches!(again, Placement::None(_)), "{again:?}");
+        let decided = decide(&mut router, [n; 8], Arrival::Forwarded);
+        assert_eq!(decided, PacketDecision::PassOn(peer));
+        let again = decide(&mut router, [n; 8], Arrival::PassedOn);
+        assert!(matches!(again, PacketDecision::Drop(_)), "{again:?}");
     }
-    let open = placements.decide(now, address(100), Arrival::Forwarded, &short(OWN, SERVICE));
-    assert_eq!(open, Placement::Own);
-    placements.set_leaving(false);
+    let open = router.decide(now, address(100), Arrival::Forwarded, &short(OWN, SERVICE));
+    assert_eq!(open, PacketDecision::Deliver);
+    router.set_leaving(false);
     assert_eq!(
-        decide(&mut placements, [3; 8], Arrival::Forwarded),
-        Placement::Own
+        decide(&mut router, [3; 8], Arrival::Forwarded),
+        PacketDecision::Deliver
     );
 }
