--- a/crates/agent/src/connection/accept.rs
+++ b/crates/agent/src/connection/accept.rs
@@ -1,4 +1,4 @@
-//! The task that accepts connections.
+//! The task that accepts QUIC connections.
 
 use std::time::Duration;
 
@@ -12,30 +12,29 @@
     request::RequestContext,
 };
 
-/// Handshakes under way from which on a caller must first show that it
-/// receives at its address (RFC 9000, section 8.1.2).
+/// Number of pending handshakes from which on a caller must validate its address
+/// with a Retry packet (RFC 9000, section 8.1.2).
 const HANDSHAKES_BEFORE_RETRY: usize = 256;
 
-/// Handshakes under way from which on first packets are dropped.
+/// Number of pending handshakes from which on Initial packets are dropped.
 const MAX_PENDING_HANDSHAKES: usize = 4096;
 
-/// Longest time for a handshake.
+/// Timeout of a handshake.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What becomes of a first packet, before the limit of connections is looked
-/// at.
+/// How to respond to an Initial packet, before the connection limit is checked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HandshakeDecision {
-    /// A handshake may begin.
+    /// Start the handshake.
     Accept,
-    /// The caller must first show that it receives at its address.
+    /// Send a Retry packet, so that the caller validates its address.
     Retry,
-    /// It is dropped without an answer.
+    /// Drop the packet without a response.
     Ignore,
 }
 
 impl HandshakeDecision {
-    /// Decides by the number of handshakes under way. `may_retry` says that the
+    /// Decides by the number of pending handshakes. `may_retry` is true if the
     /// caller's address is not validated yet.
     #[must_use]
     pub fn decide(handshakes: usize, may_retry: bool) -> Self {
@@ -49,13 +48,13 @@
     }
 }
 
-/// The task that accepts connections and owns their tasks.
+/// Accepts connections and owns their tasks.
 pub struct AcceptTask {
     endpoint: Endpoint,
     cx: RequestContext,
-    /// Whether the agent leaves.
+    /// Whether the agent is draining.
     leaving: watch::Receiver<bool>,
-    /// Whether the process is to end once it is empty.
+    /// Whether the process is to stop once all connections have closed.
     stop: watch::Receiver<bool>,
     connections: JoinSet<()>,
 }
@@ -78,7 +77,7 @@
         }
     }
 
-    /// Runs until the process is to end and every connection has ended.
+    /// Runs until a stop is requested and all connections have closed.
     pub async fn run(mut self) {
         let mut handshakes = FuturesUnordered::new();
         let mut stop = self.stop.clone();
@@ -103,7 +102,7 @@
         }
     }
 
-    /// Decides about a first packet.
+    /// Starts the handshake of an incoming connection, or rejects it.
     async fn accept_handshake(&self, incoming: Incoming, handshakes: usize) -> Option<Connecting> {
         match HandshakeDecision::decide(handshakes, incoming.may_retry()) {
             HandshakeDecision::Ignore => {
@@ -113,7 +112,7 @@
             }
             HandshakeDecision::Retry => {
                 self.count_refused("retry");
-                // Fails only if the address is validated, which was checked.
+                // Fails only if the address is already validated; `may_retry` was checked.
                 let _ = incoming.retry();
                 return None;
             }
--- a/crates/agent/src/connection/cid.rs
+++ b/crates/agent/src/connection/cid.rs
@@ -1,4 +1,4 @@
-//! Connection ids that lead back to this agent.
+//! Connection ids that route packets to this agent.
 
 use std::time::Duration;
 
@@ -9,20 +9,20 @@
 use types::UpstreamId;
 use wire::{CID_LEN, CidCodec, ServiceTag};
 
-/// Time after which a connection id is replaced, so that connections follow a
-/// change of key within one lifetime.
+/// Time after which a connection id is replaced, so that connections switch to
+/// a rotated key within this time.
 const CID_LIFETIME: Duration = Duration::from_mins(10);
 
-/// What connection ids are made with.
+/// Parameters of generated connection ids.
 #[derive(Debug, Clone)]
 pub struct CidConfig {
     /// Keys of the version in force.
     pub codec: CidCodec,
-    /// The agent's service.
+    /// Tag of the agent's service.
     pub tag: ServiceTag,
 }
 
-/// Makes connection ids that lead back to this agent.
+/// Generates connection ids that route packets to this agent.
 #[derive(Debug, Clone)]
 pub struct CidGenerator {
     own_id: UpstreamId,
@@ -30,7 +30,7 @@
 }
 
 impl CidGenerator {
-    /// Creates a generator for the agent with the id `own`.
+    /// Creates a generator for the agent of the upstream `own_id`.
     #[must_use]
     pub fn new(own_id: UpstreamId, config: watch::Receiver<CidConfig>) -> Self {
         CidGenerator { own_id, config }
--- a/crates/agent/src/connection/mod.rs
+++ b/crates/agent/src/connection/mod.rs
@@ -1,4 +1,4 @@
-//! The QUIC connection of a caller.
+//! QUIC connections of callers.
 
 mod accept;
 mod cid;
--- a/crates/agent/src/connection/quic.rs
+++ b/crates/agent/src/connection/quic.rs
@@ -1,8 +1,9 @@
-//! The QUIC connection as h3 sees it.
+//! Implementation of h3's QUIC traits on top of quinn.
 //!
-//! h3-quinn has the same task, but hides when a caller stops an answer or has
-//! received all of it. The agent needs both: the first cancels the request at
-//! the upstream, and a connection may be closed only after the second.
+//! h3-quinn implements the same traits, but does not expose when a caller stops
+//! a response or has acknowledged all of it. The agent needs both: the first
+//! cancels the request at the upstream, and a connection may be closed only
+//! after the second.
 
 use std::{
     cell::RefCell,
@@ -30,7 +31,7 @@
 
 type BidiStreams = (quinn::SendStream, quinn::RecvStream);
 
-/// A QUIC connection that reports how its streams end.
+/// A QUIC connection that tracks the completion of its response streams.
 pub struct H3Connection {
     opener: StreamOpener,
     bidi: mpsc::Receiver<BidiStreams>,
@@ -41,11 +42,12 @@
 }
 
 impl H3Connection {
-    /// Takes over the streams of a connection. Their ends go to `ends`.
+    /// Accepts the streams of `connection` and registers their completions in
+    /// `completions`.
     #[must_use]
     pub fn new(connection: &quinn::Connection, completions: StreamCompletions) -> Self {
         let mut tasks = JoinSet::new();
-        // One stream waits in each channel; QUIC's own limits bound the others.
+        // Each channel queues one stream; QUIC's stream limits bound the others.
         let (bidi_tx, bidi) = mpsc::channel(1);
         let (uni_tx, uni) = mpsc::channel(1);
         let accepting = connection.clone();
@@ -130,7 +132,7 @@
     }
 }
 
-/// Opens the streams of the server.
+/// Opens unidirectional streams to the caller.
 pub struct StreamOpener {
     connection: quinn::Connection,
     opening: Option<JoinHandle<Result<quinn::SendStream, ConnectionError>>>,
@@ -149,7 +151,8 @@
     type BidiStream = BidiStream<B>;
     type SendStream = SendStream<B>;
 
-    /// An HTTP/3 server opens no streams for requests (RFC 9114, section 6.1).
+    /// Always fails: an HTTP/3 server opens no request streams (RFC 9114,
+    /// section 6.1).
     fn poll_open_bidi(
         &mut self,
         _: &mut Context<'_>,
@@ -236,11 +239,11 @@
     }
 }
 
-/// The direction towards the caller.
+/// Sending half of a stream, towards the caller.
 pub struct SendStream<B: Buf> {
     stream: quinn::SendStream,
     pending_write: Option<WriteBuf<B>>,
-    /// Whether the stream has a clean end.
+    /// Whether the stream was finished without a reset.
     finished: bool,
 }
 
@@ -285,7 +288,7 @@
     }
 
     fn reset(&mut self, code: u64) {
-        // Fails if the stream has ended already.
+        // Fails if the stream is already closed.
         let _ = self.stream.reset(var_int(code));
     }
 
@@ -294,8 +297,8 @@
     }
 }
 
-/// quinn ends a dropped stream cleanly, which would pass off a part of an
-/// answer as the whole.
+/// Resets an unfinished stream. quinn finishes a dropped stream, which would
+/// make a truncated response look complete.
 impl<B: Buf> Drop for SendStream<B> {
     fn drop(&mut self) {
         if !self.finished {
@@ -304,7 +307,7 @@
     }
 }
 
-/// The direction from the caller.
+/// Receiving half of a stream, from the caller.
 pub struct RecvStream(quinn::RecvStream);
 
 impl quic::RecvStream for RecvStream {
@@ -314,7 +317,7 @@
         &mut self,
         cx: &mut Context<'_>,
     ) -> Poll<Result<Option<Bytes>, StreamErrorIncoming>> {
-        // The future keeps no state between polls.
+        // `read_chunk` keeps no state between polls, so the future can be recreated.
         let chunk = ready!(pin!(self.0.read_chunk(usize::MAX, true)).poll(cx));
         Poll::Ready(match chunk {
             Ok(chunk) => Ok(chunk.map(|chunk| chunk.bytes)),
@@ -325,7 +328,7 @@
     }
 
     fn stop_sending(&mut self, code: u64) {
-        // Fails if the stream has ended already.
+        // Fails if the stream is already closed.
         let _ = self.0.stop(var_int(code));
     }
 
@@ -334,15 +337,15 @@
     }
 }
 
-/// A caller that still sends when its answer is complete may stop without an
-/// error (RFC 9114, section 4.1).
+/// Stops the caller without an error if it still sends after the response is
+/// complete (RFC 9114, section 4.1).
 impl Drop for RecvStream {
     fn drop(&mut self) {
         self.stop_sending(Code::H3_NO_ERROR.value());
     }
 }
 
-/// How the answers of a connection end, by stream.
+/// Completions of the responses of a connection, by stream id.
 #[derive(Clone, Default)]
 pub struct StreamCompletions {
     /// Shared by the connection and its requests, which run on one thread.
@@ -354,25 +357,25 @@
         let stopped = send.stream.stopped();
         let completion = StreamCompletion(actix_rt::spawn(stopped));
         let mut completions = self.completions.borrow_mut();
-        // Streams that h3 rejected are never taken.
+        // Completions of streams that h3 rejected are never taken.
         completions.retain(|_, completion| !completion.0.is_finished());
         completions.insert(send.send_id().into_inner(), completion);
     }
 
-    /// Takes the end of a stream.
+    /// Removes and returns the completion of a stream.
     #[must_use]
     pub fn take(&self, id: StreamId) -> Option<StreamCompletion> {
         self.completions.borrow_mut().remove(&id.into_inner())
     }
 }
 
-/// Comes about when the caller stops an answer or has received all of it.
+/// Resolves when the caller stops a response or has acknowledged all of it.
 pub struct StreamCompletion(JoinHandle<Result<Option<VarInt>, StoppedError>>);
 
 impl StreamCompletion {
-    /// Waits for the end.
+    /// Waits for the completion.
     pub async fn wait(&mut self) {
-        // How it ended makes no difference to those who wait.
+        // Callers of `wait` do not distinguish the two cases.
         let _ = (&mut self.0).await;
     }
 }
--- a/crates/agent/src/connection/serve.rs
+++ b/crates/agent/src/connection/serve.rs
@@ -1,4 +1,4 @@
-//! The task of one connection.
+//! The task that serves one connection.
 
 use std::time::{Duration, Instant};
 
@@ -10,17 +10,17 @@
 use super::{H3Connection, StreamCompletions};
 use crate::request::{RequestContext, handle};
 
-/// Requests that a caller may still start after the first GOAWAY. They are
-/// handed off to peers; the caller had no time to hear of it.
+/// Requests that a caller may still start after the first GOAWAY, because it may
+/// not have received the frame yet. They are handed off to peers.
 const GOAWAY_GRACE_REQUESTS: usize = 100;
 
 /// Time between the first GOAWAY and the last one (RFC 9114, section 5.2):
-/// several round trips, so that the caller has heard of it.
+/// several round trips, so that the caller has received the first one.
 const GOAWAY_INTERVAL: Duration = Duration::from_secs(1);
 
 type Server = h3::server::Connection<H3Connection, Bytes>;
 
-/// Serves the requests of a connection until it ends. When the agent leaves,
+/// Serves the requests of a connection until it closes. When the agent drains,
 /// requests in progress run to their end and no others are accepted.
 pub async fn serve(cx: RequestContext, connection: Connection, mut leaving: watch::Receiver<bool>) {
     let completions = StreamCompletions::default();
@@ -40,11 +40,11 @@
                     let (cx, completions) = (cx.clone(), completions.clone());
                     requests.spawn_local(async move {
                         if let Err(e) = handle(cx, resolver, completions).await {
-                            log::debug!(event = "request_aborted", error:% = e; "request aborted");
+                            log::debug!(event = "request_aborted", error:% = e; "request aborted: the caller's stream or connection failed");
                         }
                     });
                 }
-                // No request follows; those in progress go on.
+                // The caller sends no further requests; those in progress continue.
                 Ok(None) => {
                     let finish_requests = async { while requests.join_next().await.is_some() {} };
                     tokio::select! {
@@ -73,11 +73,11 @@
     connection.close(code, b"");
 }
 
-/// How far the caller was told to go away.
+/// Which GOAWAY frames were sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum GoawayState {
     NotSent,
-    /// The last GOAWAY follows at this instant.
+    /// The last GOAWAY is due at this instant.
     FirstSent(Instant),
     LastSent,
 }
@@ -96,7 +96,7 @@
 
     /// Sends the next GOAWAY.
     async fn advance(&mut self, server: &mut Server) {
-        // A connection that cannot take it is ending anyway.
+        // Sending fails only if the connection is already closing.
         match self {
             GoawayState::NotSent => {
                 let _ = server.shutdown(GOAWAY_GRACE_REQUESTS).await;
