--- a/crates/agent/src/request/body.rs
+++ b/crates/agent/src/request/body.rs
@@ -18,9 +18,10 @@
 
 struct BodyState {
     stream: RecvStream,
-    /// First part, read ahead to see whether there is a body.
+    /// First chunk, read ahead to see whether there is a body.
     first_chunk: Option<Bytes>,
-    /// Whether a part has gone on, so that the body cannot be sent again.
+    /// Whether a chunk was read by the client connection, so that the body can
+    /// no longer be resent.
     consumed: bool,
     ended: bool,
 }
@@ -28,14 +29,14 @@
 /// Body of a caller's request.
 ///
 /// Clones share the stream, so that a request whose connection to an upstream
-/// could not be opened still has its body for the next attempt.
+/// could not be opened keeps its body for the next attempt.
 #[derive(Clone)]
 pub struct CallerBody {
     state: Rc<RefCell<BodyState>>,
 }
 
 impl CallerBody {
-    /// The body that comes in on `stream`.
+    /// Creates a body that reads from `stream`.
     #[must_use]
     pub fn new(stream: RecvStream) -> Self {
         CallerBody {
@@ -48,13 +49,13 @@
         }
     }
 
-    /// Whether a part has gone on.
+    /// Whether a chunk was read, so that the body can no longer be resent.
     #[must_use]
     pub fn is_consumed(&self) -> bool {
         self.state.borrow().consumed
     }
 
-    /// Waits for the first part or the end.
+    /// Waits for the first chunk or the end of the body.
     ///
     /// # Errors
     ///
--- a/crates/agent/src/request/forward.rs
+++ b/crates/agent/src/request/forward.rs
@@ -1,4 +1,4 @@
-//! One attempt to run a request at an upstream.
+//! One attempt to forward a request to an upstream.
 
 use std::{
     error::Error as StdError,
@@ -27,24 +27,24 @@
 use super::EndToEndHeaders;
 use crate::version::Peer;
 
-/// Time to open a connection. The upstream is on the same host and a peer a
-/// few milliseconds away; a lost packet is repeated within a second.
+/// Timeout for opening a connection. The upstream is on the same host and a
+/// peer a few milliseconds away; TCP retransmits a lost packet within a second.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Where an attempt goes.
+/// Destination of an attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ForwardTarget {
     /// The agent's own upstream.
     Upstream(SocketAddr),
-    /// A peer that holds a slot.
+    /// A peer that has reserved a slot.
     Peer {
         /// The peer.
         peer: Peer,
-        /// The peer's identity.
+        /// Id of the peer's upstream.
         upstream: UpstreamId,
         /// Service of the request.
         service: ServiceId,
-        /// The slot.
+        /// Reservation of the slot.
         reservation: ReservationId,
     },
 }
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Adds the fields that the target needs to the head.
+    /// Adds the header fields by which a peer checks the reservation.
     fn add_headers(&self, headers: &mut EndToEndHeaders) {
         if let ForwardTarget::Peer {
             upstream,
@@ -73,12 +73,12 @@
     }
 }
 
-/// An attempt that brought no answer.
+/// An attempt that returned no response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AttemptError {
-    /// How far it came.
+    /// Whether the request may have been run.
     pub progress: Progress,
-    /// Why it ended.
+    /// Why the attempt failed.
     pub failure: Failure,
 }
 
@@ -97,8 +97,8 @@
         }
     }
 
-    /// What an attempt at the upstream shows of it: whether it could be
-    /// connected to, or nothing if time ran out before.
+    /// Whether the upstream accepted the connection; `None` if the deadline
+    /// passed before the connection was open.
     #[must_use]
     pub fn upstream_connected(self) -> Option<bool> {
         match (self.progress, self.failure) {
@@ -109,25 +109,26 @@
     }
 }
 
-/// An answer whose head has come. Dropping it closes the connection, which
-/// cancels the request at the upstream.
+/// A response whose headers have arrived. Dropping it closes the connection,
+/// which cancels the request at the upstream.
 #[derive(Debug)]
 pub struct ForwardedResponse {
-    /// The head and the body, which is still coming in.
+    /// The headers, and the body, which is still being received.
     pub response: Response<Incoming>,
     /// The task that drives the connection.
     connection: ConnectionTask,
 }
 
 impl ForwardedResponse {
-    /// Splits the answer; the connection lives as long as its guard.
+    /// Splits the response. Dropping the [`ConnectionTask`] closes the
+    /// connection.
     pub fn into_parts(self) -> (http::response::Parts, Incoming, ConnectionTask) {
         let (parts, body) = self.response.into_parts();
         (parts, body, self.connection)
     }
 }
 
-/// Ends the task that drives a connection when it is dropped.
+/// The task that drives a connection; aborted on drop.
 #[derive(Debug)]
 pub struct ConnectionTask(JoinHandle<()>);
 
@@ -137,16 +138,16 @@
     }
 }
 
-/// A request to be sent.
+/// A request to be forwarded.
 #[derive(Debug)]
 pub struct ForwardedRequest<B> {
-    /// Where it goes.
+    /// Destination of the request.
     pub target: ForwardTarget,
-    /// Method, path and body; header fields come from `head`.
+    /// Method, path and body; header fields come from `headers`.
     pub request: Request<B>,
     /// Header fields.
     pub headers: EndToEndHeaders,
-    /// Instant after which the caller no longer waits.
+    /// Deadline of the caller, if it set one.
     pub deadline: Option<Instant>,
 }
 
@@ -155,26 +156,27 @@
     B: Body<Data = Bytes> + 'static,
     B::Error: Into<Box<dyn StdError + Send + Sync>>,
 {
-    /// Sends the request on a connection of its own and waits for the head of
-    /// the answer.
+    /// Sends the request on a new connection and waits for the response headers.
     ///
-    /// A connection is never used twice: on one that the other side closes at
-    /// the same time, the request would be lost with an unknown outcome.
+    /// Connections are not reused: if the server closes an idle connection while
+    /// a request is being sent, it is unknown whether the request was run.
     ///
     /// # Errors
     ///
-    /// Nothing was sent, or the answer was lost, as the progress says.
+    /// Fails if nothing was sent or the response was lost;
+    /// [`AttemptError::progress`] tells which.
     pub async fn send(self) -> Result<ForwardedResponse, AttemptError> {
         let stream = self.connect(open_connection(self.target.address())).await?;
         self.send_on(stream).await
     }
 
-    /// Like [`Call::send`], by mutual TLS if there are credentials.
+    /// Like [`ForwardedRequest::send`], with mutual TLS if there are credentials.
     ///
     /// # Errors
     ///
-    /// Nothing was sent, or the answer was lost, as the progress says. A
-    /// handshake that fails has sent nothing of the request.
+    /// Fails if nothing was sent or the response was lost;
+    /// [`AttemptError::progress`] tells which. When the TLS handshake fails,
+    /// nothing of the request was sent.
     pub async fn send_to_peer(
         self,
         credentials: Option<&Credentials>,
@@ -199,7 +201,7 @@
         let (mut sender, connection) =
             handshake.map_err(|_| AttemptError::not_started(Failure::Connect))?;
         let connection = ConnectionTask(actix_rt::spawn(async move {
-            // A broken connection also fails the request, which reports it.
+            // A connection error also fails `send_request`, which returns it.
             let _ = connection.await;
         }));
 
@@ -215,7 +217,7 @@
         })
     }
 
-    /// Waits for a connection, at most [`CONNECT`] and until the deadline.
+    /// Waits for a connection, at most [`CONNECT_TIMEOUT`] and until the deadline.
     async fn connect<S>(
         &self,
         connect: impl Future<Output = io::Result<S>>,
@@ -230,8 +232,8 @@
 }
 
 impl ForwardTarget {
-    /// Reads the outcome that a peer reports. An upstream's fields of these
-    /// names have no meaning; only agents set them.
+    /// Checks the outcome that a peer reports. On a response of the agent's own
+    /// upstream these fields are ignored, because only agents set them.
     fn check_response(
         &self,
         received: ForwardedResponse,
@@ -247,23 +249,23 @@
     }
 }
 
-/// What the answer to a request that was handed off is.
+/// Outcome of a request that was handed off, as the response headers tell it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PeerOutcome {
-    /// The answer of the upstream that was meant.
+    /// The response comes from the intended upstream.
     Response,
-    /// An agent says that the request was not run.
+    /// An agent reports that the request was not run.
     NotRun,
-    /// The answer is lost, or comes from a server that is not the peer: the
-    /// address may have a new owner, and a server may answer before its
-    /// handlers see the request. Either may have run it.
+    /// The response is lost, or comes from a server other than the peer: the
+    /// address may have been reassigned, and a server may respond before its
+    /// handlers see the request. In each case the request may have been run.
     Unknown,
 }
 
 impl PeerOutcome {
-    /// Reads the head of the answer to a request that was meant for `upstream`.
-    /// Every agent puts its identity into the answers that it gives or passes
-    /// on, and runs only requests that name it.
+    /// Reads the outcome from the response headers to a request for `upstream`.
+    /// Every agent adds its upstream id to its responses, and runs only requests
+    /// that carry this id.
     #[must_use]
     pub fn from_headers(headers: &HeaderMap, upstream: UpstreamId) -> Self {
         let field = |name: &str| headers.get(name)?.to_str().ok();
@@ -276,7 +278,7 @@
     }
 }
 
-/// Waits for a future until the deadline; `None` if it passed.
+/// Waits for a future until the deadline; `None` if the deadline passed first.
 async fn until_deadline<F: Future>(deadline: Option<Instant>, future: F) -> Option<F::Output> {
     let Some(deadline) = deadline else {
         return Some(future.await);
@@ -287,8 +289,9 @@
     }
 }
 
-/// Opens a connection. A small part of a feed must not wait for the last one's
-/// acknowledgement; it is only slower if that cannot be set.
+/// Opens a connection without Nagle's algorithm, so that a small chunk of a
+/// streamed response does not wait for the previous acknowledgement. If the
+/// option cannot be set, such chunks are only delayed.
 async fn open_connection(address: SocketAddr) -> io::Result<TcpStream> {
     let stream = TcpStream::connect(address).await?;
     let _ = stream.set_nodelay(true);
--- a/crates/agent/src/request/handle.rs
+++ b/crates/agent/src/request/handle.rs
@@ -1,4 +1,4 @@
-//! The task of one request.
+//! Handler of one request of a caller.
 
 use std::{
     net::SocketAddr,
@@ -29,36 +29,37 @@
     process::{AdmissionCommand, AdmissionHandle, AdmissionReply, IdempotencyHandle, Metrics},
 };
 
-/// Seconds after which a caller may try again when nothing is free.
+/// Value of `Retry-After` in a 503 response.
 const RETRY_AFTER_SECS: &str = "1";
 
-/// Time to wait for the end of a stream without a body; a lost packet is
-/// repeated within it. After it the body is passed on as it comes.
+/// Time to wait for the end of the stream of a request that has no body; it
+/// covers the retransmission of a lost packet. After it the body is forwarded
+/// as it arrives.
 const EMPTY_BODY_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Sending half of a caller's stream.
 pub(super) type SendStream = RequestStream<connection::SendStream<Bytes>, Bytes>;
 
-/// What the requests of an agent share.
+/// State that all requests of an agent share.
 #[derive(Clone)]
 pub struct RequestContext {
     /// The admission task.
     pub admission: AdmissionHandle,
-    /// Numbers of requests.
+    /// Generator of request ids.
     pub request_ids: RequestIdGenerator,
-    /// The agent's own upstream.
+    /// Address of the agent's own upstream.
     pub upstream_address: SocketAddr,
-    /// State of the service; none while it is not configured.
+    /// State of the service; `None` while it is not configured.
     pub service: watch::Receiver<Option<ServiceState>>,
-    /// The task that keeps results under idempotency keys.
+    /// The task that stores responses by idempotency key.
     pub keys: IdempotencyHandle,
     /// Metrics of the agent.
     pub metrics: Metrics,
-    /// Proofs of identity towards peers; plain HTTP without them.
+    /// Certificates for mutual TLS with peers; `None` means plain HTTP.
     pub credentials: Option<Credentials>,
 }
 
-/// A request as the caller sent it.
+/// A request of a caller, as received.
 pub(super) struct CallerRequest {
     pub(super) cx: RequestContext,
     service: ServiceId,
@@ -72,21 +73,21 @@
     started_at: Instant,
 }
 
-/// What the caller gets when there is no answer to pass on.
+/// Why a request has no response of an upstream.
 pub(super) enum RequestFailure {
     /// The request was not run.
     NotRun(Option<RefusalReason>),
-    /// The request may have run.
+    /// The request may have been run.
     OutcomeUnknown(Failure),
-    /// The caller is gone.
+    /// The caller no longer waits.
     CallerGone,
 }
 
-/// Serves one request from its head until the caller has all of its answer.
+/// Serves one request until the caller has received the whole response.
 ///
 /// # Errors
 ///
-/// The caller's stream or connection has ended.
+/// Fails if the caller's stream or connection has ended.
 pub async fn handle(
     cx: RequestContext,
     resolver: RequestResolver<H3Connection, Bytes>,
@@ -99,13 +100,13 @@
     let (mut send, recv) = stream.split();
     let result = tokio::select! {
         result = serve(cx, &req, recv, &mut send) => Some(result),
-        // The caller stopped the answer. Whatever the request held is dropped,
-        // which gives back its slot and cancels it at the upstream.
+        // The caller stopped reading. Dropping the handler's future releases the
+        // slot and cancels the request at the upstream.
         () = completion.wait() => None,
     };
     match result {
-        // The connection may be closed when this returns, so the caller must
-        // have the answer by then.
+        // The connection may be closed when this returns, so wait until the
+        // caller has acknowledged the whole response.
         Some(Ok(())) => completion.wait().await,
         Some(Err(e)) => return Err(e),
         None => send.stop_stream(Code::H3_REQUEST_CANCELLED),
@@ -167,7 +168,8 @@
 }
 
 impl CallerRequest {
-    /// Attempts the request until there is an answer or a refusal.
+    /// Repeats attempts until there is a response or no further retry is
+    /// allowed.
     pub(super) async fn run(
         &self,
     ) -> Result<(ForwardedResponse, Option<RequestGuard>), RequestFailure> {
@@ -245,11 +247,11 @@
         }
     }
 
-    /// Returns if the request is to be attempted again.
+    /// Returns `Ok` if the request may be retried.
     async fn check_retry(&self, attempt_error: &AttemptError) -> Result<(), RequestFailure> {
         let not_started = attempt_error.progress == Progress::NotStarted;
         if self.body.is_consumed() {
-            // The body is spent, so there is nothing to repeat.
+            // The body is consumed and cannot be resent.
             return Err(if not_started {
                 RequestFailure::NotRun(None)
             } else {
@@ -275,7 +277,8 @@
         }
     }
 
-    /// Passes an answer on to the caller, whole or ended by a reset.
+    /// Forwards a response to the caller. Resets the stream if the response is
+    /// incomplete.
     async fn forward_response(
         &self,
         forwarded: ForwardedResponse,
@@ -294,8 +297,8 @@
         send.send_response(response).await?;
         while let Some(frame) = body.frame().await {
             let Ok(frame) = frame else {
-                // The upstream broke off; a clean end would pass a part off as
-                // the whole answer.
+                // The response is truncated. Finishing the stream would make it
+                // look complete.
                 send.stop_stream(Code::H3_INTERNAL_ERROR);
                 if let Some(request_guard) = &mut request_guard {
                     request_guard.set_outcome(RequestOutcome::Failed);
@@ -330,7 +333,7 @@
     }
 }
 
-/// Outcome of a request whose whole answer came.
+/// Outcome of a request whose response was received completely.
 pub(crate) fn outcome_of_status(status: StatusCode) -> RequestOutcome {
     if status == StatusCode::SERVICE_UNAVAILABLE {
         RequestOutcome::Shed
@@ -339,7 +342,7 @@
     }
 }
 
-/// Outcome of a request without an answer.
+/// Outcome of a request whose attempt failed.
 pub(crate) fn outcome_of_error(attempt_error: AttemptError) -> RequestOutcome {
     match attempt_error.progress {
         Progress::NotStarted => RequestOutcome::NotStarted,
@@ -347,7 +350,7 @@
     }
 }
 
-/// Status and outcome field of a request without an answer.
+/// Status and outcome field of the response to a request whose attempt failed.
 pub(crate) fn status_of_error(attempt_error: AttemptError) -> (StatusCode, &'static str) {
     match (attempt_error.progress, attempt_error.failure) {
         (Progress::NotStarted, _) => (StatusCode::SERVICE_UNAVAILABLE, ClaimHeader::NOT_RUN),
@@ -361,14 +364,15 @@
     Some((state.service.id, class.clone()))
 }
 
-/// The form of the target that HTTP/1.1 sends to an upstream.
+/// Returns the origin form of a request target, which HTTP/1.1 sends to an
+/// upstream (RFC 9112, section 3.2.1).
 fn origin_form(uri: &Uri) -> Uri {
     let path = uri.path_and_query().cloned();
     path.map_or_else(|| Uri::from_static("/"), Uri::from)
 }
 
-/// Header fields for the upstream. HTTP/3 carries the authority outside the
-/// fields, HTTP/1.1 in `Host`.
+/// Header fields of the request to the upstream. The authority is a
+/// pseudo-header field in HTTP/3 and the `Host` field in HTTP/1.1.
 fn upstream_headers(req: &Request<()>) -> EndToEndHeaders {
     let mut headers = EndToEndHeaders::from_headers(req.headers());
     headers.join_cookies();
@@ -378,8 +382,8 @@
     headers
 }
 
-/// Whether the request most likely has no body, so that waiting for the end of
-/// its stream costs nothing and spares the upstream an empty chunked body.
+/// Whether the request most likely has no body. Waiting for the end of its
+/// stream then costs nothing and avoids an empty chunked body to the upstream.
 fn expects_no_body(req: &Request<()>) -> bool {
     let length = req.headers().get(header::CONTENT_LENGTH);
     let bodiless = matches!(
@@ -422,7 +426,7 @@
     send_text(send, status, outcome, &text).await
 }
 
-/// Answers in the name of the system.
+/// Sends a text response that the agent itself generates.
 pub(super) async fn send_text(
     send: &mut SendStream,
     status: StatusCode,
--- a/crates/agent/src/request/headers.rs
+++ b/crates/agent/src/request/headers.rs
@@ -1,4 +1,4 @@
-//! Heads of requests and answers.
+//! Header fields of requests and responses.
 
 use std::time::{Duration, Instant};
 
@@ -17,8 +17,8 @@
     header::UPGRADE,
 ];
 
-/// Start of the names of this system's header fields. They have a meaning for
-/// one hop only: neither a caller nor an upstream can set one for the next.
+/// Prefix of the header fields that agents exchange. They are valid for one hop
+/// only, so those that a caller or an upstream sets are removed.
 const INTERNAL_FIELD_PREFIX: &str = "limpet-";
 
 /// Whether a header field concerns one connection only.
@@ -34,8 +34,8 @@
     method.is_idempotent()
 }
 
-/// Deadline of a request, from the remaining time in milliseconds that its head
-/// gives. A malformed value counts as none.
+/// Computes the deadline of a request from the remaining time in milliseconds
+/// in its headers. Returns `None` for a malformed value.
 #[must_use]
 pub fn deadline_of(now: Instant, remaining: Option<&[u8]>) -> Option<Instant> {
     let text = std::str::from_utf8(remaining?).ok()?;
@@ -44,7 +44,7 @@
     now.checked_add(Duration::from_millis(millis))
 }
 
-/// Head of a request or answer, without the fields of its last hop.
+/// End-to-end header fields of a request or response, without hop-by-hop fields.
 #[derive(Debug, Clone, Default)]
 pub struct EndToEndHeaders {
     /// The header fields.
@@ -52,8 +52,8 @@
 }
 
 impl EndToEndHeaders {
-    /// Takes over the fields that go to the next hop. A field that cannot be
-    /// represented is left out.
+    /// Copies the end-to-end fields. A field whose name or value is invalid is
+    /// left out.
     pub fn from_fields<'a>(fields: impl IntoIterator<Item = (&'a str, &'a [u8])>) -> Self {
         let mut headers = HeaderMap::new();
         for (name, value) in fields {
@@ -77,15 +77,15 @@
         EndToEndHeaders { headers }
     }
 
-    /// Takes over the fields of a header map.
+    /// Copies the end-to-end fields of a header map.
     #[must_use]
     pub fn from_headers(headers: &HeaderMap) -> Self {
         let fields = headers.iter();
         EndToEndHeaders::from_fields(fields.map(|(name, value)| (name.as_str(), value.as_bytes())))
     }
 
-    /// Joins the parts into which HTTP/3 may split a cookie field; HTTP/1.1 has
-    /// one such field (RFC 9114, section 4.2.1).
+    /// Joins the cookie fields into which HTTP/3 may split one; HTTP/1.1 allows
+    /// only one (RFC 9114, section 4.2.1).
     pub fn join_cookies(&mut self) {
         let parts: Vec<&[u8]> = self
             .headers
@@ -100,7 +100,8 @@
         }
     }
 
-    /// Replaces the caller's deadline by the time that remains.
+    /// Sets the timeout field to the time that remains until `deadline`, or
+    /// removes it.
     pub fn set_timeout(&mut self, now: Instant, deadline: Option<Instant>) {
         match deadline {
             Some(deadline) => {
@@ -113,7 +114,7 @@
         }
     }
 
-    /// Sets a field.
+    /// Sets a field; ignores a value that is not valid in a header.
     pub fn set(&mut self, name: &'static str, value: &impl ToString) {
         if let Ok(value) = HeaderValue::from_str(&value.to_string()) {
             self.headers.insert(name, value);
@@ -121,7 +122,7 @@
     }
 }
 
-/// Fields that `Connection` fields name: they concern one connection only.
+/// Connection options: the fields that `Connection` names, which are hop-by-hop.
 fn connection_options(headers: &HeaderMap) -> impl Iterator<Item = HeaderName> {
     let values = headers.get_all(header::CONNECTION).into_iter();
     values
--- a/crates/agent/src/request/idempotency.rs
+++ b/crates/agent/src/request/idempotency.rs
@@ -1,4 +1,4 @@
-//! Requests under an idempotency key.
+//! Requests with an idempotency key.
 
 use admit::RequestOutcome;
 use bytes::{Bytes, BytesMut};
@@ -17,27 +17,27 @@
 };
 use crate::process::HomeReply;
 
-/// Header field of the key
+/// Header field of the idempotency key
 /// (draft-ietf-httpapi-idempotency-key-header).
 const IDEMPOTENCY_KEY_FIELD: &str = "idempotency-key";
 
-/// Parts of an answer that may wait for the caller.
+/// Events of one response that may be queued for the caller.
 const EVENT_QUEUE_LEN: usize = 16;
 
-/// Largest body that is collected to be kept.
+/// Largest response body that is stored for replay.
 const MAX_STORED_BODY_BYTES: usize = 64 << 10;
 
-/// What the caller's side of a request is told.
+/// Events that the forwarding task sends to the caller's task.
 enum ResponseEvent {
     Head(Box<response::Parts>),
     Data(Bytes),
-    /// The answer broke off.
+    /// The response body is incomplete.
     Truncated,
     Failed(RequestFailure),
 }
 
-/// The key of a request that must not run twice. Keys without a date are left
-/// to the upstream.
+/// Returns the key of a request that must not be run twice. Keys without a
+/// timestamp are left to the upstream.
 pub(super) fn key_of(req: &Request<()>) -> Option<IdempotencyKey> {
     if is_idempotent(req.method()) || req.method() == Method::CONNECT {
         return None;
@@ -46,7 +46,7 @@
     text.trim_matches('"').parse().ok()
 }
 
-/// Serves a request under a key.
+/// Serves a request with an idempotency key.
 pub(super) async fn serve(
     caller_request: CallerRequest,
     key: IdempotencyKey,
@@ -66,8 +66,8 @@
         (BeginReply::Run, Some(home)) => {
             let key_permit = KeyPermit::new(key, home, caller_request.cx.keys.clone());
             let (tx, rx) = mpsc::channel(EVENT_QUEUE_LEN);
-            // The request runs in a task of its own: a caller that goes away
-            // will ask for the result again.
+            // The request runs in its own task and continues when the caller
+            // disconnects, because the caller may retry for the result.
             actix_rt::spawn(run_to_end(caller_request, key_permit, tx));
             send_events(rx, send).await
         }
@@ -82,14 +82,14 @@
     }
 }
 
-/// Runs the request to its end, whether or not the caller stays.
+/// Runs the request to its end, even if the caller disconnects.
 async fn run_to_end(
     caller_request: CallerRequest,
     mut key_permit: KeyPermit,
     tx: mpsc::Sender<ResponseEvent>,
 ) {
     key_permit.set_end(KeyedOutcome::AnswerLost);
-    // The caller may be gone, whenever something is sent to it.
+    // Sending to the caller's task fails once the caller has disconnected.
     match caller_request.run().await {
         Ok((forwarded, request_guard)) => {
             forward_and_store(
@@ -112,7 +112,7 @@
     }
 }
 
-/// Passes an answer on to the caller's side and collects it to be kept.
+/// Forwards a response to the caller's task and collects it for storage.
 async fn forward_and_store(
     caller_request: &CallerRequest,
     forwarded: ForwardedResponse,
@@ -140,7 +140,7 @@
         collected = collected.and_then(|body| append_chunk(body, &data));
         let caller_gone = tx.send(ResponseEvent::Data(data)).await.is_err();
         if caller_gone && collected.is_none() {
-            // Nobody waits for the rest, and it is too large to be kept.
+            // The caller has disconnected and the body is too large to store.
             key_permit.set_end(KeyedOutcome::AnswerTooLarge);
             return;
         }
@@ -159,7 +159,8 @@
     caller_request.count_result("answered");
 }
 
-/// The collected body with one more part; `None` if it is too large.
+/// Appends a chunk to the collected body; `None` if the result is too large to
+/// store.
 fn append_chunk(mut body: BytesMut, data: &Bytes) -> Option<BytesMut> {
     body.extend_from_slice(data);
     (body.len() <= MAX_STORED_BODY_BYTES).then_some(body)
@@ -172,7 +173,8 @@
         .collect()
 }
 
-/// Passes the parts on to the caller, whole or ended by a reset.
+/// Sends the events to the caller. Resets the stream if the response is
+/// incomplete.
 async fn send_events(
     mut rx: mpsc::Receiver<ResponseEvent>,
     send: &mut SendStream,
@@ -198,12 +200,12 @@
     send.finish().await
 }
 
-/// Sends a kept answer again.
+/// Sends a stored response.
 async fn replay(kept: StoredAnswer, send: &mut SendStream) -> Result<(), StreamError> {
     let mut response = Response::new(());
     *response.status_mut() = StatusCode::from_u16(kept.status).unwrap_or_default();
     for (name, value) in &kept.fields {
-        // The fields were valid when they were kept.
+        // The fields were valid when they were stored.
         if let (Ok(name), Ok(value)) =
             (HeaderName::from_bytes(name), HeaderValue::from_bytes(value))
         {
@@ -217,7 +219,7 @@
     send.finish().await
 }
 
-/// Tells the caller why a request under a key is not run now.
+/// Responds to a request whose key does not allow it to run now.
 async fn send_key_failure(begin: &BeginReply, send: &mut SendStream) -> Result<(), StreamError> {
     let (status, outcome, text) = match begin {
         BeginReply::AnswerNotKept => (
--- a/crates/agent/src/request/key_permit.rs
+++ b/crates/agent/src/request/key_permit.rs
@@ -1,4 +1,4 @@
-//! The permission of a key's home to run a request.
+//! The grant of a key's home to run a request.
 
 use dedup::{IdempotencyKey, KeyedOutcome};
 use types::UpstreamId;
@@ -6,10 +6,10 @@
 
 use crate::process::{IdempotencyCommand, IdempotencyHandle};
 
-/// The permission of a key's home to run a request.
+/// The grant of a key's home to run a request with this key.
 ///
-/// The home hears the end that was noted last when the permit is dropped, so a
-/// request that is dropped at any moment is reported.
+/// On drop it reports the outcome that was set last to the home, so a request
+/// that is dropped at any point is reported.
 #[derive(Debug)]
 pub struct KeyPermit {
     key: IdempotencyKey,
@@ -19,7 +19,7 @@
 }
 
 impl KeyPermit {
-    /// A permit of a request that was not sent anywhere yet.
+    /// Creates a permit for a request that has not been sent yet.
     #[must_use]
     pub fn new(key: IdempotencyKey, home: UpstreamId, keys: IdempotencyHandle) -> Self {
         KeyPermit {
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Notes how far the request has come.
+    /// Sets the outcome to report on drop.
     pub fn set_end(&mut self, end: KeyedOutcome) {
         self.end = end;
     }
--- a/crates/agent/src/request/mod.rs
+++ b/crates/agent/src/request/mod.rs
@@ -1,4 +1,5 @@
-//! One request on its way to an upstream and back.
+//! Handling of one request: forwarding it to an upstream and returning the
+//! response.
 
 mod body;
 mod forward;
--- a/crates/agent/src/request/request_guard.rs
+++ b/crates/agent/src/request/request_guard.rs
@@ -1,4 +1,4 @@
-//! The slot that a request holds.
+//! Releases the slot of a request when the request ends.
 
 use std::sync::{
     Arc,
@@ -10,34 +10,34 @@
 
 use crate::process::{AdmissionCommand, AdmissionHandle};
 
-/// Gives each request of the process a number.
+/// Generates request ids that are unique within the process.
 #[derive(Debug, Clone, Default)]
 pub struct RequestIdGenerator {
     next: Arc<AtomicU64>,
 }
 
 impl RequestIdGenerator {
-    /// The next number.
+    /// Returns the next id.
     #[must_use]
     pub fn next(&self) -> RequestId {
         RequestId(self.next.fetch_add(1, Ordering::Relaxed))
     }
 }
 
-/// Gives back whatever the admission granted to a request when it is dropped.
+/// Releases whatever admission granted to a request when it is dropped.
 ///
-/// It exists before the admission is asked, so a request that is dropped at
-/// any moment leaves no slot behind.
+/// It is created before the request is submitted to admission, so a request
+/// that is dropped at any point leaks no slot.
 #[derive(Debug)]
 pub struct RequestGuard {
     id: RequestId,
-    /// How the request ended; none while it waits, or if it was cancelled.
+    /// How the request ended; `None` while it is queued or if it was cancelled.
     outcome: Option<RequestOutcome>,
     admission: AdmissionHandle,
 }
 
 impl RequestGuard {
-    /// Creates the guard of a request.
+    /// Creates the guard of the request `id`.
     #[must_use]
     pub fn new(id: RequestId, admission: AdmissionHandle) -> Self {
         RequestGuard {
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Sets how the request ended.
+    /// Sets the outcome to report on drop.
     pub fn set_outcome(&mut self, outcome: RequestOutcome) {
         self.outcome = Some(outcome);
     }
