--- a/crates/agent/src/process/admission.rs
+++ b/crates/agent/src/process/admission.rs
@@ -1,4 +1,4 @@
-//! The task that owns the admission.
+//! The admission task.
 
 use std::{
     collections::BTreeMap,
@@ -28,21 +28,23 @@
 };
 use crate::version::Peer;
 
-/// Time for a peer to answer, after which it counts as unreachable. Several
-/// times the delay between data centres, so that a lost packet fits in.
+/// Timeout for a reply of a peer, after which it counts as unreachable. It is
+/// several times the delay between data centres, which allows for one
+/// retransmission.
 const PEER_REPLY_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Time for which a peer is asked to hold a slot: the answer has to come back
-/// and the request has to go out.
+/// Lifetime of a reservation at a peer. It must cover the reply's way back and
+/// the request's way to the peer.
 const RESERVATION_HOLD: Duration = Duration::from_millis(200);
 
-/// Time for a probe of the upstream.
+/// Timeout of a connection probe of the upstream.
 const UPSTREAM_PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Pause that bounds how late the admission's own deadlines are met.
+/// Longest time between two ticks; bounds how late deadlines of admission are
+/// handled.
 const MAX_TICK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The task that owns the admission.
+/// Owns the admission state and carries out its decisions.
 pub struct AdmissionTask {
     admission: Admission,
     retry_budget: RetryBudget,
@@ -51,7 +53,7 @@
     upstream_address: SocketAddr,
     service: Option<ServiceId>,
     peers: BTreeMap<UpstreamId, Peer>,
-    /// Requests without a grant: the class, and whoever waits.
+    /// Requests without a reply yet, with their class and reply channel.
     pending_requests: BTreeMap<RequestId, (ClassName, oneshot::Sender<AdmissionReply>)>,
     open_connections: Connections,
     http: Http,
@@ -86,7 +88,7 @@
         }
     }
 
-    /// Runs until every handle is gone or the task is aborted.
+    /// Runs until all handles are dropped or the task is aborted.
     pub async fn run(mut self) {
         loop {
             let idle_until = Instant::now() + MAX_TICK_INTERVAL;
@@ -200,7 +202,7 @@
             (Decision::AskPeer { peer }, _) => self.request_peer_slot(id, peer),
             (Decision::Forward { peer }, Some(reservation)) => self.hand_off(id, peer, reservation),
             (Decision::Release { peer }, Some(reservation)) => self.release(peer, reservation),
-            // A peer's slot is only ever given or returned on its answer.
+            // A peer's slot is used or released only after the peer's answer.
             (Decision::Forward { .. } | Decision::Release { .. }, None)
             | (Decision::Queue { .. }, _) => {}
         }
@@ -210,7 +212,7 @@
         let Some((_, tx)) = self.pending_requests.remove(&id) else {
             return;
         };
-        // The request may have gone away meanwhile; its slot is free again.
+        // If the request was cancelled meanwhile, its slot is released.
         match tx.send(reply) {
             Ok(()) | Err(AdmissionReply::Refuse(_)) => {}
             Err(AdmissionReply::Run) => self.handle.send(AdmissionCommand::Cancel(id)),
@@ -234,7 +236,7 @@
         self.reply(id, reply);
     }
 
-    /// Asks a peer for a slot; the answer comes back as a command.
+    /// Requests a reservation from a peer; the answer arrives as a command.
     fn request_peer_slot(&self, id: RequestId, upstream: UpstreamId) {
         let reservation = ReservationId(rand::rng().random());
         let handle = self.handle.clone();
@@ -279,15 +281,15 @@
         });
     }
 
-    /// Returns a slot to a peer. If the message is lost, the reservation
-    /// lapses at its deadline.
+    /// Releases a reservation at a peer. If the message is lost, the reservation
+    /// expires at its deadline.
     fn release(&self, peer: UpstreamId, reservation: ReservationId) {
         if let Some(peer) = self.peers.get(&peer) {
             self.send_unacknowledged(peer.address, RELEASE_PATH, reservation);
         }
     }
 
-    /// Passes a queued request against an offered slot, or returns the slot.
+    /// Uses an offered slot for a queued request, or releases the slot.
     fn handle_offer(&mut self, offer: &OfferRequest) {
         if offer.upstream != self.own_id || Some(offer.service) != self.service {
             return;
@@ -298,8 +300,8 @@
         }
     }
 
-    /// Offers slots that became free to peers that were refused. If an offer
-    /// is lost, its reservation lapses at its deadline.
+    /// Offers free slots to peers whose reservation was refused. If an offer is
+    /// lost, its reservation expires at its deadline.
     fn send_offers(&mut self, now: Instant) {
         let Some(service) = self.service else {
             return;
@@ -320,7 +322,7 @@
         }
     }
 
-    /// Sends a message to a peer that may be lost.
+    /// Sends a message to a peer without retries; it may be lost.
     fn send_unacknowledged<T: Serialize + 'static>(
         &self,
         address: SocketAddr,
@@ -357,7 +359,7 @@
         self.apply_wakes(wakes);
     }
 
-    /// Tries to connect to an upstream that is down.
+    /// Tries to connect to the upstream while it is down.
     fn probe_upstream(&self) {
         let handle = self.handle.clone();
         let upstream_address = self.upstream_address;
--- a/crates/agent/src/process/balancers.rs
+++ b/crates/agent/src/process/balancers.rs
@@ -1,4 +1,4 @@
-//! Which balancers answers are sent through.
+//! Choice of the balancers that carry responses to callers.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -7,43 +7,42 @@
     time::{Duration, Instant},
 };
 
-/// Time without a datagram after which a balancer is no longer used.
+/// Time without a datagram after which a balancer counts as unreachable.
 const UNREACHABLE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Time without a datagram after which a kept balancer is probed: two probes
-/// fit into [`SILENCE`], so that one may be lost.
+/// Time without a datagram after which a balancer that is kept reachable is
+/// probed. Two probes fit into [`UNREACHABLE_TIMEOUT`], so one may be lost.
 const KEEPALIVE_PROBE_DELAY: Duration = Duration::from_millis(150);
 
-/// BalancerTracker that are kept heard by probes while answers are sent. The others
-/// are heard by traffic if there is enough of it. A probe and its answer take
-/// 88 bytes, so probes for all of a few balancers would already exceed the 2 KB
-/// a second that a node may spend on control.
+/// Number of balancers that are kept reachable by probes while packets are sent
+/// to callers. The others stay reachable only by traffic from them. A probe and
+/// its reply take 88 bytes, so probing even a few balancers at this rate would
+/// exceed the 2 KB/s that a node may spend on control traffic.
 const MIN_REACHABLE_BALANCERS: usize = 2;
 
-/// Time for which answers count as being sent after the last one.
+/// Time after the last packet to a caller for which keepalive probes are sent.
 const ACTIVE_PERIOD: Duration = Duration::from_secs(1);
 
-/// Time between probes of a balancer that is not kept.
+/// Time between probes of a balancer that is not kept reachable.
 const IDLE_PROBE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Time for the answer to a probe, after which a balancer counts as lost.
+/// Timeout for the reply to a probe, after which a balancer counts as lost.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Deadlines of one balancer.
+/// Timers of one balancer.
 #[derive(Debug, Clone, Copy)]
-struct Deadlines {
-    /// Not used from this instant on, unless it is heard again.
+struct BalancerTimers {
+    /// Unreachable from this instant on, unless a datagram arrives before.
     unreachable_at: Instant,
-    /// Not probed to be kept before this instant.
+    /// Earliest instant of the next keepalive probe.
     probe_at: Instant,
-    /// Probed at this instant even if it is not kept.
+    /// Instant of the next probe if it is not kept reachable.
     idle_probe_at: Instant,
-    /// Counts as lost from this instant on; none while no probe waits for its
-    /// answer.
+    /// Counts as lost from this instant on; `None` if no probe is unanswered.
     lost_at: Option<Instant>,
 }
 
-impl Deadlines {
+impl BalancerTimers {
     fn is_lost(&self, now: Instant) -> bool {
         self.lost_at.is_some_and(|at| at <= now)
     }
@@ -84,42 +83,43 @@
 #[derive(Debug, Default)]
 pub struct BalancerTracker<P: BalancerPolicy = ReachableOnly> {
     policy: PhantomData<P>,
-    known: BTreeMap<SocketAddr, Deadlines>,
-    /// Answers count as being sent until this instant.
+    known: BTreeMap<SocketAddr, BalancerTimers>,
+    /// Keepalive probes are sent until this instant.
     active_until: Option<Instant>,
-    /// Counts the answers that were sent while no balancer was heard, to try
-    /// all in turn.
+    /// Counts packets that were sent while no balancer was reachable, for a
+    /// round-robin over all.
     fallback_index: usize,
 }
 
 impl<P: BalancerPolicy> BalancerTracker<P> {
-    /// Replaces the known balancers. A new one is used once it is heard.
+    /// Replaces the known balancers. A new one is reachable once a datagram
+    /// arrives from it.
     pub fn set_known(&mut self, now: Instant, addresses: &BTreeSet<SocketAddr>) {
         self.known.retain(|address, _| addresses.contains(address));
-        let deadlines = Deadlines {
+        let timers = BalancerTimers {
             unreachable_at: now,
             probe_at: now,
             idle_probe_at: now,
             lost_at: None,
         };
         for &address in addresses {
-            self.known.entry(address).or_insert(deadlines);
+            self.known.entry(address).or_insert(timers);
         }
     }
 
-    /// Notes a datagram of a balancer; one of another sender is ignored.
+    /// Records a datagram from a balancer; ignores other senders.
     pub fn note_datagram(&mut self, now: Instant, from: SocketAddr) {
-        if let Some(deadlines) = self.known.get_mut(&from) {
-            deadlines.unreachable_at = now + UNREACHABLE_TIMEOUT;
-            deadlines.probe_at = now + KEEPALIVE_PROBE_DELAY;
-            deadlines.idle_probe_at = now + IDLE_PROBE_INTERVAL;
-            deadlines.lost_at = None;
+        if let Some(timers) = self.known.get_mut(&from) {
+            timers.unreachable_at = now + UNREACHABLE_TIMEOUT;
+            timers.probe_at = now + KEEPALIVE_PROBE_DELAY;
+            timers.idle_probe_at = now + IDLE_PROBE_INTERVAL;
+            timers.lost_at = None;
         }
     }
 
-    /// Chooses a balancer for an answer. `random` spreads the choice over the
-    /// balancers that are heard. If there is none, those that are not lost are
-    /// tried in turn, and else all.
+    /// Chooses a balancer for a packet to a caller. `random` spreads the choice
+    /// over the reachable balancers. If there is none, it takes those that are
+    /// not lost in round-robin order, or else all.
     pub fn choose(&mut self, now: Instant, random: usize) -> Option<SocketAddr> {
         self.active_until = Some(now + ACTIVE_PERIOD);
         let reachable = self.nth(random, |d| P::is_usable(now, d.unreachable_at));
@@ -131,15 +131,15 @@
             .or_else(|| self.nth(self.fallback_index, |_| true))
     }
 
-    /// The `n`th of the balancers that `usable` accepts, counted in a circle.
-    fn nth(&self, n: usize, usable: impl Fn(&Deadlines) -> bool) -> Option<SocketAddr> {
+    /// The `n`th of the balancers that `usable` accepts, modulo their number.
+    fn nth(&self, n: usize, usable: impl Fn(&BalancerTimers) -> bool) -> Option<SocketAddr> {
         let usable = || self.known.iter().filter(|(_, d)| usable(d));
         let count = usable().count();
         let (&address, _) = usable().nth(n.checked_rem(count)?)?;
         Some(address)
     }
 
-    /// Takes the balancers that are to be probed now.
+    /// Returns the balancers to probe now and restarts their timers.
     pub fn due_probes(&mut self, now: Instant) -> BTreeSet<SocketAddr> {
         let idle_due = self.known.iter().filter(|(_, d)| d.idle_probe_at <= now);
         let mut due: BTreeSet<_> = idle_due.map(|(&address, _)| address).collect();
@@ -147,17 +147,18 @@
             due.extend(self.keepalive_probes(now));
         }
         for address in &due {
-            if let Some(deadlines) = self.known.get_mut(address) {
-                deadlines.probe_at = now + KEEPALIVE_PROBE_DELAY;
-                deadlines.idle_probe_at = now + IDLE_PROBE_INTERVAL;
-                deadlines.lost_at.get_or_insert(now + PROBE_TIMEOUT);
+            if let Some(timers) = self.known.get_mut(address) {
+                timers.probe_at = now + KEEPALIVE_PROBE_DELAY;
+                timers.idle_probe_at = now + IDLE_PROBE_INTERVAL;
+                timers.lost_at.get_or_insert(now + PROBE_TIMEOUT);
             }
         }
         due
     }
 
-    /// BalancerTracker to probe so that enough are kept heard: those that are still
-    /// heard before silent ones, and then those whose probe is longest ago.
+    /// Balancers to probe so that [`MIN_REACHABLE_BALANCERS`] stay reachable:
+    /// reachable ones before unreachable ones, then by the time of the last
+    /// datagram or probe, oldest first.
     fn keepalive_probes(&self, now: Instant) -> Vec<SocketAddr> {
         let recent_count = self.known.values().filter(|d| now < d.probe_at).count();
         let mut candidates: Vec<_> = self
@@ -178,7 +179,8 @@
         let next_idle_probe = self.known.values().map(|d| d.idle_probe_at).min()?;
         let mut probe_times: Vec<_> = self.known.values().map(|d| d.probe_at).collect();
         probe_times.sort_unstable_by(|a, b| b.cmp(a));
-        // From then on fewer than the wanted number were heard or probed lately.
+        // From this instant on, fewer than the minimum have a recent datagram or
+        // probe.
         let keepalive_probe_at = probe_times
             .get(MIN_REACHABLE_BALANCERS - 1)
             .or(probe_times.last())
--- a/crates/agent/src/process/certificate.rs
+++ b/crates/agent/src/process/certificate.rs
@@ -1,4 +1,4 @@
-//! The certificate that callers see.
+//! The TLS certificate that the agent presents to callers.
 
 use std::sync::Arc;
 
@@ -6,24 +6,24 @@
 
 use crate::{Error, Result};
 
-/// Application protocol of HTTP/3 in TLS.
+/// ALPN protocol id of HTTP/3.
 const ALPN: &[u8] = b"h3";
 
 /// Certificate chain and private key of a service.
 #[derive(Debug)]
 pub struct ServiceCertificate {
-    /// The chain, the end entity's certificate first.
+    /// Certificate chain, the end-entity certificate first.
     pub chain: Vec<CertificateDer<'static>>,
-    /// Key of the first certificate.
+    /// Private key of the first certificate.
     pub key: PrivateKeyDer<'static>,
 }
 
 impl ServiceCertificate {
-    /// Makes a self-signed certificate for the given names.
+    /// Generates a self-signed certificate for the given names.
     ///
     /// # Errors
     ///
-    /// A name is not valid in a certificate.
+    /// Fails if a name is not valid in a certificate.
     pub fn self_signed(names: Vec<String>) -> Result<Self> {
         let made = rcgen::generate_simple_self_signed(names)?;
         let key = PrivateKeyDer::try_from(made.signing_key.serialize_der()).map_err(Error::Key)?;
@@ -33,11 +33,11 @@
         })
     }
 
-    /// The QUIC server settings with this certificate.
+    /// Creates the TLS configuration of the QUIC server.
     ///
     /// # Errors
     ///
-    /// Certificate and key do not belong together.
+    /// Fails if the key does not match the certificate.
     pub(super) fn into_crypto(self) -> Result<quinn::crypto::rustls::QuicServerConfig> {
         let provider = Arc::new(rustls::crypto::ring::default_provider());
         let mut tls = rustls::ServerConfig::builder_with_provider(provider)
--- a/crates/agent/src/process/commands.rs
+++ b/crates/agent/src/process/commands.rs
@@ -1,4 +1,4 @@
-//! Commands to the task that owns the admission.
+//! Commands to the admission task.
 
 use std::collections::BTreeMap;
 
@@ -15,96 +15,96 @@
 
 use crate::{request::AttemptError, version::Peer};
 
-/// What a request may do.
+/// Reply of admission to a request.
 #[derive(Debug)]
 pub enum AdmissionReply {
-    /// Send it to the upstream; a slot is taken.
+    /// Send it to the agent's own upstream; a slot is taken.
     Run,
-    /// Send it to a peer, which holds a slot.
+    /// Hand it off to a peer, which has reserved a slot.
     HandOff {
-        /// The peer's identity.
+        /// Id of the peer's upstream.
         upstream: UpstreamId,
         /// The peer.
         peer: Peer,
-        /// The slot that the peer holds.
+        /// Reservation of the slot.
         reservation: ReservationId,
     },
-    /// Refuse it as not run.
+    /// Refuse it; it was not run.
     Refuse(RefusalReason),
 }
 
-/// What a version tells the task.
+/// Configuration of the admission task, from the version in force.
 #[derive(Debug)]
 pub struct AdmissionConfig {
-    /// Service whose requests are served; none while it is not configured.
+    /// Service whose requests are served; `None` while it is not configured.
     pub service: Option<ServiceId>,
-    /// Target of each class of work.
+    /// Target of each request class.
     pub targets: BTreeMap<ClassName, Target>,
     /// The other upstreams of the service.
     pub peers: BTreeMap<UpstreamId, Peer>,
-    /// Whether the upstream leaves.
+    /// Whether the upstream is draining.
     pub leaving: bool,
 }
 
-/// What the agent announces.
+/// Status of the upstream, as the agent announces it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UpstreamStatus {
     /// State of the upstream.
     pub state: UpstreamState,
-    /// Load of each class of work.
+    /// Load of each request class.
     pub loads: Loads,
-    /// Connections that are open.
+    /// Number of open connections.
     pub connections: Connections,
 }
 
-/// A message to the task.
+/// A command to the admission task.
 #[derive(Debug)]
 pub enum AdmissionCommand {
-    /// A request arrived; the grant is its only answer.
+    /// A request arrived. The reply is sent once admission has decided.
     Arrive(RequestInfo, oneshot::Sender<AdmissionReply>),
-    /// A request that ran here ended.
+    /// A request that ran at the agent's own upstream ended.
     Finish(RequestId, RequestOutcome),
-    /// A request that waited or ran here is gone.
+    /// A request that was queued or running was cancelled.
     Cancel(RequestId),
-    /// An attempt failed; says what to do.
+    /// An attempt failed; the reply tells whether to retry.
     CheckRetry(Attempt, oneshot::Sender<RetryDecision>),
-    /// A peer asks for a slot.
+    /// A peer requests a reservation.
     Reserve(ReserveRequest, oneshot::Sender<ReserveReply>),
-    /// A peer sends a request against its reservation.
+    /// A peer sent a request that uses its reservation.
     Claim(ReservationId, RequestId, oneshot::Sender<ClaimAnswer>),
     /// A peer no longer needs its reservation.
     Release(ReservationId),
-    /// A peer that had refused a slot offers one.
+    /// A peer offers a slot after it had refused one.
     Offer(OfferRequest),
-    /// Whether one more connection may be accepted; counts it if so.
+    /// Asks to accept one more connection. It is counted if the reply is `true`.
     OpenConnection(oneshot::Sender<bool>),
     /// A connection was closed.
     CloseConnection,
-    /// The upstream reports its load of a class.
+    /// The upstream reported its load for a class.
     LoadReport(ClassName, LoadReport),
-    /// A connection to the upstream was opened or could not be.
+    /// Whether a connection to the upstream could be opened.
     ConnectResult(bool),
     /// A new version is in force.
     Configure(AdmissionConfig),
-    /// New loads of peers.
+    /// The loads of peers changed.
     PeerLoads(BTreeMap<UpstreamId, Loads>),
-    /// A peer answered a question of this task.
+    /// A peer answered a reservation request of this task.
     PeerAnswered(RequestId, UpstreamId, ReservationId, PeerAnswer),
-    /// What to announce.
+    /// Asks for the status to announce.
     GetStatus(oneshot::Sender<UpstreamStatus>),
 }
 
-/// Sends commands to the task.
+/// Sends commands to the admission task.
 ///
-/// The channel is unbounded, because giving a slot back must never fail or
-/// wait; each request and connection sends only a fixed number of commands.
+/// The channel is unbounded, because releasing a slot must never fail or block;
+/// each request and connection sends a fixed number of commands.
 #[derive(Debug, Clone)]
 pub struct AdmissionHandle {
     tx: mpsc::UnboundedSender<AdmissionCommand>,
 }
 
 impl AdmissionHandle {
-    /// Creates the handle and the task's end.
+    /// Creates a handle and the receiver of the task.
     #[must_use]
     pub fn channel() -> (Self, mpsc::UnboundedReceiver<AdmissionCommand>) {
         let (tx, rx) = mpsc::unbounded_channel();
@@ -116,7 +116,7 @@
         let _ = self.tx.send(command);
     }
 
-    /// Tells the task what an attempt shows of the upstream.
+    /// Reports whether an attempt could connect to the upstream.
     pub fn report_attempt<T>(&self, result: &std::result::Result<T, AttemptError>) {
         let connected = match result {
             Ok(_) => Some(true),
@@ -127,8 +127,7 @@
         }
     }
 
-    /// Sends a command and waits for its answer; `None` once the task has
-    /// ended.
+    /// Sends a command and waits for its reply; `None` once the task has ended.
     pub async fn ask<T>(
         &self,
         command: impl FnOnce(oneshot::Sender<T>) -> AdmissionCommand,
--- a/crates/agent/src/process/datagram.rs
+++ b/crates/agent/src/process/datagram.rs
@@ -1,4 +1,4 @@
-//! The task that owns the data socket.
+//! The datagram task, which owns the data socket.
 
 use std::{
     collections::BTreeSet,
@@ -22,37 +22,36 @@
     packet_router::{PacketDecision, PacketRouter},
 };
 
-/// Room for the largest UDP payload and a prefix.
+/// Size of a buffer for the largest UDP payload and a PROXY prefix.
 const BUFFER_BYTES: usize = (64 << 10) + wire::MAX_PREFIX_LEN;
 
-/// Datagrams handled in each direction before commands are looked at.
+/// Datagrams handled per direction before commands are polled.
 const MAX_BATCH_DATAGRAMS: usize = 64;
 
-/// Pause that bounds how late a due probe may be sent when nothing else
-/// happens.
+/// Longest wait without an event; bounds how late a due probe is sent.
 const MAX_IDLE_WAIT: Duration = Duration::from_secs(1);
 
-/// What a version tells the task.
+/// Configuration of the datagram task, from the version in force.
 #[derive(Debug)]
 pub struct DatagramConfig {
-    /// State of the service, if it is configured.
+    /// State of the service; `None` while it is not configured.
     pub service: Option<ServiceState>,
-    /// Where the balancers take answers.
+    /// Addresses on which the balancers accept packets to callers.
     pub balancers: BTreeSet<SocketAddr>,
-    /// Keys of connection ids.
+    /// Codec of connection ids, with their keys.
     pub cid_codec: Option<CidCodec>,
 }
 
-/// A message to the task.
+/// A command to the datagram task.
 #[derive(Debug)]
 pub enum DatagramCommand {
     /// A new version is in force.
     Configure(Box<DatagramConfig>),
-    /// The upstream leaves, or no longer does.
+    /// Sets whether the upstream is draining.
     SetLeaving(bool),
 }
 
-/// The task that owns the data socket.
+/// Owns the data socket, and exchanges packets with the QUIC endpoint.
 pub struct DatagramTask<P: BalancerPolicy> {
     socket: UdpSocket,
     commands: mpsc::Receiver<DatagramCommand>,
@@ -62,11 +61,11 @@
     balancers: BalancerTracker<P>,
     metrics: Metrics,
     recv_buf: Vec<u8>,
-    /// Datagram that is being put together.
+    /// Buffer in which outgoing datagrams are encoded.
     send_buf: Vec<u8>,
 }
 
-/// What woke the task.
+/// Why the task was woken.
 enum WakeReason {
     Command(Option<DatagramCommand>),
     Datagrams,
@@ -95,7 +94,7 @@
         }
     }
 
-    /// Runs until the agent ends.
+    /// Runs until the command channel is closed.
     pub async fn run(mut self) {
         loop {
             let idle_until = Instant::now() + MAX_IDLE_WAIT;
@@ -130,7 +129,7 @@
             let mut read = ReadBuf::new(&mut self.recv_buf);
             match self.socket.poll_recv_from(cx, &mut read) {
                 Poll::Pending => return Poll::Pending,
-                // Errors of earlier sends show up here and concern no datagram.
+                // Errors of earlier sends are reported here; they carry no datagram.
                 Poll::Ready(Err(_)) => {}
                 Poll::Ready(Ok(from)) => {
                     let len = read.filled().len();
@@ -151,7 +150,7 @@
         Poll::Ready(())
     }
 
-    /// Handles the datagram in the first `len` bytes of the buffer.
+    /// Handles a received datagram, the first `len` bytes of `recv_buf`.
     fn handle_datagram(&mut self, from: SocketAddr, len: usize) {
         let now = Instant::now();
         let (endpoints, arrival, payload) = match Prefix::decode(&self.recv_buf[..len]) {
@@ -190,7 +189,7 @@
         }
     }
 
-    /// Sends a packet of the endpoint to its caller, through a balancer.
+    /// Sends a packet of the endpoint to its caller through a balancer.
     fn send_to_caller(&mut self, packet: &CallerPacket) {
         let Some(service) = self.packet_router.service_address() else {
             return self.metrics.count_dropped_datagram("unknown_service");
@@ -215,7 +214,7 @@
     fn probe(&mut self) {
         let probe = Prefix::probe();
         for balancer in self.balancers.due_probes(Instant::now()) {
-            // A probe that is not sent counts as one that is not answered.
+            // A probe that could not be sent counts as unanswered.
             let _ = self.socket.try_send_to(&probe, balancer);
         }
     }
--- a/crates/agent/src/process/endpoint.rs
+++ b/crates/agent/src/process/endpoint.rs
@@ -1,4 +1,4 @@
-//! The QUIC endpoint of an agent.
+//! Setup of the QUIC endpoint.
 
 use std::{sync::Arc, time::Duration};
 
@@ -16,26 +16,26 @@
     connection::{CidConfig, CidGenerator},
 };
 
-/// First packets that may wait for the task that accepts connections, and the
-/// bytes that may wait with them; bounds the memory in a flood.
+/// Limits of the connections, and of their bytes, that are queued for the
+/// accepting task; they bound the memory in a flood of Initial packets.
 const MAX_INCOMING_CONNECTIONS: usize = 4096;
 const MAX_INCOMING_BYTES: u64 = 16 << 20;
 
-/// Time after which a silent caller is given up.
+/// Idle timeout of a connection.
 const IDLE_TIMEOUT_MILLIS: u32 = 60_000;
 
-/// Time between packets that keep a quiet feed open on its way.
+/// Time between keepalive packets, which keep an idle connection open on its path.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Largest UDP payload towards callers: with the prefix and an IPv6 header it
-/// fits into an Ethernet frame between the hosts.
+/// Largest UDP payload towards callers. With the PROXY prefix and an IPv6 header
+/// it fits into an Ethernet frame between the hosts.
 const MAX_UDP_PAYLOAD_BYTES: u16 = 1400;
 
 /// Concurrent requests of one connection.
 const MAX_CONNECTION_REQUESTS: u32 = 1000;
 
-/// Waits until the service and its keys are known; `None` if the agent is to
-/// stop before.
+/// Waits until the service and its keys are configured; `None` if the agent is
+/// stopped first.
 pub(super) async fn first_cid_config(
     mut rx: watch::Receiver<Option<CidConfig>>,
     stop: &mut watch::Receiver<bool>,
@@ -55,7 +55,7 @@
     Some(known)
 }
 
-/// Opens the endpoint on a port towards the datagram task.
+/// Opens the endpoint on a socket that is backed by the datagram task.
 pub(super) fn open_endpoint(
     certificate: ServiceCertificate,
     own_id: UpstreamId,
--- a/crates/agent/src/process/endpoint_socket.rs
+++ b/crates/agent/src/process/endpoint_socket.rs
@@ -1,8 +1,8 @@
-//! The socket that the QUIC endpoint sees.
+//! The socket interface of the QUIC endpoint.
 //!
-//! The endpoint's datagrams go by message to and from the datagram task, which
-//! owns the real socket. quinn takes its socket as a trait object behind an
-//! `Arc`; that is its interface.
+//! Datagrams are exchanged with the datagram task, which owns the UDP socket,
+//! through channels. quinn's interface takes the socket as a trait object behind
+//! an `Arc`.
 
 use std::{
     io::{self, IoSliceMut},
@@ -16,16 +16,16 @@
 use quinn::{AsyncUdpSocket, UdpPoller, udp};
 use tokio::sync::mpsc;
 
-/// A datagram of a caller, or an answer to it.
+/// A QUIC packet from or to a caller.
 #[derive(Debug, Clone)]
 pub struct CallerPacket {
-    /// The caller.
+    /// Address of the caller.
     pub caller: SocketAddr,
     /// The QUIC packet.
     pub payload: Bytes,
 }
 
-/// The endpoint's end of the two channels.
+/// Socket of the QUIC endpoint, backed by two channels.
 #[derive(Debug)]
 pub struct EndpointSocket {
     /// Locked only by the endpoint's own task; quinn's trait takes `&self`.
@@ -34,7 +34,7 @@
 }
 
 impl EndpointSocket {
-    /// Creates the endpoint's end.
+    /// Creates the socket from the endpoint's ends of the channels.
     #[must_use]
     pub fn new(rx: mpsc::Receiver<CallerPacket>, tx: mpsc::Sender<CallerPacket>) -> Self {
         EndpointSocket {
@@ -49,8 +49,8 @@
         Box::pin(AlwaysWritable)
     }
 
-    /// Sends by message. A datagram that finds the channel full is lost, as on
-    /// a full socket buffer; QUIC's congestion control slows down.
+    /// Queues a datagram. If the channel is full it is lost, as with a full
+    /// socket buffer, and QUIC's congestion control slows down.
     fn try_send(&self, transmit: &udp::Transmit<'_>) -> io::Result<()> {
         let _ = self.tx.try_send(CallerPacket {
             caller: transmit.destination,
--- a/crates/agent/src/process/keys.rs
+++ b/crates/agent/src/process/keys.rs
@@ -1,4 +1,4 @@
-//! The task that owns the results kept under idempotency keys.
+//! The task that stores responses by idempotency key.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -13,43 +13,43 @@
 use types::{ServiceId, ServiceState, UnixMillis, UpstreamId};
 use wire::request::{BeginRequest, EndRequest};
 
-/// Path on which a home is asked.
+/// Path of the request to a key's home for permission to run a request.
 pub const BEGIN_PATH: &str = "/v1/begin";
 
-/// Path on which a home is told how a request has ended.
+/// Path on which the outcome of a request is reported to the key's home.
 pub const END_PATH: &str = "/v1/end";
 
-/// Time for a home to answer. Several times the delay between data centres, so
-/// that a lost packet fits in.
+/// Timeout for a reply of a home. It is several times the delay between data
+/// centres, which allows for one retransmission.
 const HOME_REPLY_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Times that a home is asked or told before it is given up.
+/// Limit of attempts to query a home or to report an outcome to it.
 const MAX_HOME_ATTEMPTS: u32 = 3;
 
-/// Pause before the next try. A home that has changed is known by then.
+/// Delay before the next attempt. A change of the home is known by then.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// A request of this agent that asks its key's home.
+/// A query to the home of a key, whether a request may run.
 #[derive(Debug)]
 pub struct HomeQuery {
     /// The key.
     pub key: IdempotencyKey,
-    /// What the request asks.
+    /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
     /// Random number of the attempt.
     pub attempt: u64,
-    /// Times that a home was asked.
+    /// Number of queries that were sent so far.
     pub query_count: u32,
-    /// Whoever waits.
+    /// Channel for the reply.
     pub tx: oneshot::Sender<HomeReply>,
 }
 
-/// Answer to an [`Ask`].
+/// Reply to a [`HomeQuery`].
 #[derive(Debug)]
 pub struct HomeReply {
-    /// The home that answered; none if no home did.
+    /// The home that replied; `None` if no home did.
     pub home: Option<UpstreamId>,
-    /// Its answer; [`BeginReply::Indeterminate`] if no home answered.
+    /// Its reply; [`BeginReply::Indeterminate`] if no home replied.
     pub begin: BeginReply,
 }
 
@@ -60,35 +60,35 @@
     };
 }
 
-/// A message to the task.
+/// A command to the idempotency task.
 #[derive(Debug)]
 pub enum IdempotencyCommand {
     /// A new version is in force.
     Configure(Option<ServiceState>),
-    /// The version in force was current when an exchange began that the
-    /// control group has confirmed.
+    /// The control group confirmed that the version in force was current when a
+    /// sync started at this instant.
     VersionConfirmed(Instant),
-    /// A request of this agent asks its key's home.
+    /// Queries the home of a key for a request of this agent.
     QueryHome(HomeQuery),
-    /// A request of this agent that a home has let run has ended.
+    /// Reports the outcome of a request of this agent to the key's home.
     ReportEnd(EndRequest),
-    /// A peer asks this agent as a home.
+    /// A peer queries this agent as the home of a key.
     Begin(BeginRequest, oneshot::Sender<BeginReply>),
-    /// A peer tells this agent as a home.
+    /// A peer reports an outcome to this agent as the home of a key.
     End(EndRequest),
 }
 
-/// Sends commands to the task.
+/// Sends commands to the idempotency task.
 ///
-/// The channel is unbounded, because the end of a request must be noted
-/// whatever waits; each request sends a fixed number of commands.
+/// The channel is unbounded, because the outcome of a request must be recorded
+/// even if the queue is long; each request sends a fixed number of commands.
 #[derive(Debug, Clone)]
 pub struct IdempotencyHandle {
     tx: mpsc::UnboundedSender<IdempotencyCommand>,
 }
 
 impl IdempotencyHandle {
-    /// Creates the handle and the task's end.
+    /// Creates a handle and the receiver of the task.
     #[must_use]
     pub fn channel() -> (Self, mpsc::UnboundedReceiver<IdempotencyCommand>) {
         let (tx, rx) = mpsc::unbounded_channel();
@@ -100,7 +100,7 @@
         let _ = self.tx.send(command);
     }
 
-    /// Asks the home of a key whether a request may run.
+    /// Queries the home of a key whether a request may run.
     pub async fn query_home(
         &self,
         key: IdempotencyKey,
@@ -118,7 +118,7 @@
         rx.await.unwrap_or(HomeReply::NO_ANSWER)
     }
 
-    /// Answers a peer that asks this agent as a home.
+    /// Handles the query of a peer to this agent as the home of a key.
     pub async fn begin(&self, req: BeginRequest) -> BeginReply {
         let (tx, rx) = oneshot::channel();
         self.send(IdempotencyCommand::Begin(req, tx));
@@ -126,14 +126,14 @@
     }
 }
 
-/// The task that owns the results kept under idempotency keys.
+/// Stores responses by idempotency key, and queries the homes of keys.
 pub struct IdempotencyTask {
     own_id: UpstreamId,
     home: Home,
     service: Option<ServiceId>,
     /// Members of the service in the version in force.
     members: BTreeSet<UpstreamId>,
-    /// Where the other members take requests.
+    /// Addresses on which the members accept requests of peers.
     peers: BTreeMap<UpstreamId, SocketAddr>,
     http: Http,
     handle: IdempotencyHandle,
@@ -174,7 +174,7 @@
                 IdempotencyCommand::QueryHome(query) => self.query_home(query),
                 IdempotencyCommand::ReportEnd(req) => self.report_end(req),
                 IdempotencyCommand::Begin(req, tx) => {
-                    // The peer may be gone; its record then waits for its end.
+                    // If the peer is gone, its record waits for the outcome report.
                     let _ = tx.send(self.begin(&req));
                 }
                 IdempotencyCommand::End(req) if req.home == self.own_id => {
@@ -197,7 +197,7 @@
 
     fn query_home(&mut self, query: HomeQuery) {
         let (Some(service), Some(home)) = (self.service, home_of(query.key, &self.members)) else {
-            // Whoever waited may be gone.
+            // The request may have been cancelled.
             let _ = query.tx.send(HomeReply::NO_ANSWER);
             return;
         };
@@ -222,8 +222,8 @@
         actix_rt::spawn(async move {
             let deadline = Instant::now() + HOME_REPLY_TIMEOUT;
             let begin = http.post(address, BEGIN_PATH, &req, deadline).await;
-            // A home that does not answer may have noted the attempt; asking
-            // again as the same attempt is harmless.
+            // A home that does not reply may have recorded the attempt. Querying
+            // again with the same attempt id is idempotent.
             resolve_query(&handle, query, home, begin.unwrap_or(BeginReply::NotHome));
         });
     }
@@ -255,12 +255,13 @@
                 sleep(RETRY_DELAY).await;
             }
             // The key stays in progress until this agent's lease ends.
-            log::warn!(event = "end_not_reported", key:% = req.key; "the key's home does not answer");
+            log::warn!(event = "end_not_reported", key:% = req.key; "the outcome was not reported: the key's home does not reply");
         });
     }
 }
 
-/// Answers whoever waits, or asks again if no home has answered.
+/// Sends the reply to the request, or repeats the query if the home did not
+/// reply.
 fn resolve_query(
     handle: &IdempotencyHandle,
     mut query: HomeQuery,
@@ -268,7 +269,7 @@
     begin: BeginReply,
 ) {
     query.query_count += 1;
-    // Whoever waits may be gone.
+    // The request may have been cancelled.
     if begin != BeginReply::NotHome {
         let home = Some(home);
         let _ = query.tx.send(HomeReply { home, begin });
--- a/crates/agent/src/process/load.rs
+++ b/crates/agent/src/process/load.rs
@@ -1,4 +1,4 @@
-//! The task that reads what the upstream reports of itself.
+//! The task that polls the upstream's load report.
 
 use std::{
     collections::BTreeMap,
@@ -13,14 +13,14 @@
 
 use super::{AdmissionCommand, AdmissionHandle};
 
-/// Time between two readings. A report is dropped after
-/// [`admit::Settings::report_lifetime`], so that several may fail in between.
+/// Time between two fetches. Admission drops a report after
+/// [`admit::Settings::report_lifetime`], so several fetches may fail in between.
 const FETCH_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Largest report in bytes.
+/// Limit of the size of a report.
 const MAX_REPORT_BYTES: usize = 64 << 10;
 
-/// Load of one class, as the upstream's endpoint reports it in JSON:
+/// Load of one class in the upstream's JSON report:
 /// `{"default": {"slots": 7, "in_flight": 3}}`.
 #[derive(Debug, Clone, Copy, Deserialize)]
 struct ReportedLoad {
@@ -28,7 +28,7 @@
     in_flight: Slots,
 }
 
-/// Reads the load endpoint of the upstream.
+/// Polls the load report of the upstream.
 pub struct LoadTask {
     url: String,
     admission: AdmissionHandle,
@@ -36,7 +36,7 @@
 }
 
 impl LoadTask {
-    /// Creates the task for the endpoint at `path` of the upstream.
+    /// Creates the task for the load report at `path` of the upstream.
     #[must_use]
     pub fn new(upstream: SocketAddr, path: &str, admission: AdmissionHandle) -> Self {
         LoadTask {
@@ -55,8 +55,10 @@
             let fetch_at = Instant::now() + FETCH_INTERVAL;
             match timeout_at(fetch_at.into(), self.fetch_report()).await {
                 Ok(Some(report)) => self.send_report(report),
-                // The admission drops a report that is not renewed.
-                Ok(None) | Err(_) => log::debug!(event = "load_report_failed"; "no load report"),
+                // Admission drops a report that is not renewed in time.
+                Ok(None) | Err(_) => {
+                    log::debug!(event = "load_report_failed"; "could not fetch the upstream's load report")
+                }
             }
             sleep_until(fetch_at.into()).await;
         }
--- a/crates/agent/src/process/metrics.rs
+++ b/crates/agent/src/process/metrics.rs
@@ -9,29 +9,29 @@
 /// Metrics of an agent. Clones share the values.
 #[derive(Debug, Clone)]
 pub struct Metrics {
-    /// Datagrams of callers that were taken.
+    /// Datagrams from callers that were delivered to the endpoint.
     pub received_datagrams: IntCounter,
-    /// Datagrams that were sent to callers.
+    /// Datagrams that were sent towards callers.
     pub sent_datagrams: IntCounter,
-    /// First packets that were passed on to a peer.
+    /// Initial packets that were passed on to a peer.
     pub passed_on_datagrams: IntCounter,
-    /// Connections that are open.
+    /// Number of open connections.
     pub open_connections: IntGauge,
     /// Connections that were refused, by reason.
     pub refused_connections: IntCounterVec,
     /// Requests, by class and result.
     pub requests: IntCounterVec,
-    /// Time from the head of a request to the head of its answer, by class.
+    /// Time from the headers of a request to the headers of its response, by class.
     pub answer_seconds: HistogramVec,
     dropped_datagrams: IntCounterVec,
 }
 
 impl Metrics {
-    /// Registers the metrics.
+    /// Creates and registers the metrics.
     ///
     /// # Errors
     ///
-    /// The registry already has one of the names.
+    /// Fails if the registry already has a metric with one of the names.
     pub fn new(registry: &Registry) -> Result<Self> {
         let counter = |name: &str, help: &str| -> Result<IntCounter> {
             let counter = IntCounter::new(name, help)?;
@@ -92,7 +92,7 @@
         self.dropped_datagrams.with_label_values(&[cause]).inc();
     }
 
-    /// Counts a request that came to its end.
+    /// Counts a completed request.
     pub fn count_request(&self, class: &str, result: &str) {
         self.requests.with_label_values(&[class, result]).inc();
     }
--- a/crates/agent/src/process/mod.rs
+++ b/crates/agent/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as the agent.
+//! State and tasks that live as long as the agent process.
 
 mod admission;
 mod balancers;
--- a/crates/agent/src/process/node.rs
+++ b/crates/agent/src/process/node.rs
@@ -1,4 +1,4 @@
-//! The task that applies versions and announces the upstream.
+//! The node task, which applies versions and announces the upstream.
 
 use std::time::{Duration, Instant};
 
@@ -17,40 +17,41 @@
 };
 use crate::{connection::CidConfig, version::VersionView};
 
-/// Time between two looks at what is announced.
+/// Longest time between updates of the announcement.
 const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What the node task needs of the others.
+/// Applies versions to the other tasks, and announces the upstream.
 pub struct NodeTask {
     /// Settings of the agent.
     pub cfg: Settings,
-    /// Announcement without state and loads.
+    /// Announcement; state, loads and connections are filled in each time.
     pub announcement: Announcement,
-    /// Versions and loads of peers.
+    /// Versions and peer loads from the sync task.
     pub steps: mpsc::Receiver<Step>,
-    /// What the sync task sends.
+    /// Report that the sync task sends to the control group.
     pub report: watch::Sender<NodeReport>,
     /// The admission task.
     pub admission: AdmissionHandle,
-    /// The task that keeps results under idempotency keys.
+    /// The task that stores responses by idempotency key.
     pub keys: IdempotencyHandle,
     /// The datagram task.
     pub datagrams: mpsc::Sender<DatagramCommand>,
-    /// State of the service, for requests.
+    /// State of the service, read by request handlers.
     pub service: watch::Sender<Option<ServiceState>>,
-    /// Keys, for new connection ids.
+    /// Parameters of new connection ids.
     pub cid_config: watch::Sender<Option<CidConfig>>,
-    /// Whether the agent leaves, for connections.
+    /// Whether the agent is draining, read by connection tasks.
     pub leaving: watch::Sender<bool>,
-    /// Changes when the process is to stop.
+    /// Changes when the process is asked to stop.
     pub stop: watch::Receiver<bool>,
-    /// When a control leader first took an announcement of this run as ready;
-    /// none until then and while the upstream is down.
+    /// When a control leader first accepted an announcement of this run as ready,
+    /// which shows as a configured service. `None` until then and while the
+    /// upstream is down.
     pub ready_since: Option<Instant>,
 }
 
 impl NodeTask {
-    /// Runs until the agent ends.
+    /// Runs until the sync task ends.
     pub async fn run(mut self) {
         let own_id = self.announcement.id;
         let mut view = VersionView::default();
@@ -78,7 +79,7 @@
                 changed = self.stop.changed(), if !stopping => {
                     stopping = true;
                     if changed.is_ok() {
-                        log::info!(event = "leaving"; "agent leaves");
+                        log::info!(event = "leaving"; "agent is draining before it stops");
                     }
                     self.set_leaving(own_id, &view, stopping).await;
                 }
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Brings a version into force in every task.
+    /// Applies a version to all tasks.
     async fn apply(&self, own_id: UpstreamId, view: &VersionView, update: &Update, stopping: bool) {
         let cid_codec = update.keys.as_ref().map(CidCodec::new);
         let service = view.service.clone();
@@ -129,11 +130,11 @@
     }
 
     async fn send(&self, command: DatagramCommand) {
-        // The datagram task ends only with the agent.
+        // The datagram task ends only when the agent stops.
         let _ = self.datagrams.send(command).await;
     }
 
-    /// Tells the sync task what to announce, if it differs from the last time.
+    /// Updates the announcement that the sync task sends.
     async fn announce(&mut self, configured: bool) {
         let Some(status) = self.admission.ask(AdmissionCommand::GetStatus).await else {
             return;
@@ -147,8 +148,8 @@
         self.report.send_if_modified(|report| {
             let state_changed = reported_state(report) != upstream.as_ref().map(|u| u.state);
             report.upstream = upstream;
-            // Loads go with the next regular sync; only a new state is worth
-            // an extra one.
+            // Only a change of state triggers an extra sync; new loads wait for
+            // the next regular one.
             state_changed
         });
     }
--- a/crates/agent/src/process/packet_router.rs
+++ b/crates/agent/src/process/packet_router.rs
@@ -1,4 +1,4 @@
-//! Which datagrams of callers are this agent's.
+//! Routing of callers' packets to this agent or a peer.
 
 use std::{net::SocketAddr, time::Instant};
 
@@ -8,22 +8,22 @@
 
 use super::recent_flows::RecentFlows;
 
-/// Where a packet belongs.
+/// What to do with a packet of a caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PacketDecision {
-    /// It goes to the endpoint of this agent.
+    /// Deliver it to the QUIC endpoint of this agent.
     Deliver,
-    /// It is passed on to a peer.
+    /// Pass it on to a peer.
     PassOn(Hop),
-    /// It is dropped, for this cause.
+    /// Drop it, for this cause.
     Drop(&'static str),
 }
 
-/// Decides which packets are this agent's, by the version in force.
+/// Routes packets by the version in force.
 #[derive(Debug)]
 pub struct PacketRouter {
     own_id: UpstreamId,
-    /// The service and its address; none while it is not configured.
+    /// The service and its address; `None` while it is not configured.
     service: Option<(ServiceId, SocketAddr)>,
     table: RoutingTable,
     cid_codec: Option<CidCodec>,
@@ -32,7 +32,7 @@
 }
 
 impl PacketRouter {
-    /// Placements of the agent `own`, which has no version yet.
+    /// Creates a router for the agent of the upstream `own_id`, without a version.
     #[must_use]
     pub fn new(now: Instant, own_id: UpstreamId) -> Self {
         PacketRouter {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Brings a version into force.
+    /// Applies a new version.
     pub fn configure(&mut self, service: Option<ServiceState>, cid_codec: Option<CidCodec>) {
         self.cid_codec = cid_codec;
         self.table = RoutingTable::default();
@@ -54,12 +54,12 @@
         self.table.apply(service, []);
     }
 
-    /// Sets whether the upstream leaves.
+    /// Sets whether the upstream is draining.
     pub fn set_leaving(&mut self, leaving: bool) {
         self.leaving = leaving;
     }
 
-    /// Address of the service; none while it is not configured.
+    /// Address of the service; `None` while it is not configured.
     #[must_use]
     pub fn service_address(&self) -> Option<SocketAddr> {
         self.service.map(|(_, address)| address)
@@ -99,8 +99,8 @@
         }
     }
 
-    /// Decides about a first packet. A leaving agent keeps the handshakes that
-    /// it has begun.
+    /// Decides about an Initial packet. A draining agent continues the handshakes
+    /// that it has started.
     fn decide_initial(
         &mut self,
         now: Instant,
--- a/crates/agent/src/process/peer.rs
+++ b/crates/agent/src/process/peer.rs
@@ -1,4 +1,4 @@
-//! The server that peers hand requests off to.
+//! The HTTP server for requests and messages of peers.
 
 use std::{
     io,
@@ -44,23 +44,23 @@
     },
 };
 
-/// Path of reservations.
+/// Path on which a peer requests a reservation.
 pub const RESERVE_PATH: &str = "/v1/reserve";
 
-/// Path on which a reservation is returned.
+/// Path on which a peer releases a reservation.
 pub const RELEASE_PATH: &str = "/v1/release";
 
-/// Path of offers of a slot.
+/// Path on which a peer offers a slot.
 pub const OFFER_PATH: &str = "/v1/offer";
 
-/// Answer to a request without a valid reservation.
+/// Status and outcome field for a request without a valid reservation.
 const INVALID_RESERVATION: (StatusCode, &str) =
     (StatusCode::SERVICE_UNAVAILABLE, ClaimHeader::NOT_RUN);
 
-/// Time for requests in progress when the server stops.
+/// Time for requests in progress to complete when the server stops.
 const DRAIN_TIMEOUT_SECS: u64 = 3600;
 
-/// What the handlers share; each worker has a copy.
+/// State that the handlers share; each worker has a copy.
 #[derive(Clone)]
 pub struct PeerContext {
     admission: AdmissionHandle,
@@ -73,7 +73,7 @@
 }
 
 impl PeerContext {
-    /// The same tasks that callers' requests use.
+    /// Creates a context that uses the same tasks as callers' requests.
     #[must_use]
     pub fn new(own_id: UpstreamId, cx: &RequestContext) -> Self {
         PeerContext {
@@ -92,7 +92,7 @@
 ///
 /// # Errors
 ///
-/// The listener cannot be used.
+/// Fails if the listener cannot be used.
 pub fn serve(listener: TcpListener, cx: PeerContext, gate: Gate) -> Result<Server> {
     let address = listener.local_addr();
     let upstream_address = cx.upstream_address;
@@ -114,7 +114,7 @@
         .on_connect(Gate::note)
         .disable_signals()
         .tcp_nodelay(true)
-        // A peer that closes its connection has cancelled the request.
+        // A peer cancels a request by closing its connection.
         .h1_allow_half_closed(false)
         .shutdown_timeout(DRAIN_TIMEOUT_SECS);
     let server = match credentials {
@@ -125,8 +125,9 @@
     Ok(server.run())
 }
 
-/// The messages of agents at a path. A caller's request may have the same path,
-/// but is told apart by its claim, a field that callers cannot set.
+/// Resource for messages of agents at `path`. A handed-off request of a caller
+/// may have the same path, but has a reservation field, which callers cannot
+/// set.
 fn message_resource(path: &str) -> Resource {
     web::resource(path).guard(fn_guard(|cx| {
         !cx.head().headers().contains_key(ClaimHeader::RESERVATION)
@@ -185,7 +186,7 @@
     }
 }
 
-/// Runs a request of a peer against its reservation.
+/// Runs a request that a peer handed off, using its reservation.
 async fn run_handed_off(
     cx: web::Data<PeerContext>,
     req: HttpRequest,
@@ -217,8 +218,8 @@
     }
 }
 
-/// The reservation that a request claims, if it is meant for this upstream and
-/// this service.
+/// The reservation in a request, if the request is for this upstream and this
+/// service.
 fn claimed_reservation(cx: &PeerContext, req: &HttpRequest) -> Option<ReservationId> {
     let field = |name: &str| req.headers().get(name)?.to_str().ok();
     let upstream: UpstreamId = field(ClaimHeader::UPSTREAM)?.parse().ok()?;
@@ -228,7 +229,8 @@
     field(ClaimHeader::RESERVATION)?.parse().ok()
 }
 
-/// The same request for the upstream. `None` if it cannot be represented.
+/// Converts a handed-off request for the upstream. `None` if its method or URI
+/// is invalid.
 fn forwarded_request(
     cx: &PeerContext,
     req: &HttpRequest,
@@ -250,8 +252,8 @@
     })
 }
 
-/// Passes an answer on to the peer. The slot is given back when the body ends
-/// or the peer goes away.
+/// Streams a response to the peer. The slot is released when the body ends or
+/// the peer disconnects.
 fn stream_response(
     own_id: UpstreamId,
     forwarded: ForwardedResponse,
@@ -280,8 +282,8 @@
     }
 }
 
-/// In the order in which they are dropped: the slot is given back once the
-/// connection to the upstream is closed.
+/// State of a response stream. The fields are in drop order: the slot is released
+/// after the connection to the upstream is closed.
 type ResponseState = (Incoming, ConnectionTask, RequestGuard);
 
 async fn next_chunk(
@@ -300,7 +302,7 @@
             }
             Some(Ok(frame)) => match frame.into_data() {
                 Ok(data) => Ok(data),
-                // Trailers are not passed on.
+                // Trailers are not forwarded.
                 Err(_) => continue,
             },
         };
@@ -308,7 +310,7 @@
     }
 }
 
-/// The answer to a request without an answer of the upstream.
+/// Response to a request that has no response of the upstream.
 fn outcome_response(
     own_id: UpstreamId,
     (status, value): (StatusCode, &'static str),
--- a/crates/agent/src/process/recent_flows.rs
+++ b/crates/agent/src/process/recent_flows.rs
@@ -1,4 +1,4 @@
-//! Memory of the flows that opened here.
+//! Set of the flows that were opened recently at this agent.
 
 use std::{
     collections::BTreeSet,
@@ -7,27 +7,27 @@
 
 use types::FlowKey;
 
-/// Longest time for which a handshake repeats its first packets.
+/// Longest time for which a caller retransmits Initial packets of a handshake.
 const MAX_HANDSHAKE_DURATION: Duration = Duration::from_secs(5);
 
-/// Flows remembered in each half; bounds the memory in a flood.
+/// Limit of flows per generation; bounds the memory in a flood of Initial packets.
 const MAX_FLOWS_PER_GENERATION: usize = 1 << 15;
 
-/// Remembers the flows that opened recently, for one to two times
-/// [`HANDSHAKE`].
+/// Flows that were opened recently, kept for one to two times
+/// [`MAX_HANDSHAKE_DURATION`].
 ///
-/// A leaving agent keeps the handshakes that it has begun and passes other
-/// first packets on.
+/// A draining agent continues the handshakes that it has started and passes
+/// other Initial packets on to a peer.
 #[derive(Debug)]
 pub struct RecentFlows {
     current: BTreeSet<FlowKey>,
     previous: BTreeSet<FlowKey>,
-    /// When `recent` becomes `older`.
+    /// When `current` becomes `previous`.
     rotate_at: Instant,
 }
 
 impl RecentFlows {
-    /// An empty memory.
+    /// Creates an empty set.
     #[must_use]
     pub fn new(now: Instant) -> Self {
         RecentFlows {
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Remembers a flow.
+    /// Adds a flow, unless the generation is full.
     pub fn insert(&mut self, now: Instant, flow: FlowKey) {
         if now >= self.rotate_at {
             self.previous = std::mem::take(&mut self.current);
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Whether the flow opened here recently.
+    /// Whether the flow was opened recently.
     #[must_use]
     pub fn contains(&self, flow: FlowKey) -> bool {
         self.current.contains(&flow) || self.previous.contains(&flow)
--- a/crates/agent/src/process/run.rs
+++ b/crates/agent/src/process/run.rs
@@ -1,4 +1,4 @@
-//! Starting and ending an agent.
+//! Startup and shutdown of an agent.
 
 use std::{
     net::TcpListener,
@@ -38,21 +38,21 @@
     request::{RequestContext, RequestIdGenerator},
 };
 
-/// Datagrams that may wait between endpoint and socket, in each direction.
+/// Capacity of the queues between endpoint and datagram task, per direction.
 const PACKET_QUEUE_LEN: usize = 4096;
 
-/// Versions and commands that may wait for a task.
+/// Capacity of the queues of versions and of datagram commands.
 const COMMAND_QUEUE_LEN: usize = 4;
 
-/// Time for the last announcement and the last packets.
+/// Time at shutdown to send the last announcement and packets.
 const SHUTDOWN_DELAY: Duration = Duration::from_millis(200);
 
-/// Runs an agent. When `stop` changes it leaves: it ends once the last request
-/// is done, at the latest after `drain_timeout`.
+/// Runs an agent. When `stop` changes, it drains and returns once the last
+/// request has ended, or after [`Settings::drain_timeout`].
 ///
 /// # Errors
 ///
-/// A socket cannot be opened, or the certificate cannot be used.
+/// Fails if a socket cannot be opened or the certificate cannot be used.
 pub async fn run(
     cfg: Settings,
     certificate: ServiceCertificate,
@@ -66,7 +66,7 @@
 ///
 /// # Errors
 ///
-/// A socket cannot be opened, or the certificate cannot be used.
+/// Fails if a socket cannot be opened or the certificate cannot be used.
 pub async fn run_with_policy<P: BalancerPolicy + 'static>(
     cfg: Settings,
     certificate: ServiceCertificate,
@@ -78,8 +78,8 @@
         .run(&cfg, certificate, &agent_tasks.peer_server, stop)
         .await;
     actix_rt::time::sleep(SHUTDOWN_DELAY).await;
-    // A graceful stop that is under way would hold this one up until requests
-    // of peers have ended, which may be after the end of the stay.
+    // A graceful stop in progress would block this one until the requests of
+    // peers have ended, possibly after the drain timeout.
     let _ = timeout(SHUTDOWN_DELAY, agent_tasks.peer_server.stop(false)).await;
     for task in agent_tasks.tasks {
         task.abort();
@@ -94,11 +94,11 @@
     peer_server: ServerHandle,
 }
 
-/// What serving connections needs.
+/// Serves the connections of callers.
 struct CallerServer {
     own_id: UpstreamId,
     cx: RequestContext,
-    /// The endpoint's end of the datagram task.
+    /// Socket of the QUIC endpoint, backed by the datagram task.
     socket: EndpointSocket,
     cid_config: watch::Receiver<Option<CidConfig>>,
     leaving: watch::Receiver<bool>,
@@ -194,7 +194,8 @@
 }
 
 impl CallerServer {
-    /// Serves connections once the service is known, until the agent has left.
+    /// Serves connections once the service is configured, until the agent has
+    /// drained.
     async fn run(
         self,
         cfg: &Settings,
@@ -227,7 +228,7 @@
     }
 }
 
-/// The announcement before any state is known.
+/// Creates the initial announcement.
 fn announcement(
     cfg: &Settings,
     id: UpstreamId,
@@ -251,8 +252,8 @@
     })
 }
 
-/// Waits for the order to stop and then for the requests in progress, at most
-/// `drain_timeout`.
+/// Waits for the stop signal and then for the requests in progress, at most
+/// [`Settings::drain_timeout`].
 async fn drain(
     cfg: &Settings,
     mut stop: watch::Receiver<bool>,
@@ -266,6 +267,6 @@
         peer_server.stop(true).await;
     };
     if timeout_at(drain_deadline.into(), drained).await.is_err() {
-        log::warn!(event = "stay_ended"; "requests in progress are cut at the end of the stay");
+        log::warn!(event = "stay_ended"; "drain timeout expired; aborting the requests in progress");
     }
 }
