--- a/crates/agent/src/version/mod.rs
+++ b/crates/agent/src/version/mod.rs
@@ -1,4 +1,5 @@
-//! What a version of the configuration and membership tells the agent.
+//! The parts of a version of the configuration and membership that the agent
+//! uses.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -10,28 +11,28 @@
 };
 use wire::Update;
 
-/// A peer of the same service.
+/// The agent of another upstream of the same service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Peer {
     /// Data centre of the peer.
     pub data_centre: DataCentre,
-    /// Where the peer takes requests.
+    /// Address on which the peer accepts requests.
     pub address: SocketAddr,
 }
 
 /// The agent's view of one version.
 #[derive(Debug, Clone, Default)]
 pub struct VersionView {
-    /// State of the agent's service; none while it is not configured.
+    /// State of the agent's service; `None` while it is not configured.
     pub service: Option<ServiceState>,
-    /// Where the balancers take answers.
+    /// Addresses on which the balancers accept packets to callers.
     pub balancers: BTreeSet<SocketAddr>,
-    /// Whether an operator drains the upstream.
+    /// Whether an operator requested to drain the upstream.
     pub drain_requested: bool,
 }
 
 impl VersionView {
-    /// Takes an update over into the view.
+    /// Applies an update.
     pub fn apply(&mut self, update: &Update, name: &ServiceName, host: &HostName) {
         let known_id = self.service.as_ref().map(|state| state.service.id);
         let removed = known_id.is_some_and(|id| update.removed.contains(&id));
@@ -49,8 +50,8 @@
         self.drain_requested = update.drains.contains(host);
     }
 
-    /// Targets of the service. A class that this upstream does not serve has
-    /// no slots here, so that its requests are handed off.
+    /// Targets of the service. A class that this upstream does not serve has no
+    /// slots, so its requests are handed off.
     #[must_use]
     pub fn targets(&self, served_classes: &BTreeSet<ClassName>) -> BTreeMap<ClassName, Target> {
         let Some(state) = &self.service else {
@@ -67,7 +68,7 @@
         targets
     }
 
-    /// The other upstreams of the service.
+    /// The agents of the other upstreams of the service.
     #[must_use]
     pub fn peers(&self, own_id: UpstreamId) -> BTreeMap<UpstreamId, Peer> {
         let members = self.service.iter().flat_map(|state| &state.members);
