--- a/crates/agent/tests/calls.rs
+++ b/crates/agent/tests/calls.rs
@@ -1,5 +1,5 @@
-//! One attempt of a request against scripted servers: what is said of it must
-//! be true, whatever the server does.
+//! Attempts to forward a request to scripted servers: the reported outcome must
+//! be correct whatever the server does.
 
 use std::{
     net::SocketAddr,
@@ -22,11 +22,11 @@
 };
 use types::{ReservationId, ServiceId, UpstreamId};
 
-const MEANT: UpstreamId = UpstreamId(0xa1);
+const INTENDED: UpstreamId = UpstreamId(0xa1);
 const OTHER: UpstreamId = UpstreamId(0xb2);
 
-/// Takes one connection, reads the head of a request, answers with `text` and
-/// closes; returns what it read.
+/// Accepts one connection, reads the headers of a request, sends `text` and
+/// closes. Returns what it read.
 async fn serve_once(listener: TcpListener, text: String) -> String {
     let (mut stream, _) = listener.accept().await.expect("connection");
     let mut read = Vec::new();
@@ -41,7 +41,7 @@
     String::from_utf8_lossy(&read).into_owned()
 }
 
-fn call(target: ForwardTarget) -> ForwardedRequest<Full<Bytes>> {
+fn forwarded_request(target: ForwardTarget) -> ForwardedRequest<Full<Bytes>> {
     let mut request = Request::new(Full::new(Bytes::from_static(b"seat")));
     *request.method_mut() = Method::POST;
     *request.uri_mut() = "/claim/1".parse().expect("path");
@@ -59,7 +59,7 @@
             data_centre: "dc1".parse().expect("name"),
             address,
         },
-        upstream: MEANT,
+        upstream: INTENDED,
         service: ServiceId(7),
         reservation: ReservationId(3),
     }
@@ -71,106 +71,125 @@
     (listener, address)
 }
 
-fn answer(status: &str, fields: &str) -> String {
+fn response_text(status: &str, fields: &str) -> String {
     format!("HTTP/1.1 {status}\r\n{fields}content-length: 2\r\n\r\nok")
 }
 
-fn failed(progress: Progress, failure: Failure) -> AttemptError {
+fn attempt_error(progress: Progress, failure: Failure) -> AttemptError {
     AttemptError { progress, failure }
 }
 
-/// P4, P5. Guards against an answer of a server that is not the peer that is
-/// taken for the upstream's, and against "not started" on any word but an
-/// agent's: another owner of the address, or a server that answers before its
-/// handlers run.
+/// P4, P5. Guards against accepting a response from a server other than the
+/// intended peer, and against reporting "not started" unless an agent said so:
+/// the address may have a new owner, or a server may respond before its handlers
+/// run.
 #[actix_rt::test]
-async fn only_the_peer_that_was_meant_is_believed() {
-    let lost = Err(failed(Progress::Started, Failure::Broken));
-    let refused = Err(failed(Progress::NotStarted, Failure::PeerRefused));
+async fn only_the_intended_peer_is_trusted() {
+    let lost = Err(attempt_error(Progress::Started, Failure::Broken));
+    let refused = Err(attempt_error(Progress::NotStarted, Failure::PeerRefused));
     let from = |id: UpstreamId| format!("limpet-upstream: {id}\r\n");
     let outcome = |id, value| format!("{}limpet-outcome: {value}\r\n", from(id));
     let cases = [
-        (answer("200 OK", &from(MEANT)), Ok(200)),
-        (answer("503 Busy", &from(MEANT)), Ok(503)),
-        (answer("200 OK", ""), lost),
-        (answer("400 Bad Request", ""), lost),
-        (answer("408 Request Timeout", ""), lost),
-        (answer("404 Not Found", "limpet-upstream: x\r\n"), lost),
-        (answer("200 OK", &from(OTHER)), lost),
-        (answer("503 Busy", "limpet-outcome: not-run\r\n"), lost),
-        (answer("503 Busy", &outcome(MEANT, "not-run")), refused),
-        (answer("503 Busy", &outcome(OTHER, "not-run")), refused),
-        (answer("502 Bad", &outcome(MEANT, "unknown")), lost),
+        (response_text("200 OK", &from(INTENDED)), Ok(200)),
+        (response_text("503 Busy", &from(INTENDED)), Ok(503)),
+        (response_text("200 OK", ""), lost),
+        (response_text("400 Bad Request", ""), lost),
+        (response_text("408 Request Timeout", ""), lost),
+        (
+            response_text("404 Not Found", "limpet-upstream: x\r\n"),
+            lost,
+        ),
+        (response_text("200 OK", &from(OTHER)), lost),
+        (
+            response_text("503 Busy", "limpet-outcome: not-run\r\n"),
+            lost,
+        ),
+        (
+            response_text("503 Busy", &outcome(INTENDED, "not-run")),
+            refused,
+        ),
+        (
+            response_text("503 Busy", &outcome(OTHER, "not-run")),
+            refused,
+        ),
+        (
+            response_text("502 Bad", &outcome(INTENDED, "unknown")),
+            lost,
+        ),
         ("garbage\r\n\r\n".into(), lost),
         ("HTTP/1.1 200 O".into(), lost),
         (String::new(), lost),
     ];
     for (text, expected) in cases {
         let (listener, address) = listen().await;
-        let (read, sent) = tokio::join!(
+        let (read, result) = tokio::join!(
             serve_once(listener, text.clone()),
-            call(peer(address)).send()
+            forwarded_request(peer(address)).send()
         );
         assert!(read.contains("limpet-reservation: "), "{read}");
-        let got = sent.map(|answer| answer.response.status().as_u16());
-        assert_eq!(got, expected, "{text}");
+        let status = result.map(|forwarded| forwarded.response.status().as_u16());
+        assert_eq!(status, expected, "{text}");
     }
 }
 
-/// P4. Guards against "started" for a connection that was refused, and against
-/// "not started" once a byte may have gone out.
+/// P4. Guards against reporting "started" for a refused connection, and "not
+/// started" once a byte may have been sent.
 #[actix_rt::test]
-async fn a_failed_attempt_says_how_far_it_came() {
+async fn a_failed_attempt_reports_its_progress() {
     let (listener, address) = listen().await;
     drop(listener);
     for target in [ForwardTarget::Upstream(address), peer(address)] {
-        let e = call(target).send().await.err();
-        assert_eq!(e, Some(failed(Progress::NotStarted, Failure::Connect)));
+        let e = forwarded_request(target).send().await.err();
+        assert_eq!(
+            e,
+            Some(attempt_error(Progress::NotStarted, Failure::Connect))
+        );
     }
 
     let (listener, address) = listen().await;
-    let (_, sent) = tokio::join!(
+    let (_, result) = tokio::join!(
         serve_once(listener, String::new()),
-        call(ForwardTarget::Upstream(address)).send()
+        forwarded_request(ForwardTarget::Upstream(address)).send()
     );
-    let broken = failed(Progress::Started, Failure::Broken);
-    assert_eq!(sent.err(), Some(broken));
+    let broken = attempt_error(Progress::Started, Failure::Broken);
+    assert_eq!(result.err(), Some(broken));
 
     let (_listener, address) = listen().await;
-    let mut late = call(ForwardTarget::Upstream(address));
-    late.deadline = Some(Instant::now() + Duration::from_millis(50));
-    let e = late.send().await.err();
-    assert_eq!(e, Some(failed(Progress::Started, Failure::Deadline)));
+    let mut expired = forwarded_request(ForwardTarget::Upstream(address));
+    expired.deadline = Some(Instant::now() + Duration::from_millis(50));
+    let e = expired.send().await.err();
+    assert_eq!(e, Some(attempt_error(Progress::Started, Failure::Deadline)));
 }
 
-/// P3. Guards against a body that ends like a whole one when the connection
-/// closes too early.
+/// P3. Guards against a truncated body that looks complete when the connection
+/// closes early.
 #[actix_rt::test]
-async fn a_short_body_is_an_error() {
+async fn a_truncated_body_is_an_error() {
     for head in ["content-length: 9", "transfer-encoding: chunked"] {
         let (listener, address) = listen().await;
         let text = format!("HTTP/1.1 200 OK\r\n{head}\r\n\r\n2\r\nok\r\n");
-        let (_, sent) = tokio::join!(
+        let (_, result) = tokio::join!(
             serve_once(listener, text),
-            call(ForwardTarget::Upstream(address)).send()
+            forwarded_request(ForwardTarget::Upstream(address)).send()
         );
-        let (_, body, _connection) = sent.expect("head").into_parts();
+        let (_, body, _connection) = result.expect("head").into_parts();
         assert!(body.collect().await.is_err(), "{head}");
     }
 }
 
-/// Guards against a word of an agent that is read differently than meant.
+/// Guards against accepting a response without the id of the intended upstream,
+/// or one with an unknown outcome.
 #[test]
-fn an_answer_of_a_peer_names_it() {
+fn a_peer_response_carries_its_upstream_id() {
     let mut headers = HeaderMap::new();
     assert_eq!(
-        PeerOutcome::from_headers(&headers, MEANT),
+        PeerOutcome::from_headers(&headers, INTENDED),
         PeerOutcome::Unknown
     );
-    let id = HeaderValue::from_str(&MEANT.to_string()).expect("id");
+    let id = HeaderValue::from_str(&INTENDED.to_string()).expect("id");
     headers.insert("limpet-upstream", id);
     assert_eq!(
-        PeerOutcome::from_headers(&headers, MEANT),
+        PeerOutcome::from_headers(&headers, INTENDED),
         PeerOutcome::Response
     );
     assert_eq!(
@@ -179,15 +198,15 @@
     );
     headers.insert("limpet-outcome", HeaderValue::from_static("later"));
     assert_eq!(
-        PeerOutcome::from_headers(&headers, MEANT),
+        PeerOutcome::from_headers(&headers, INTENDED),
         PeerOutcome::Unknown
     );
 }
 
-/// Guards against fields that cross a hop: those of the connection, those that
-/// it names and those of this system.
+/// Guards against forwarding hop-by-hop fields, fields that `Connection` names
+/// and fields that agents exchange.
 #[test]
-fn a_head_keeps_only_what_crosses_a_hop() {
+fn only_end_to_end_fields_are_copied() {
     let fields: [(&str, &[u8]); 12] = [
         ("accept", b"a"),
         ("accept", b"b"),
@@ -202,13 +221,13 @@
         ("Limpet-Timeout-Ms", b"1"),
         ("bad name", b"1"),
     ];
-    let head = EndToEndHeaders::from_fields(fields).headers;
-    let names: Vec<&HeaderName> = head.keys().collect();
+    let headers = EndToEndHeaders::from_fields(fields).headers;
+    let names: Vec<&HeaderName> = headers.keys().collect();
     assert_eq!(names, ["accept"]);
-    assert_eq!(head.get_all("accept").iter().count(), 2);
+    assert_eq!(headers.get_all("accept").iter().count(), 2);
 }
 
-/// Guards against a cookie that reaches an upstream in parts, of which most
+/// Guards against several cookie fields in an HTTP/1.1 request, of which most
 /// servers read only the first.
 #[test]
 fn cookies_are_joined() {
@@ -219,9 +238,9 @@
     assert_eq!(cookies, ["a=1; b=2"]);
 }
 
-/// Guards against a deadline from a malformed value.
+/// Guards against a deadline that is computed from a malformed value.
 #[test]
-fn a_deadline_is_read_strictly() {
+fn a_malformed_timeout_sets_no_deadline() {
     let now = Instant::now();
     let read = |text: &str| deadline_of(now, Some(text.as_bytes()));
     assert_eq!(deadline_of(now, None), None);
--- a/crates/agent/tests/datagrams.rs
+++ b/crates/agent/tests/datagrams.rs
@@ -1,5 +1,5 @@
-//! Decisions about datagrams: balancers for answers, packets of others,
-//! first packets of a leaving agent and under a flood.
+//! Routing of datagrams: choice of balancers, misdirected packets, and Initial
+//! packets while the agent drains and under a flood.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -18,7 +18,7 @@
 };
 use wire::{CidCodec, ConnectionId, ServiceTag};
 
-/// Time after which a silent balancer is not used, as the design states it.
+/// Time without a datagram after which a balancer must not be used, by design.
 const UNREACHABLE_TIMEOUT: Duration = Duration::from_millis(300);
 
 const OWN: UpstreamId = UpstreamId(1);
@@ -37,16 +37,17 @@
     (0..8).filter_map(|n| balancers.choose(now, n)).collect()
 }
 
-/// Guards against answers through a balancer that has not been heard for
-/// longer than the stated time, and against none when all are silent.
+/// Guards against packets through a balancer that has been unreachable for
+/// longer than the design allows, and against sending none when all balancers
+/// are unreachable.
 #[test]
-fn only_heard_balancers_are_used() {
+fn only_reachable_balancers_are_used() {
     let start = Instant::now();
     let all = BTreeSet::from([address(1), address(2), address(3)]);
     let mut balancers: BalancerTracker = BalancerTracker::default();
     assert_eq!(balancers.choose(start, 0), None);
     balancers.set_known(start, &all);
-    assert_eq!(chosen(&mut balancers, start), all, "none is heard yet");
+    assert_eq!(chosen(&mut balancers, start), all, "none is reachable yet");
 
     balancers.note_datagram(start, address(1));
     balancers.note_datagram(after(start, 200), address(2));
@@ -63,21 +64,21 @@
     assert_eq!(chosen(&mut balancers, after(start, 601)), third);
 }
 
-/// Bytes of a probe and its answer with their UDP and IPv4 headers.
+/// Bytes of a probe and its reply with their UDP and IPv4 headers.
 const PROBE_BYTES: usize = 2 * (16 + 28);
 
-/// Bytes a second that a node may spend on control, as the design states it.
-const CONTROL_BYTES: usize = 2_000;
+/// Bytes per second that a node may spend on control traffic, by design.
+const MAX_CONTROL_BYTES_PER_SECOND: usize = 2_000;
 
-/// Bytes a second of an agent's syncs at 0.2 changes a second, by the control
-/// benchmark.
-const SYNC_BYTES: usize = 568;
+/// Bytes per second of an agent's syncs at 0.2 changes per second, from the
+/// control benchmark.
+const SYNC_BYTES_PER_SECOND: usize = 568;
 
-/// Lets a second pass in steps of 10 ms, in which all but the `dead` balancers
-/// answer their probes. An answer is sent at every `send_every`th step. Returns
-/// the bytes of the probes, and through whom answers went later than the stated
-/// time after the start.
-fn pass_second(
+/// Simulates a second in steps of 10 ms, in which all but the `dead` balancers
+/// reply to their probes. A packet is sent at every `send_every`th step. Returns
+/// the bytes of the probes, and the balancers that were chosen later than
+/// [`UNREACHABLE_TIMEOUT`] after the start.
+fn simulate_second(
     balancers: &mut BalancerTracker,
     start: Instant,
     dead: &BTreeSet<SocketAddr>,
@@ -105,10 +106,10 @@
     (bytes, used)
 }
 
-/// Guards against a dead balancer that is used for longer than the stated time,
-/// and against probes that take more than a node may spend on control.
+/// Guards against a dead balancer that is used for longer than the design allows,
+/// and against probes that exceed the control traffic of a node.
 #[test]
-fn probes_find_a_dead_balancer_at_a_bounded_cost() {
+fn probes_detect_a_dead_balancer_at_a_bounded_rate() {
     let all: BTreeSet<_> = (1..=4).map(address).collect();
     let none = BTreeSet::new();
     for send_every in [None, Some(50), Some(1)] {
@@ -117,62 +118,62 @@
         balancers.set_known(start, &all);
         for second in 0..11 {
             let now = after(start, 1_000 * second);
-            let (bytes, _) = pass_second(&mut balancers, now, &none, send_every);
-            let total = bytes + SYNC_BYTES;
+            let (bytes, _) = simulate_second(&mut balancers, now, &none, send_every);
+            let total = bytes + SYNC_BYTES_PER_SECOND;
             assert!(
-                total <= CONTROL_BYTES,
+                total <= MAX_CONTROL_BYTES_PER_SECOND,
                 "{total} bytes in second {second}, {send_every:?}"
             );
         }
         let dead = BTreeSet::from([address(1), address(2)]);
-        // Halfway between two probes of balancers that are not kept.
+        // Halfway between two probes of balancers that are not kept reachable.
         for second in 11..14 {
             let now = after(start, 1_000 * second);
-            let (_, used) = pass_second(&mut balancers, now, &dead, send_every);
+            let (_, used) = simulate_second(&mut balancers, now, &dead, send_every);
             assert!(used.is_disjoint(&dead), "{used:?} in second {second}");
             assert_eq!(used.is_empty(), send_every.is_none());
         }
     }
 }
 
-/// Guards against a balancer that came back and is never used again.
+/// Guards against a recovered balancer that is never used again.
 #[test]
-fn a_balancer_that_came_back_is_used_again() {
+fn a_recovered_balancer_is_used_again() {
     let start = Instant::now();
     let all = BTreeSet::from([address(1), address(2)]);
     let mut balancers: BalancerTracker = BalancerTracker::default();
     balancers.set_known(start, &all);
     let dead = BTreeSet::from([address(1)]);
-    pass_second(&mut balancers, start, &dead, Some(5));
+    simulate_second(&mut balancers, start, &dead, Some(5));
     for second in 1..4 {
         let now = after(start, 1_000 * second);
-        let (_, used) = pass_second(&mut balancers, now, &BTreeSet::new(), Some(5));
+        let (_, used) = simulate_second(&mut balancers, now, &BTreeSet::new(), Some(5));
         assert!(used.contains(&address(2)));
         assert!(second < 3 || used.contains(&address(1)));
     }
 }
 
-/// Guards against memory that grows in a flood of first packets.
+/// Guards against memory that grows in a flood of Initial packets.
 #[test]
-fn the_memory_of_first_packets_is_bounded() {
+fn the_number_of_recent_flows_is_bounded() {
     let start = Instant::now();
     let mut flows = RecentFlows::new(start);
     for n in 0..1 << 16 {
         flows.insert(start, FlowKey(n));
     }
-    let held = (0..1 << 16).filter(|n| flows.contains(FlowKey(*n)));
-    assert!(held.count() <= 1 << 15);
-    // Two turns later none of them is left.
+    let remembered = (0..1 << 16).filter(|n| flows.contains(FlowKey(*n)));
+    assert!(remembered.count() <= 1 << 15);
+    // After two rotations none of them is left.
     flows.insert(after(start, 5_000), FlowKey(1 << 20));
     flows.insert(after(start, 10_000), FlowKey(1 << 21));
     assert!(!flows.contains(FlowKey(0)));
     assert!(flows.contains(FlowKey(1 << 20)));
 }
 
-/// Guards against handshakes without a bound, and against a caller that shows
-/// its address and is asked again.
+/// Guards against an unbounded number of handshakes, and against a second Retry
+/// for a validated address.
 #[test]
-fn many_handshakes_need_a_validated_address() {
+fn many_handshakes_require_address_validation() {
     let cases = [
         (0, true, HandshakeDecision::Accept),
         (255, true, HandshakeDecision::Accept),
@@ -200,8 +201,8 @@
     }
 }
 
-/// A service of this agent with `own` share and a peer with all others.
-fn state(own: u32) -> ServiceState {
+/// A service in which this agent has the share `own_share` and a peer 8.
+fn service_state(own_share: u32) -> ServiceState {
     ServiceState {
         service: Service {
             id: SERVICE,
@@ -211,12 +212,12 @@
             author: "test".parse().unwrap(),
             targets: BTreeMap::new(),
         },
-        members: BTreeMap::from([(OWN, member(1, own)), (PEER, member(2, 8))]),
+        members: BTreeMap::from([(OWN, member(1, own_share)), (PEER, member(2, 8))]),
         version: Version::default(),
     }
 }
 
-fn keys() -> CidCodec {
+fn cid_codec() -> CidCodec {
     CidCodec::new(&KeySet {
         current: CidKey {
             generation: KeyGeneration(1),
@@ -226,54 +227,58 @@
     })
 }
 
-/// A packet with a short header to an id of ours.
-fn short(upstream: UpstreamId, service: ServiceId) -> Vec<u8> {
+/// A packet with a short header and a connection id that this system issued.
+fn short_packet(upstream: UpstreamId, service: ServiceId) -> Vec<u8> {
     let id = ConnectionId {
         upstream,
         tag: ServiceTag::from(service),
         nonce: 5,
     };
     let mut packet = vec![0x40];
-    packet.extend_from_slice(&keys().encode(&id, 0));
+    packet.extend_from_slice(&cid_codec().encode(&id, 0));
     packet.extend_from_slice(&[0; 32]);
     packet
 }
 
-/// A first packet to an id that the caller chose.
-fn initial(dcid: [u8; 8]) -> Vec<u8> {
+/// An Initial packet with a connection id that the caller chose.
+fn initial_packet(dcid: [u8; 8]) -> Vec<u8> {
     let mut packet = vec![0xc3, 0, 0, 0, 1, 8];
     packet.extend_from_slice(&dcid);
     packet.extend_from_slice(&[0; 1200]);
     packet
 }
 
-/// P2. Guards against packets of another service, of another run of the agent
-/// or with an unknown id that reach the endpoint.
+/// P2. Guards against delivering packets for another service, for another
+/// incarnation of the agent or with an unknown connection id to the endpoint.
 #[test]
-fn packets_of_others_are_dropped() {
+fn misdirected_packets_are_dropped() {
     let now = Instant::now();
     let mut router = PacketRouter::new(now, OWN);
-    let own = short(OWN, SERVICE);
+    let own = short_packet(OWN, SERVICE);
     let forwarded = Arrival::Forwarded;
     let before = router.decide(now, address(100), forwarded, &own);
     assert_eq!(before, PacketDecision::Drop("other_service"));
 
-    router.configure(Some(state(8)), Some(keys()));
+    router.configure(Some(service_state(8)), Some(cid_codec()));
     let mut unknown = own.clone();
     unknown[5] ^= 1;
     let cases = [
         (100, own.clone(), PacketDecision::Deliver),
-        (100, initial([9; 8]), PacketDecision::Deliver),
+        (100, initial_packet([9; 8]), PacketDecision::Deliver),
         (101, own, PacketDecision::Drop("other_service")),
-        (101, initial([9; 8]), PacketDecision::Drop("other_service")),
+        (
+            101,
+            initial_packet([9; 8]),
+            PacketDecision::Drop("other_service"),
+        ),
         (
             100,
-            short(OWN, ServiceId(8)),
+            short_packet(OWN, ServiceId(8)),
             PacketDecision::Drop("other_service"),
         ),
         (
             100,
-            short(PEER, SERVICE),
+            short_packet(PEER, SERVICE),
             PacketDecision::Drop("other_incarnation"),
         ),
         (100, unknown, PacketDecision::Drop("unknown_id")),
@@ -284,21 +289,21 @@
     }
 }
 
-/// P1, P6. Guards against a leaving agent that takes new flows, drops those
-/// that it has begun, or sends a packet round among agents.
+/// P1, P6. Guards against a draining agent that accepts new flows, drops those
+/// that it has started, or creates a loop of packets between agents.
 #[test]
-fn a_leaving_agent_passes_first_packets_on() {
+fn a_draining_agent_passes_initial_packets_on() {
     let now = Instant::now();
     let mut router = PacketRouter::new(now, OWN);
-    router.configure(Some(state(8)), Some(keys()));
+    router.configure(Some(service_state(8)), Some(cid_codec()));
     let decide = |router: &mut PacketRouter, dcid, arrival| {
-        router.decide(now, address(100), arrival, &initial(dcid))
+        router.decide(now, address(100), arrival, &initial_packet(dcid))
     };
     assert_eq!(
         decide(&mut router, [1; 8], Arrival::Forwarded),
         PacketDecision::Deliver
     );
-    router.configure(Some(state(0)), Some(keys()));
+    router.configure(Some(service_state(0)), Some(cid_codec()));
     router.set_leaving(true);
     assert_eq!(
         decide(&mut router, [1; 8], Arrival::Forwarded),
@@ -314,8 +319,13 @@
         let again = decide(&mut router, [n; 8], Arrival::PassedOn);
         assert!(matches!(again, PacketDecision::Drop(_)), "{again:?}");
     }
-    let open = router.decide(now, address(100), Arrival::Forwarded, &short(OWN, SERVICE));
-    assert_eq!(open, PacketDecision::Deliver);
+    let established = router.decide(
+        now,
+        address(100),
+        Arrival::Forwarded,
+        &short_packet(OWN, SERVICE),
+    );
+    assert_eq!(established, PacketDecision::Deliver);
     router.set_leaving(false);
     assert_eq!(
         decide(&mut router, [3; 8], Arrival::Forwarded),
