--- a/crates/agent/src/connection/serve.rs
+++ b/crates/agent/src/connection/serve.rs
@@ -65,7 +65,7 @@
                 goaway.advance(&mut server).await;
             }
         }
-        if goaway == GoawayState::LastSent && requests.is_empty() {
+        if goaway == GoawayState::Finished && requests.is_empty() {
             break;
         }
     }
@@ -79,7 +79,8 @@
     NotSent,
     /// The last GOAWAY is due at this instant.
     FirstSent(Instant),
-    LastSent,
+    /// The last GOAWAY was sent.
+    Finished,
 }
 
 impl GoawayState {
@@ -90,7 +91,7 @@
     fn last_due_at(self) -> Instant {
         match self {
             GoawayState::FirstSent(last_due_at) => last_due_at,
-            GoawayState::NotSent | GoawayState::LastSent => Instant::now(),
+            GoawayState::NotSent | GoawayState::Finished => Instant::now(),
         }
     }
 
@@ -104,9 +105,9 @@
             }
             GoawayState::FirstSent(_) => {
                 let _ = server.shutdown(0).await;
-                *self = GoawayState::LastSent;
+                *self = GoawayState::Finished;
             }
-            GoawayState::LastSent => {}
+            GoawayState::Finished => {}
         }
     }
 }
--- a/crates/agent/src/process/admission.rs
+++ b/crates/agent/src/process/admission.rs
@@ -109,8 +109,8 @@
     }
 
     fn tick(&mut self, now: Instant) {
-        let wakes = self.admission.tick(now);
-        self.apply_wakes(wakes);
+        let deferred = self.admission.tick(now);
+        self.carry_out_all(deferred);
         if self.admission.start_due_probe(now) {
             self.probe_upstream();
         }
@@ -121,13 +121,13 @@
         match command {
             C::Arrive(info, tx) => self.arrive(now, info, tx),
             C::Finish(id, outcome) => {
-                let wakes = self.admission.finish(now, id, outcome);
-                self.apply_wakes(wakes);
+                let deferred = self.admission.finish(now, id, outcome);
+                self.carry_out_all(deferred);
             }
             C::Cancel(id) => {
                 self.pending_requests.remove(&id);
-                let wakes = self.admission.cancel(now, id);
-                self.apply_wakes(wakes);
+                let deferred = self.admission.cancel(now, id);
+                self.carry_out_all(deferred);
             }
             C::CheckRetry(attempt, tx) => {
                 let _ = tx.send(decide_retry(now, &attempt, &mut self.retry_budget));
@@ -139,8 +139,8 @@
                 let _ = tx.send(self.admission.claim(now, reservation, id));
             }
             C::Release(reservation) => {
-                let wakes = self.admission.release(now, reservation);
-                self.apply_wakes(wakes);
+                let deferred = self.admission.release(now, reservation);
+                self.carry_out_all(deferred);
             }
             C::Offer(offer) => self.handle_offer(&offer),
             C::OpenConnection(tx) => {
@@ -156,16 +156,16 @@
                 self.open_connections.0 = self.open_connections.0.saturating_sub(1);
             }
             C::LoadReport(class, report) => {
-                let wakes = self.admission.apply_report(now, &class, report);
-                self.apply_wakes(wakes);
+                let deferred = self.admission.apply_report(now, &class, report);
+                self.carry_out_all(deferred);
             }
             C::ConnectResult(ok) => self.handle_connect_result(now, ok),
             C::Configure(config) => self.apply(now, config),
             C::PeerLoads(loads) => {
                 let own_id = self.own_id;
                 for (peer, loads) in loads.into_iter().filter(|(id, _)| *id != own_id) {
-                    let wakes = self.admission.update_peer_loads(now, peer, &loads);
-                    self.apply_wakes(wakes);
+                    let deferred = self.admission.update_peer_loads(now, peer, &loads);
+                    self.carry_out_all(deferred);
                 }
             }
             C::PeerAnswered(id, peer, reservation, answer) => {
@@ -187,8 +187,8 @@
         self.carry_out(id, decision, None);
     }
 
-    fn apply_wakes(&mut self, wakes: Vec<DeferredDecision>) {
-        for DeferredDecision { id, decision } in wakes {
+    fn carry_out_all(&mut self, deferred: Vec<DeferredDecision>) {
+        for DeferredDecision { id, decision } in deferred {
             self.carry_out(id, decision, None);
         }
     }
@@ -351,12 +351,12 @@
     }
 
     fn handle_connect_result(&mut self, now: Instant, ok: bool) {
-        let wakes = if ok {
+        let deferred = if ok {
             self.admission.connect_succeeded(now)
         } else {
             self.admission.connect_failed(now)
         };
-        self.apply_wakes(wakes);
+        self.carry_out_all(deferred);
     }
 
     /// Tries to connect to the upstream while it is down.
@@ -380,10 +380,10 @@
             .collect();
         self.peers = config.peers;
         self.admission.set_peers(&self.data_centre, &data_centres);
-        let wakes = self.admission.set_targets(now, &config.targets);
-        self.apply_wakes(wakes);
-        let wakes = self.admission.set_leaving(now, config.leaving);
-        self.apply_wakes(wakes);
+        let deferred = self.admission.set_targets(now, &config.targets);
+        self.carry_out_all(deferred);
+        let deferred = self.admission.set_leaving(now, config.leaving);
+        self.carry_out_all(deferred);
     }
 
     fn status(&self) -> UpstreamStatus {
--- a/crates/agent/src/process/balancers.rs
+++ b/crates/agent/src/process/balancers.rs
@@ -35,9 +35,9 @@
     /// Unreachable from this instant on, unless a datagram arrives before.
     unreachable_at: Instant,
     /// Earliest instant of the next keepalive probe.
-    probe_at: Instant,
+    next_probe: Instant,
     /// Instant of the next probe if it is not kept reachable.
-    idle_probe_at: Instant,
+    next_idle_probe: Instant,
     /// Counts as lost from this instant on; `None` if no probe is unanswered.
     lost_at: Option<Instant>,
 }
@@ -98,8 +98,8 @@
         self.known.retain(|address, _| addresses.contains(address));
         let timers = BalancerTimers {
             unreachable_at: now,
-            probe_at: now,
-            idle_probe_at: now,
+            next_probe: now,
+            next_idle_probe: now,
             lost_at: None,
         };
         for &address in addresses {
@@ -111,8 +111,8 @@
     pub fn note_datagram(&mut self, now: Instant, from: SocketAddr) {
         if let Some(timers) = self.known.get_mut(&from) {
             timers.unreachable_at = now + UNREACHABLE_TIMEOUT;
-            timers.probe_at = now + KEEPALIVE_PROBE_DELAY;
-            timers.idle_probe_at = now + IDLE_PROBE_INTERVAL;
+            timers.next_probe = now + KEEPALIVE_PROBE_DELAY;
+            timers.next_idle_probe = now + IDLE_PROBE_INTERVAL;
             timers.lost_at = None;
         }
     }
@@ -141,15 +141,15 @@
 
     /// Returns the balancers to probe now and restarts their timers.
     pub fn due_probes(&mut self, now: Instant) -> BTreeSet<SocketAddr> {
-        let idle_due = self.known.iter().filter(|(_, d)| d.idle_probe_at <= now);
+        let idle_due = self.known.iter().filter(|(_, d)| d.next_idle_probe <= now);
         let mut due: BTreeSet<_> = idle_due.map(|(&address, _)| address).collect();
         if self.active_until.is_some_and(|until| now < until) {
             due.extend(self.keepalive_probes(now));
         }
         for address in &due {
             if let Some(timers) = self.known.get_mut(address) {
-                timers.probe_at = now + KEEPALIVE_PROBE_DELAY;
-                timers.idle_probe_at = now + IDLE_PROBE_INTERVAL;
+                timers.next_probe = now + KEEPALIVE_PROBE_DELAY;
+                timers.next_idle_probe = now + IDLE_PROBE_INTERVAL;
                 timers.lost_at.get_or_insert(now + PROBE_TIMEOUT);
             }
         }
@@ -160,12 +160,12 @@
     /// reachable ones before unreachable ones, then by the time of the last
     /// datagram or probe, oldest first.
     fn keepalive_probes(&self, now: Instant) -> Vec<SocketAddr> {
-        let recent_count = self.known.values().filter(|d| now < d.probe_at).count();
+        let recent_count = self.known.values().filter(|d| now < d.next_probe).count();
         let mut candidates: Vec<_> = self
             .known
             .iter()
-            .filter(|(_, d)| d.probe_at <= now)
-            .map(|(&address, d)| (d.is_unreachable(now), d.probe_at, address))
+            .filter(|(_, d)| d.next_probe <= now)
+            .map(|(&address, d)| (d.is_unreachable(now), d.next_probe, address))
             .collect();
         candidates.sort_unstable();
         let missing = MIN_REACHABLE_BALANCERS.saturating_sub(recent_count);
@@ -176,8 +176,8 @@
     /// When the next probe is due.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Instant> {
-        let next_idle_probe = self.known.values().map(|d| d.idle_probe_at).min()?;
-        let mut probe_times: Vec<_> = self.known.values().map(|d| d.probe_at).collect();
+        let earliest_idle_probe = self.known.values().map(|d| d.next_idle_probe).min()?;
+        let mut probe_times: Vec<_> = self.known.values().map(|d| d.next_probe).collect();
         probe_times.sort_unstable_by(|a, b| b.cmp(a));
         // From this instant on, fewer than the minimum have a recent datagram or
         // probe.
@@ -188,8 +188,8 @@
         let keepalive_probe_at =
             keepalive_probe_at.filter(|at| self.active_until.is_some_and(|until| *at < until));
         Some(
-            keepalive_probe_at.map_or(next_idle_probe, |keepalive_probe_at| {
-                next_idle_probe.min(keepalive_probe_at)
+            keepalive_probe_at.map_or(earliest_idle_probe, |keepalive_probe_at| {
+                earliest_idle_probe.min(keepalive_probe_at)
             }),
         )
     }
--- a/crates/agent/src/process/load.rs
+++ b/crates/agent/src/process/load.rs
@@ -57,7 +57,7 @@
                 Ok(Some(report)) => self.send_report(report),
                 // Admission drops a report that is not renewed in time.
                 Ok(None) | Err(_) => {
-                    log::debug!(event = "load_report_failed"; "could not fetch the upstream's load report")
+                    log::debug!(event = "load_report_failed"; "could not fetch the upstream's load report");
                 }
             }
             sleep_until(fetch_at.into()).await;
--- a/crates/agent/src/process/node.rs
+++ b/crates/agent/src/process/node.rs
@@ -33,7 +33,7 @@
     /// The admission task.
     pub admission: AdmissionHandle,
     /// The task that stores responses by idempotency key.
-    pub keys: IdempotencyHandle,
+    pub idempotency: IdempotencyHandle,
     /// The datagram task.
     pub datagrams: mpsc::Sender<DatagramCommand>,
     /// State of the service, read by request handlers.
@@ -71,7 +71,7 @@
                         continue;
                     }
                     Some(Step::Confirmed(started_at)) => {
-                        self.keys.send(IdempotencyCommand::VersionConfirmed(started_at));
+                        self.idempotency.send(IdempotencyCommand::VersionConfirmed(started_at));
                         continue;
                     }
                     None => return,
@@ -99,7 +99,7 @@
             self.cid_config.send_replace(Some(CidConfig { codec, tag }));
         }
         self.service.send_replace(service.clone());
-        self.keys
+        self.idempotency
             .send(IdempotencyCommand::Configure(service.clone()));
         let datagrams = DatagramConfig {
             service,
--- a/crates/agent/src/process/peer.rs
+++ b/crates/agent/src/process/peer.rs
@@ -64,7 +64,7 @@
 #[derive(Clone)]
 pub struct PeerContext {
     admission: AdmissionHandle,
-    keys: IdempotencyHandle,
+    idempotency: IdempotencyHandle,
     request_ids: RequestIdGenerator,
     own_id: UpstreamId,
     upstream_address: SocketAddr,
@@ -78,7 +78,7 @@
     pub fn new(own_id: UpstreamId, cx: &RequestContext) -> Self {
         PeerContext {
             admission: cx.admission.clone(),
-            keys: cx.keys.clone(),
+            idempotency: cx.idempotency.clone(),
             request_ids: cx.request_ids.clone(),
             own_id,
             upstream_address: cx.upstream_address,
@@ -158,14 +158,14 @@
     let Ok(req) = wire::decode::<BeginRequest>(&body) else {
         return HttpResponse::BadRequest().finish();
     };
-    encode_reply(&cx.keys.begin(req).await)
+    encode_reply(&cx.idempotency.begin(req).await)
 }
 
 async fn end(cx: web::Data<PeerContext>, body: Bytes) -> HttpResponse {
     let Ok(req) = wire::decode::<EndRequest>(&body) else {
         return HttpResponse::BadRequest().finish();
     };
-    cx.keys.send(IdempotencyCommand::End(req));
+    cx.idempotency.send(IdempotencyCommand::End(req));
     encode_reply(&())
 }
 
--- a/crates/agent/src/process/run.rs
+++ b/crates/agent/src/process/run.rs
@@ -122,7 +122,7 @@
     );
 
     let (admission, admission_rx) = AdmissionHandle::channel();
-    let (keys, keys_rx) = IdempotencyHandle::channel();
+    let (idempotency, idempotency_rx) = IdempotencyHandle::channel();
     let (datagram_tx, datagram_rx) = mpsc::channel(COMMAND_QUEUE_LEN);
     let (inbound_tx, inbound_rx) = mpsc::channel(PACKET_QUEUE_LEN);
     let (outbound_tx, outbound_rx) = mpsc::channel(PACKET_QUEUE_LEN);
@@ -139,7 +139,7 @@
         request_ids: RequestIdGenerator::default(),
         upstream_address: cfg.upstream_address,
         service,
-        keys: keys.clone(),
+        idempotency: idempotency.clone(),
         metrics: metrics.clone(),
         credentials: cfg.credentials.clone(),
     };
@@ -154,7 +154,7 @@
         steps: step_rx,
         report: report_tx,
         admission: admission.clone(),
-        keys: keys.clone(),
+        idempotency: idempotency.clone(),
         datagrams: datagram_tx,
         service: service_tx,
         cid_config: cid_config_tx,
@@ -163,7 +163,13 @@
         ready_since: None,
     };
     let dedup_settings = dedup::Settings::default();
-    let keys_task = IdempotencyTask::new(dedup_settings, own_id, http.clone(), keys, keys_rx);
+    let idempotency_task = IdempotencyTask::new(
+        dedup_settings,
+        own_id,
+        http.clone(),
+        idempotency,
+        idempotency_rx,
+    );
     let admission_task =
         AdmissionTask::new(cfg, own_id, http.clone(), admission.clone(), admission_rx);
     let datagram_task =
@@ -173,7 +179,7 @@
         actix_rt::spawn(sync_task.run()),
         actix_rt::spawn(node.run()),
         actix_rt::spawn(admission_task.run()),
-        actix_rt::spawn(keys_task.run()),
+        actix_rt::spawn(idempotency_task.run()),
         actix_rt::spawn(datagram_task.run()),
         actix_rt::spawn(async move {
             let _ = server.await;
--- a/crates/agent/src/request/handle.rs
+++ b/crates/agent/src/request/handle.rs
@@ -52,7 +52,7 @@
     /// State of the service; `None` while it is not configured.
     pub service: watch::Receiver<Option<ServiceState>>,
     /// The task that stores responses by idempotency key.
-    pub keys: IdempotencyHandle,
+    pub idempotency: IdempotencyHandle,
     /// Metrics of the agent.
     pub metrics: Metrics,
     /// Certificates for mutual TLS with peers; `None` means plain HTTP.
--- a/crates/agent/src/request/idempotency.rs
+++ b/crates/agent/src/request/idempotency.rs
@@ -59,12 +59,12 @@
     let attempt = rand::rng().random();
     let HomeReply { home, begin } = caller_request
         .cx
-        .keys
+        .idempotency
         .query_home(key, fingerprint, attempt)
         .await;
     match (begin, home) {
         (BeginReply::Run, Some(home)) => {
-            let key_permit = KeyPermit::new(key, home, caller_request.cx.keys.clone());
+            let key_permit = KeyPermit::new(key, home, caller_request.cx.idempotency.clone());
             let (tx, rx) = mpsc::channel(EVENT_QUEUE_LEN);
             // The request runs in its own task and continues when the caller
             // disconnects, because the caller may retry for the result.
@@ -99,7 +99,7 @@
                 &mut key_permit,
                 &tx,
             )
-            .await
+            .await;
         }
         Err(request_failure) => {
             if matches!(request_failure, RequestFailure::NotRun(_)) {
--- a/crates/agent/src/request/key_permit.rs
+++ b/crates/agent/src/request/key_permit.rs
@@ -15,18 +15,18 @@
     key: IdempotencyKey,
     home: UpstreamId,
     end: KeyedOutcome,
-    keys: IdempotencyHandle,
+    idempotency: IdempotencyHandle,
 }
 
 impl KeyPermit {
     /// Creates a permit for a request that has not been sent yet.
     #[must_use]
-    pub fn new(key: IdempotencyKey, home: UpstreamId, keys: IdempotencyHandle) -> Self {
+    pub fn new(key: IdempotencyKey, home: UpstreamId, idempotency: IdempotencyHandle) -> Self {
         KeyPermit {
             key,
             home,
             end: KeyedOutcome::NotRun,
-            keys,
+            idempotency,
         }
     }
 
@@ -38,10 +38,11 @@
 
 impl Drop for KeyPermit {
     fn drop(&mut self) {
-        self.keys.send(IdempotencyCommand::ReportEnd(EndRequest {
-            home: self.home,
-            key: self.key,
-            end: self.end.clone(),
-        }));
+        self.idempotency
+            .send(IdempotencyCommand::ReportEnd(EndRequest {
+                home: self.home,
+                key: self.key,
+                end: self.end.clone(),
+            }));
     }
 }
