--- a/crates/bench/src/bin/requests.rs
+++ b/crates/bench/src/bin/requests.rs
@@ -32,7 +32,7 @@
 
 const SEEDS: [u64; 3] = [1, 2, 3];
 
-/// BalancerTracker and upstreams of a site.
+/// Balancers and upstreams of a site.
 const BALANCERS: u8 = 4;
 const UPSTREAMS: u8 = 2;
 
