--- a/crates/agent/src/connection/accept.rs
+++ b/crates/agent/src/connection/accept.rs
@@ -1,4 +1,4 @@
-//! The task that accepts connections.
+//! The task that accepts QUIC connections.
 
 use std::time::Duration;
 
@@ -12,50 +12,49 @@
     request::RequestContext,
 };
 
-/// Handshakes under way from which on a caller must first show that it
-/// receives at its address (RFC 9000, section 8.1.2).
+/// Number of pending handshakes from which on a caller must validate its address
+/// with a Retry packet (RFC 9000, section 8.1.2).
 const HANDSHAKES_BEFORE_RETRY: usize = 256;
 
-/// Handshakes under way from which on first packets are dropped.
-const MAX_HANDSHAKES: usize = 4096;
+/// Number of pending handshakes from which on Initial packets are dropped.
+const MAX_PENDING_HANDSHAKES: usize = 4096;
 
-/// Longest time for a handshake.
-const HANDSHAKE: Duration = Duration::from_secs(10);
+/// Timeout of a handshake.
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What becomes of a first packet, before the limit of connections is looked
-/// at.
+/// How to respond to an Initial packet, before the connection limit is checked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum FirstPacket {
-    /// A handshake may begin.
-    Admit,
-    /// The caller must first show that it receives at its address.
+pub enum HandshakeDecision {
+    /// Start the handshake.
+    Accept,
+    /// Send a Retry packet, so that the caller validates its address.
     Retry,
-    /// It is dropped without an answer.
+    /// Drop the packet without a response.
     Ignore,
 }
 
-impl FirstPacket {
-    /// Decides by the number of handshakes under way. `may_retry` says that the
+impl HandshakeDecision {
+    /// Decides by the number of pending handshakes. `may_retry` is true if the
     /// caller's address is not validated yet.
     #[must_use]
-    pub fn judge(handshakes: usize, may_retry: bool) -> Self {
-        if handshakes >= MAX_HANDSHAKES {
-            FirstPacket::Ignore
+    pub fn decide(handshakes: usize, may_retry: bool) -> Self {
+        if handshakes >= MAX_PENDING_HANDSHAKES {
+            HandshakeDecision::Ignore
         } else if handshakes >= HANDSHAKES_BEFORE_RETRY && may_retry {
-            FirstPacket::Retry
+            HandshakeDecision::Retry
         } else {
-            FirstPacket::Admit
+            HandshakeDecision::Accept
         }
     }
 }
 
-/// The task that accepts connections and owns their tasks.
+/// Accepts connections and owns their tasks.
 pub struct AcceptTask {
     endpoint: Endpoint,
     cx: RequestContext,
-    /// Whether the agent leaves.
+    /// Whether the agent is draining.
     leaving: watch::Receiver<bool>,
-    /// Whether the process is to end once it is empty.
+    /// Whether the process is to stop once all connections have closed.
     stop: watch::Receiver<bool>,
     connections: JoinSet<()>,
 }
@@ -78,7 +77,7 @@
         }
     }
 
-    /// Runs until the process is to end and every connection has ended.
+    /// Runs until a stop is requested and all connections have closed.
     pub async fn run(mut self) {
         let mut handshakes = FuturesUnordered::new();
         let mut stop = self.stop.clone();
@@ -89,12 +88,12 @@
             tokio::select! {
                 incoming = self.endpoint.accept() => {
                     let Some(incoming) = incoming else { return };
-                    if let Some(connecting) = self.admit(incoming, handshakes.len()).await {
-                        handshakes.push(timeout(HANDSHAKE, connecting));
+                    if let Some(connecting) = self.accept_handshake(incoming, handshakes.len()).await {
+                        handshakes.push(timeout(HANDSHAKE_TIMEOUT, connecting));
                     }
                 }
-                Some(done) = handshakes.next() => match done {
-                    Ok(Ok(connection)) => self.start(connection),
+                Some(finished) = handshakes.next() => match finished {
+                    Ok(Ok(connection)) => self.spawn_connection(connection),
                     _ => self.cx.admission.send(AdmissionCommand::CloseConnection),
                 },
                 Some(_) = self.connections.join_next() => {}
@@ -103,21 +102,21 @@
         }
     }
 
-    /// Decides about a first packet.
-    async fn admit(&self, incoming: Incoming, handshakes: usize) -> Option<Connecting> {
-        match FirstPacket::judge(handshakes, incoming.may_retry()) {
-            FirstPacket::Ignore => {
+    /// Starts the handshake of an incoming connection, or rejects it.
+    async fn accept_handshake(&self, incoming: Incoming, handshakes: usize) -> Option<Connecting> {
+        match HandshakeDecision::decide(handshakes, incoming.may_retry()) {
+            HandshakeDecision::Ignore => {
                 self.count_refused("handshakes");
                 incoming.ignore();
                 return None;
             }
-            FirstPacket::Retry => {
+            HandshakeDecision::Retry => {
                 self.count_refused("retry");
-                // Fails only if the address is validated, which was checked.
+                // Fails only if the address is already validated; `may_retry` was checked.
                 let _ = incoming.retry();
                 return None;
             }
-            FirstPacket::Admit => {}
+            HandshakeDecision::Accept => {}
         }
         if !self.open_connection().await {
             self.count_refused("limit");
@@ -134,19 +133,19 @@
 
     async fn open_connection(&self) -> bool {
         let admission: &AdmissionHandle = &self.cx.admission;
-        let may = admission.ask(AdmissionCommand::OpenConnection).await;
-        may.unwrap_or(false)
+        let accepted = admission.ask(AdmissionCommand::OpenConnection).await;
+        accepted.unwrap_or(false)
     }
 
-    fn start(&mut self, connection: Connection) {
+    fn spawn_connection(&mut self, connection: Connection) {
         let cx = self.cx.clone();
         let leaving = self.leaving.clone();
         self.connections.spawn_local(async move {
-            let gauge = cx.metrics.connections.clone();
+            let open_connections = cx.metrics.open_connections.clone();
             let admission = cx.admission.clone();
-            gauge.inc();
+            open_connections.inc();
             serve(cx, connection, leaving).await;
-            gauge.dec();
+            open_connections.dec();
             admission.send(AdmissionCommand::CloseConnection);
         });
     }
--- a/crates/agent/src/process/keys.rs
+++ b/crates/agent/src/process/keys.rs
@@ -1,4 +1,4 @@
-//! The task that owns the results kept under idempotency keys.
+//! The task that stores responses by idempotency key.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -13,141 +13,146 @@
 use types::{ServiceId, ServiceState, UnixMillis, UpstreamId};
 use wire::request::{BeginRequest, EndRequest};
 
-/// Path on which a home is asked.
+/// Path of the request to a key's home for permission to run a request.
 pub const BEGIN_PATH: &str = "/v1/begin";
 
-/// Path on which a home is told how a request has ended.
+/// Path on which the outcome of a request is reported to the key's home.
 pub const END_PATH: &str = "/v1/end";
 
-/// Time for a home to answer. Several times the delay between data centres, so
-/// that a lost packet fits in.
-const HOME_ANSWER: Duration = Duration::from_millis(150);
+/// Timeout for a reply of a home. It is several times the delay between data
+/// centres, which allows for one retransmission.
+const HOME_REPLY_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Times that a home is asked or told before it is given up.
-const TRIES: u32 = 3;
+/// Limit of attempts to query a home or to report an outcome to it.
+const MAX_HOME_ATTEMPTS: u32 = 3;
 
-/// Pause before the next try. A home that has changed is known by then.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Delay before the next attempt. A change of the home is known by then.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// A request of this agent that asks its key's home.
+/// A query to the home of a key, whether a request may run.
 #[derive(Debug)]
-pub struct Ask {
+pub struct HomeQuery {
     /// The key.
     pub key: IdempotencyKey,
-    /// What the request asks.
+    /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
     /// Random number of the attempt.
     pub attempt: u64,
-    /// Times that a home was asked.
-    pub tries: u32,
-    /// Whoever waits.
-    pub tx: oneshot::Sender<Asked>,
+    /// Number of queries that were sent so far.
+    pub query_count: u32,
+    /// Channel for the reply.
+    pub tx: oneshot::Sender<HomeReply>,
 }
 
-/// Answer to an [`Ask`].
+/// Reply to a [`HomeQuery`].
 #[derive(Debug)]
-pub struct Asked {
-    /// The home that answered; none if no home did.
+pub struct HomeReply {
+    /// The home that replied; `None` if no home did.
     pub home: Option<UpstreamId>,
-    /// Its answer; [`BeginReply::Indeterminate`] if no home answered.
+    /// Its reply; [`BeginReply::Indeterminate`] if no home replied.
     pub begin: BeginReply,
 }
 
-impl Asked {
-    const UNANSWERED: Asked = Asked {
+impl HomeReply {
+    const NO_ANSWER: HomeReply = HomeReply {
         home: None,
         begin: BeginReply::Indeterminate,
     };
 }
 
-/// A message to the task.
+/// A command to the idempotency task.
 #[derive(Debug)]
-pub enum KeysCommand {
+pub enum IdempotencyCommand {
     /// A new version is in force.
-    View(Option<ServiceState>),
-    /// The version in force was current when an exchange began that the
-    /// control group has confirmed.
-    Confirmed(Instant),
-    /// A request of this agent asks its key's home.
-    Ask(Ask),
-    /// A request of this agent that a home has let run has ended.
-    Report(EndRequest),
-    /// A peer asks this agent as a home.
+    Configure(Option<ServiceState>),
+    /// The control group confirmed that the version in force was current when a
+    /// sync started at this instant.
+    VersionConfirmed(Instant),
+    /// Queries the home of a key for a request of this agent.
+    QueryHome(HomeQuery),
+    /// Reports the outcome of a request of this agent to the key's home.
+    ReportEnd(EndRequest),
+    /// A peer queries this agent as the home of a key.
     Begin(BeginRequest, oneshot::Sender<BeginReply>),
-    /// A peer tells this agent as a home.
+    /// A peer reports an outcome to this agent as the home of a key.
     End(EndRequest),
 }
 
-/// Sends commands to the task.
+/// Sends commands to the idempotency task.
 ///
-/// The channel is unbounded, because the end of a request must be noted
-/// whatever waits; each request sends a fixed number of commands.
+/// The channel is unbounded, because the outcome of a request must be recorded
+/// even if the queue is long; each request sends a fixed number of commands.
 #[derive(Debug, Clone)]
-pub struct KeysHandle {
-    tx: mpsc::UnboundedSender<KeysCommand>,
+pub struct IdempotencyHandle {
+    tx: mpsc::UnboundedSender<IdempotencyCommand>,
 }
 
-impl KeysHandle {
-    /// Creates the handle and the task's end.
+impl IdempotencyHandle {
+    /// Creates a handle and the receiver of the task.
     #[must_use]
-    pub fn channel() -> (Self, mpsc::UnboundedReceiver<KeysCommand>) {
+    pub fn channel() -> (Self, mpsc::UnboundedReceiver<IdempotencyCommand>) {
         let (tx, rx) = mpsc::unbounded_channel();
-        (KeysHandle { tx }, rx)
+        (IdempotencyHandle { tx }, rx)
     }
 
     /// Sends a command. Does nothing once the task has ended.
-    pub fn send(&self, command: KeysCommand) {
+    pub fn send(&self, command: IdempotencyCommand) {
         let _ = self.tx.send(command);
     }
 
-    /// Asks the home of a key whether a request may run.
-    pub async fn ask(&self, key: IdempotencyKey, fingerprint: Fingerprint, attempt: u64) -> Asked {
+    /// Queries the home of a key whether a request may run.
+    pub async fn query_home(
+        &self,
+        key: IdempotencyKey,
+        fingerprint: Fingerprint,
+        attempt: u64,
+    ) -> HomeReply {
         let (tx, rx) = oneshot::channel();
-        self.send(KeysCommand::Ask(Ask {
+        self.send(IdempotencyCommand::QueryHome(HomeQuery {
             key,
             fingerprint,
             attempt,
-            tries: 0,
+            query_count: 0,
             tx,
         }));
-        rx.await.unwrap_or(Asked::UNANSWERED)
+        rx.await.unwrap_or(HomeReply::NO_ANSWER)
     }
 
-    /// Answers a peer that asks this agent as a home.
+    /// Handles the query of a peer to this agent as the home of a key.
     pub async fn begin(&self, req: BeginRequest) -> BeginReply {
         let (tx, rx) = oneshot::channel();
-        self.send(KeysCommand::Begin(req, tx));
+        self.send(IdempotencyCommand::Begin(req, tx));
         rx.await.unwrap_or(BeginReply::NotHome)
     }
 }
 
-/// The task that owns the results kept under idempotency keys.
-pub struct KeysTask {
-    own: UpstreamId,
+/// Stores responses by idempotency key, and queries the homes of keys.
+pub struct IdempotencyTask {
+    own_id: UpstreamId,
     home: Home,
     service: Option<ServiceId>,
     /// Members of the service in the version in force.
     members: BTreeSet<UpstreamId>,
-    /// Where the other members take requests.
+    /// Addresses on which the members accept requests of peers.
     peers: BTreeMap<UpstreamId, SocketAddr>,
     http: Http,
-    handle: KeysHandle,
-    rx: mpsc::UnboundedReceiver<KeysCommand>,
+    handle: IdempotencyHandle,
+    rx: mpsc::UnboundedReceiver<IdempotencyCommand>,
 }
 
-impl KeysTask {
+impl IdempotencyTask {
     /// Creates the task.
     #[must_use]
     pub fn new(
         settings: Settings,
-        own: UpstreamId,
+        own_id: UpstreamId,
         http: Http,
-        handle: KeysHandle,
-        rx: mpsc::UnboundedReceiver<KeysCommand>,
+        handle: IdempotencyHandle,
+        rx: mpsc::UnboundedReceiver<IdempotencyCommand>,
     ) -> Self {
-        KeysTask {
-            own,
-            home: Home::new(settings, own),
+        IdempotencyTask {
+            own_id,
+            home: Home::new(settings, own_id),
             service: None,
             members: BTreeSet::new(),
             peers: BTreeMap::new(),
@@ -161,20 +166,21 @@
     pub async fn run(mut self) {
         while let Some(command) = self.rx.recv().await {
             match command {
-                KeysCommand::View(service) => self.apply(service),
-                KeysCommand::Confirmed(began) => {
-                    self.home.confirm_members(began, unix_now(), &self.members);
+                IdempotencyCommand::Configure(service) => self.apply(service),
+                IdempotencyCommand::VersionConfirmed(started_at) => {
+                    self.home
+                        .confirm_members(started_at, unix_now(), &self.members);
                 }
-                KeysCommand::Ask(ask) => self.ask(ask),
-                KeysCommand::Report(req) => self.report(req),
-                KeysCommand::Begin(req, tx) => {
-                    // The peer may be gone; its record then waits for its end.
+                IdempotencyCommand::QueryHome(query) => self.query_home(query),
+                IdempotencyCommand::ReportEnd(req) => self.report_end(req),
+                IdempotencyCommand::Begin(req, tx) => {
+                    // If the peer is gone, its record waits for the outcome report.
                     let _ = tx.send(self.begin(&req));
                 }
-                KeysCommand::End(req) if req.home == self.own => {
+                IdempotencyCommand::End(req) if req.home == self.own_id => {
                     self.home.end(unix_now(), req.key, req.end);
                 }
-                KeysCommand::End(_) => {}
+                IdempotencyCommand::End(_) => {}
             }
         }
     }
@@ -189,41 +195,41 @@
             .collect();
     }
 
-    fn ask(&mut self, ask: Ask) {
-        let (Some(service), Some(home)) = (self.service, home_of(ask.key, &self.members)) else {
-            // Whoever waited may be gone.
-            let _ = ask.tx.send(Asked::UNANSWERED);
+    fn query_home(&mut self, query: HomeQuery) {
+        let (Some(service), Some(home)) = (self.service, home_of(query.key, &self.members)) else {
+            // The request may have been cancelled.
+            let _ = query.tx.send(HomeReply::NO_ANSWER);
             return;
         };
         let req = BeginRequest {
             service,
             home,
-            key: ask.key,
-            fingerprint: ask.fingerprint,
+            key: query.key,
+            fingerprint: query.fingerprint,
             from: AttemptId {
-                upstream: self.own,
-                attempt: ask.attempt,
+                upstream: self.own_id,
+                attempt: query.attempt,
             },
         };
-        if home == self.own {
+        if home == self.own_id {
             let begin = self.begin(&req);
-            return answer(&self.handle, ask, home, begin);
+            return resolve_query(&self.handle, query, home, begin);
         }
         let Some(&address) = self.peers.get(&home) else {
-            return answer(&self.handle, ask, home, BeginReply::NotHome);
+            return resolve_query(&self.handle, query, home, BeginReply::NotHome);
         };
         let (http, handle) = (self.http.clone(), self.handle.clone());
         actix_rt::spawn(async move {
-            let deadline = Instant::now() + HOME_ANSWER;
+            let deadline = Instant::now() + HOME_REPLY_TIMEOUT;
             let begin = http.post(address, BEGIN_PATH, &req, deadline).await;
-            // A home that does not answer may have noted the attempt; asking
-            // again as the same attempt is harmless.
-            answer(&handle, ask, home, begin.unwrap_or(BeginReply::NotHome));
+            // A home that does not reply may have recorded the attempt. Querying
+            // again with the same attempt id is idempotent.
+            resolve_query(&handle, query, home, begin.unwrap_or(BeginReply::NotHome));
         });
     }
 
     fn begin(&mut self, req: &BeginRequest) -> BeginReply {
-        if req.home != self.own || Some(req.service) != self.service {
+        if req.home != self.own_id || Some(req.service) != self.service {
             return BeginReply::NotHome;
         }
         let (now, date) = (Instant::now(), unix_now());
@@ -231,8 +237,8 @@
             .begin(now, date, req.key, req.fingerprint, req.from)
     }
 
-    fn report(&mut self, req: EndRequest) {
-        if req.home == self.own {
+    fn report_end(&mut self, req: EndRequest) {
+        if req.home == self.own_id {
             return self.home.end(unix_now(), req.key, req.end);
         }
         let Some(&address) = self.peers.get(&req.home) else {
@@ -240,34 +246,40 @@
         };
         let http = self.http.clone();
         actix_rt::spawn(async move {
-            for _ in 0..TRIES {
-                let deadline = Instant::now() + HOME_ANSWER;
-                let told: client::Result<()> = http.post(address, END_PATH, &req, deadline).await;
-                if told.is_ok() {
+            for _ in 0..MAX_HOME_ATTEMPTS {
+                let deadline = Instant::now() + HOME_REPLY_TIMEOUT;
+                let result: client::Result<()> = http.post(address, END_PATH, &req, deadline).await;
+                if result.is_ok() {
                     return;
                 }
-                sleep(PAUSE).await;
+                sleep(RETRY_DELAY).await;
             }
             // The key stays in progress until this agent's lease ends.
-            log::warn!(event = "end_not_reported", key:% = req.key; "the key's home does not answer");
+            log::warn!(event = "end_not_reported", key:% = req.key; "the outcome was not reported: the key's home does not reply");
         });
     }
 }
 
-/// Answers whoever waits, or asks again if no home has answered.
-fn answer(handle: &KeysHandle, mut ask: Ask, home: UpstreamId, begin: BeginReply) {
-    ask.tries += 1;
-    // Whoever waits may be gone.
+/// Sends the reply to the request, or repeats the query if the home did not
+/// reply.
+fn resolve_query(
+    handle: &IdempotencyHandle,
+    mut query: HomeQuery,
+    home: UpstreamId,
+    begin: BeginReply,
+) {
+    query.query_count += 1;
+    // The request may have been cancelled.
     if begin != BeginReply::NotHome {
         let home = Some(home);
-        let _ = ask.tx.send(Asked { home, begin });
-    } else if ask.tries >= TRIES {
-        let _ = ask.tx.send(Asked::UNANSWERED);
+        let _ = query.tx.send(HomeReply { home, begin });
+    } else if query.query_count >= MAX_HOME_ATTEMPTS {
+        let _ = query.tx.send(HomeReply::NO_ANSWER);
     } else {
         let handle = handle.clone();
         actix_rt::spawn(async move {
-            sleep(PAUSE).await;
-            handle.send(KeysCommand::Ask(ask));
+            sleep(RETRY_DELAY).await;
+            handle.send(IdempotencyCommand::QueryHome(query));
         });
     }
 }
--- a/crates/agent/src/process/mod.rs
+++ b/crates/agent/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as the agent.
+//! State and tasks that live as long as the agent process.
 
 mod admission;
 mod balancers;
@@ -6,23 +6,23 @@
 mod commands;
 mod datagram;
 mod endpoint;
+mod endpoint_socket;
 mod keys;
 mod load;
 mod metrics;
 mod node;
-mod openers;
+mod packet_router;
 mod peer;
-mod placement;
-mod port;
+mod recent_flows;
 mod run;
 mod settings;
 
 pub use balancers::{AnyKnown, BalancerPolicy, BalancerTracker, ReachableOnly};
 pub use certificate::ServiceCertificate;
-pub use commands::{AdmissionCommand, AdmissionHandle, Grant};
-pub use keys::{Asked, KeysCommand, KeysHandle};
+pub use commands::{AdmissionCommand, AdmissionHandle, AdmissionReply};
+pub use keys::{HomeReply, IdempotencyCommand, IdempotencyHandle};
 pub use metrics::Metrics;
-pub use openers::Openers;
-pub use placement::{Placement, Placements};
+pub use packet_router::{PacketDecision, PacketRouter};
+pub use recent_flows::RecentFlows;
 pub use run::{run, run_with_policy};
 pub use settings::Settings;
