--- a/crates/bench/src/bin/relay.rs
+++ b/crates/bench/src/bin/relay.rs
@@ -58,7 +58,7 @@
         })
     }
 
-    fn head<'a>(&self, datagram: &'a [u8]) -> &'a [u8] {
+    fn header<'a>(&self, datagram: &'a [u8]) -> &'a [u8] {
         &datagram[..5]
     }
 
--- a/crates/relay/src/connection/codec.rs
+++ b/crates/relay/src/connection/codec.rs
@@ -9,7 +9,7 @@
     fn parse(&self, datagram: &[u8]) -> Option<Segment>;
 
     /// The part of a datagram that [`parse`](Codec::parse) needs.
-    fn head<'a>(&self, datagram: &'a [u8]) -> &'a [u8];
+    fn header<'a>(&self, datagram: &'a [u8]) -> &'a [u8];
 
     /// Takes back the mark of a datagram that an upstream returned.
     fn clear_bounce(&self, datagram: &mut [u8]);
--- a/crates/relay/src/process/balancer.rs
+++ b/crates/relay/src/process/balancer.rs
@@ -208,7 +208,7 @@
     }
 
     async fn ask(&mut self, payload: &Bytes, agents: Vec<(SocketAddrV4, ServiceName)>) {
-        let head = Bytes::copy_from_slice(self.codec.head(payload));
+        let head = Bytes::copy_from_slice(self.codec.header(payload));
         for (agent, service) in agents {
             let tag = ServiceTag::of(&service);
             let head = head.clone();
