--- a/crates/relay/src/connection/codec.rs
+++ b/crates/relay/src/connection/codec.rs
@@ -3,17 +3,17 @@
 use bytes::Bytes;
 use flow::Segment;
 
-/// Reads and writes the datagrams of the callers' protocol.
+/// Parses and writes the datagrams of the callers' protocol.
 pub trait Codec: Clone + 'static {
-    /// Reads the header; `None` if the datagram is not of the protocol.
+    /// Parses the header. Returns `None` if the datagram is malformed.
     fn parse(&self, datagram: &[u8]) -> Option<Segment>;
 
-    /// The part of a datagram that [`parse`](Codec::parse) needs.
+    /// The leading bytes of a datagram that [`parse`](Codec::parse) reads.
     fn header<'a>(&self, datagram: &'a [u8]) -> &'a [u8];
 
-    /// Takes back the mark of a datagram that an upstream returned.
+    /// Clears the flag that an upstream sets in a datagram that it returns.
     fn clear_bounce(&self, datagram: &mut [u8]);
 
-    /// A datagram that breaks off the flow of a caller's datagram.
+    /// A datagram that resets the flow of a caller's datagram.
     fn reset(&self, seg: &Segment) -> Bytes;
 }
--- a/crates/relay/src/connection/message.rs
+++ b/crates/relay/src/connection/message.rs
@@ -8,13 +8,13 @@
 use twox_hash::XxHash64;
 use types::{DataCentre, ServiceName, Slots, UpstreamId};
 
-/// Names the service that a datagram is for. An agent of another service, at an
-/// address that was used before, does not take it.
+/// Hash of the name of the service that a datagram is for. An address may be
+/// reused by an agent of another service, which rejects the datagram by its tag.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceTag(pub u32);
 
 impl ServiceTag {
-    /// The tag of a service.
+    /// Computes the tag of a service.
     #[must_use]
     pub fn of(service: &ServiceName) -> Self {
         let hash = XxHash64::oneshot(0, service.as_str().as_bytes());
@@ -22,53 +22,56 @@
     }
 }
 
-/// A message between balancers and agents, one to a datagram.
+/// A message between balancers and agents. Each message is sent in one datagram.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// A datagram of a caller.
+    /// Forwards a datagram of a caller.
     Datagram {
-        /// The service that it is for.
+        /// The destination service.
         tag: ServiceTag,
-        /// How it came here.
+        /// Why the datagram was sent to this agent.
         origin: Origin,
-        /// The balancer that took it from the caller.
+        /// The balancer that received it from the caller.
         via: SocketAddrV4,
-        /// Agents that did not take it.
-        declined: Vec<SocketAddrV4>,
-        /// The datagram.
+        /// Agents that declined it.
+        declined_by: Vec<SocketAddrV4>,
+        /// The caller's datagram.
         payload: Bytes,
     },
-    /// The sender does not hold the flow of a datagram that it was sent.
+    /// Returns a datagram whose flow the sender does not hold.
     NotHeld {
-        /// The datagram.
+        /// The caller's datagram.
         payload: Bytes,
     },
-    /// Asks an agent whether it holds a flow.
-    Ask {
-        /// The service that the flow belongs to.
+    /// Queries whether an agent holds a flow.
+    #[serde(rename = "Ask")]
+    ClaimQuery {
+        /// The service of the flow.
         tag: ServiceTag,
-        /// The head of a datagram of the flow.
-        head: Bytes,
+        /// The header of a datagram of the flow.
+        header: Bytes,
     },
-    /// Answers [`Message::Ask`].
+    /// Reply to [`Message::ClaimQuery`].
     Claim {
         /// The flow.
         key: FlowTuple,
-        /// The answer.
+        /// Whether the sender holds the flow.
         claim: Claim,
     },
-    /// The sender has taken a flow that was not placed at it.
-    Taken {
+    /// Reports that the sender holds a flow that the balancer did not place at it.
+    #[serde(rename = "Taken")]
+    FlowTaken {
         /// The flow.
         key: FlowTuple,
         /// The sender's service.
         service: ServiceName,
     },
-    /// An agent tells its state.
+    /// State of an agent, sent when it changes and as a heartbeat.
     Report(AgentReport),
-    /// An agent tells a balancer that has started, or that takes over from
-    /// another one, which flows it holds.
-    Holds {
+    /// Lists flows that the sender holds, for a balancer that has started or that
+    /// takes over the flows of another one.
+    #[serde(rename = "Holds")]
+    HeldFlows {
         /// The sender's service.
         service: ServiceName,
         /// The flows.
@@ -76,25 +79,25 @@
     },
 }
 
-/// State of an agent.
+/// State of an agent and load of its upstream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AgentReport {
-    /// Differs for each run of the agent.
+    /// Random id that differs for each run of the agent's process.
     pub run: u64,
-    /// Where it is.
+    /// Data centre of the agent.
     pub data_centre: DataCentre,
-    /// Its service.
+    /// Service of its upstream.
     pub service: ServiceName,
-    /// Requests that its upstream serves at a time.
+    /// Requests that its upstream serves concurrently.
     pub slots: Slots,
-    /// Whether it takes new flows.
+    /// Whether it accepts new flows.
     pub accepting: bool,
-    /// The work of its upstream.
+    /// Load of its upstream.
     pub load: Load,
 }
 
 impl AgentReport {
-    /// The sender, as one that may take new flows.
+    /// The sender as a candidate for new flows, reported at `now`.
     #[must_use]
     pub fn candidate(self, now: Instant) -> AgentStatus {
         AgentStatus {
--- a/crates/relay/src/connection/mod.rs
+++ b/crates/relay/src/connection/mod.rs
@@ -1,4 +1,5 @@
-//! What lasts for a flow: the callers' protocol, and messages about flows.
+//! State with the lifetime of a flow: the callers' protocol, and messages about
+//! flows.
 
 mod codec;
 mod message;
--- a/crates/relay/src/error.rs
+++ b/crates/relay/src/error.rs
@@ -1,15 +1,15 @@
-//! The error of this crate.
+//! Errors that prevent a node from starting.
 
 use std::{io, net::SocketAddr};
 
 /// A [`std::result::Result`] with this crate's [`Error`].
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// A node cannot start.
+/// An error that prevents a node from starting.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// A socket cannot be opened.
-    #[error("cannot open a socket at {0}: {1}")]
+    /// A UDP socket cannot be bound to the address.
+    #[error("cannot bind a UDP socket to {0}: {1}")]
     Bind(SocketAddr, io::Error),
     /// A metric cannot be registered.
     #[error("cannot register a metric: {0}")]
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,10 +1,11 @@
 //! The data path for datagrams of a protocol without connection ids.
 //!
-//! A [`Balancer`] takes callers' datagrams and hands them to agents; an
-//! [`Agent`] gives them to its upstream and sends the upstream's own to the
-//! callers. Each is one task that owns its sockets and its decisions (crate
-//! `flow`); a [`ControlSync`] task keeps it up to date by way of the control hosts.
-//! The protocol that the callers speak is a [`Codec`].
+//! A [`Balancer`] receives callers' datagrams and sends them to agents. An
+//! [`Agent`] delivers them to its upstream and sends the upstream's datagrams
+//! to the callers. Each is one task that owns its sockets and its flow state
+//! (crate `flow`). A [`ControlSync`] task supplies it with the list of nodes and
+//! the routing set of the control hosts. A [`Codec`] reads and writes the
+//! callers' protocol.
 //!
 //! ```text
 //! caller --> balancer --Message--> agent --> upstream
@@ -20,5 +21,5 @@
 pub use error::{Error, Result};
 pub use process::{
     Agent, AgentSettings, Balancer, BalancerSettings, BalancerTable, ControlSync,
-    ControlSyncSettings, ControlUpdate, Egress, Handover, Outgoing, UpstreamUpdate,
+    ControlSyncSettings, ControlUpdate, EgressQueue, Handover, OutgoingDatagram, UpstreamUpdate,
 };
--- a/crates/relay/src/process/agent/mod.rs
+++ b/crates/relay/src/process/agent/mod.rs
@@ -21,53 +21,56 @@
 };
 use types::{DataCentre, ServiceName};
 
-use super::{ControlUpdate, audience::Audience, balancer_table::BalancerTable, metrics::Metrics};
+use super::{
+    ControlUpdate, balancer_table::BalancerTable, metrics::RelayMetrics,
+    report_schedule::ReportSchedule,
+};
 use crate::{Codec, Error, Message, Result, ServiceTag};
 
-/// Pause between two looks at what is to be reported and forgotten.
-const TICK: Duration = Duration::from_millis(50);
+/// Interval between checks for due reports and expired state.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Agents that are asked in turn to take a new flow.
-const MAX_DECLINED: usize = 3;
+/// Agents that a new flow is offered to, one after the other.
+const MAX_PLACEMENT_ATTEMPTS: usize = 3;
 
-/// Largest datagram in bytes.
-const DATAGRAM: usize = 64 * 1024;
+/// Size of the receive buffers, as large as any UDP datagram.
+const MAX_DATAGRAM_BYTES: usize = 64 * 1024;
 
 /// Settings of an [`Agent`].
 #[derive(Debug, Clone)]
 pub struct AgentSettings {
-    /// Differs for each run of the agent.
+    /// Random id that differs for each run of the agent's process.
     pub run: u64,
-    /// Where the upstream sends its datagrams.
+    /// Local address to which the upstream sends its datagrams.
     pub outbound_address: SocketAddrV4,
-    /// Where datagrams are sent to callers from.
+    /// Local address from which datagrams are sent to callers.
     pub caller_source_address: SocketAddrV4,
-    /// Where balancers and other agents reach the agent.
+    /// Address at which balancers and other agents reach the agent.
     pub peer_address: SocketAddrV4,
-    /// Local address for it.
+    /// Local address that the socket for `peer_address` is bound to.
     pub peer_listen_address: SocketAddrV4,
-    /// Where the upstream takes datagrams.
+    /// Address at which the upstream receives datagrams.
     pub upstream_address: SocketAddrV4,
-    /// Port of callers.
+    /// UDP port of all callers.
     pub caller_port: u16,
-    /// The upstream's service.
+    /// Service of the upstream.
     pub service: ServiceName,
-    /// Where the agent is.
+    /// Data centre of the agent.
     pub data_centre: DataCentre,
-    /// Times and bounds of its decisions.
+    /// Timeouts and limits of the flow table.
     pub holder: FlowTableSettings,
 }
 
-/// What an agent is told of its upstream.
+/// A new state of an agent's upstream.
 #[derive(Debug)]
 pub struct UpstreamUpdate {
-    /// The upstream; `None` once it has gone.
+    /// State of the upstream; `None` once it has gone.
     pub upstream: Option<UpstreamStatus>,
-    /// Told once it is in force.
+    /// Notified once the agent has applied the update.
     pub applied: oneshot::Sender<()>,
 }
 
-/// The task of an agent: it owns the sockets and the decisions.
+/// The task of an agent, which owns its sockets and flow table.
 pub struct Agent<C> {
     cfg: AgentSettings,
     tag: ServiceTag,
@@ -75,44 +78,46 @@
     holder: FlowTable,
     /// The other agents of the service.
     pool: AgentPool,
-    audience: Audience,
+    report_schedule: ReportSchedule,
     balancers: BalancerTable,
-    outbound: UdpSocket,
-    callers: UdpSocket,
-    peers: UdpSocket,
+    upstream_socket: UdpSocket,
+    caller_socket: UdpSocket,
+    peer_socket: UdpSocket,
     updates: mpsc::Receiver<ControlUpdate>,
     upstream_updates: mpsc::Receiver<UpstreamUpdate>,
     stop: watch::Receiver<bool>,
     leaving: bool,
-    /// Balancers that wait to hear whether a flow that was tried is held.
-    tried_by: BTreeMap<FlowTuple, SocketAddrV4>,
-    /// How the opening datagrams that the upstream may return came here.
-    openings: BTreeMap<FlowTuple, Opening>,
-    expire_at: Instant,
-    metrics: Metrics,
+    /// Balancers to notify whether the upstream holds a flow, for flows of which a
+    /// datagram was delivered on trial.
+    tried_flow_balancers: BTreeMap<FlowTuple, SocketAddrV4>,
+    /// Routes of delivered opening datagrams, for those that the upstream returns.
+    opening_routes: BTreeMap<FlowTuple, OpeningRoute>,
+    next_expiry_at: Instant,
+    metrics: RelayMetrics,
 }
 
+/// How an opening datagram reached this agent.
 #[derive(Debug)]
-struct Opening {
+struct OpeningRoute {
     via: SocketAddrV4,
-    declined: Vec<SocketAddrV4>,
-    at: Instant,
+    declined_by: Vec<SocketAddrV4>,
+    delivered_at: Instant,
 }
 
-/// A datagram of a caller on its way through this agent.
-struct Arrival {
+/// A datagram of a caller with its route to this agent.
+struct CallerDatagram {
     origin: Origin,
     via: SocketAddrV4,
-    declined: Vec<SocketAddrV4>,
+    declined_by: Vec<SocketAddrV4>,
     payload: Bytes,
 }
 
 impl<C: Codec> Agent<C> {
-    /// Opens the sockets.
+    /// Creates the task and binds its sockets.
     ///
     /// # Errors
     ///
-    /// A socket cannot be opened.
+    /// A socket cannot be bound, or the registry already has one of the metrics.
     pub fn new(
         cfg: AgentSettings,
         codec: C,
@@ -131,55 +136,55 @@
             codec,
             holder: FlowTable::new(cfg.holder, now),
             pool: AgentPool::default(),
-            audience: Audience::new(now),
+            report_schedule: ReportSchedule::new(now),
             balancers: BalancerTable::default(),
-            outbound: bind(cfg.outbound_address)?,
-            callers: bind(cfg.caller_source_address)?,
-            peers: bind(cfg.peer_listen_address)?,
+            upstream_socket: bind(cfg.outbound_address)?,
+            caller_socket: bind(cfg.caller_source_address)?,
+            peer_socket: bind(cfg.peer_listen_address)?,
             cfg,
             updates,
             upstream_updates,
             stop,
             leaving: false,
-            tried_by: BTreeMap::new(),
-            openings: BTreeMap::new(),
-            expire_at: now,
-            metrics: Metrics::new(registry)?,
+            tried_flow_balancers: BTreeMap::new(),
+            opening_routes: BTreeMap::new(),
+            next_expiry_at: now,
+            metrics: RelayMetrics::new(registry)?,
         })
     }
 
-    /// Runs until the sender of updates is gone.
+    /// Runs until the sender of `updates` is dropped.
     pub async fn run(mut self) {
-        let mut from_upstream = vec![0; DATAGRAM];
-        let mut from_peers = vec![0; DATAGRAM];
+        let mut from_upstream = vec![0; MAX_DATAGRAM_BYTES];
+        let mut from_peers = vec![0; MAX_DATAGRAM_BYTES];
         let mut tick_at = Instant::now();
         loop {
             tokio::select! {
-                received = self.outbound.recv_from(&mut from_upstream) => {
+                received = self.upstream_socket.recv_from(&mut from_upstream) => {
                     if let Ok((len, _)) = received {
-                        self.on_upstream(&mut from_upstream[..len]).await;
+                        self.handle_upstream_datagram(&mut from_upstream[..len]).await;
                     }
                 }
-                received = self.peers.recv_from(&mut from_peers) => {
+                received = self.peer_socket.recv_from(&mut from_peers) => {
                     if let Ok((len, SocketAddr::V4(from))) = received {
-                        self.on_peer(&from_peers[..len], from).await;
+                        self.handle_peer_datagram(&from_peers[..len], from).await;
                     }
                 }
                 update = self.updates.recv() => match update {
-                    Some(ControlUpdate::Nodes(changes)) => self.nodes_changed(changes).await,
+                    Some(ControlUpdate::Nodes(changes)) => self.apply_node_changes(changes).await,
                     Some(ControlUpdate::Routes(_) | ControlUpdate::NodeListComplete(_)) => {}
                     None => return,
                 },
                 Some(update) = self.upstream_updates.recv() => self.apply_upstream_update(update).await,
                 _ = self.stop.changed(), if !self.leaving => {
                     self.leaving = true;
-                    self.report(Instant::now()).await;
+                    self.send_due_reports(Instant::now()).await;
                 }
                 () = sleep_until(tick_at.into()) => {
                     let now = Instant::now();
-                    tick_at = now + TICK;
-                    self.report(now).await;
-                    self.expire(now);
+                    tick_at = now + TICK_INTERVAL;
+                    self.send_due_reports(now).await;
+                    self.expire_state(now);
                 }
             }
         }
@@ -197,25 +202,28 @@
                 incarnation = update.upstream.and_then(|u| u.incarnation).unwrap_or(0),
                 accepting = u64::from(update.upstream.is_some_and(|u| u.accepting)),
                 slots = update.upstream.map_or(0, |u| u.slots.0);
-                "state of the upstream changed"
+                "incarnation or readiness of the upstream changed"
             );
-            self.report(now).await;
+            self.send_due_reports(now).await;
         }
-        // Whoever announced it may be gone.
+        // The receiver may have been dropped.
         let _ = update.applied.send(());
     }
 
-    fn accepts(&self, now: Instant) -> bool {
+    fn accepts_flows(&self, now: Instant) -> bool {
         !self.leaving && self.holder.accepts_new_flows(now)
     }
 
-    async fn on_peer(&mut self, datagram: &[u8], from: SocketAddrV4) {
+    async fn handle_peer_datagram(&mut self, datagram: &[u8], from: SocketAddrV4) {
         let now = Instant::now();
         let message = match wire::decode(datagram) {
             Ok(message) => message,
             Err(e) => {
-                log::debug!(event = "bad_message", from:% = from, error:% = e; "no message of a node");
-                self.metrics.dropped.with_label_values(&["malformed"]).inc();
+                log::debug!(event = "bad_message", from:% = from, error:% = e; "dropping a datagram that is not a valid message of a node");
+                self.metrics
+                    .dropped_datagrams
+                    .with_label_values(&["malformed"])
+                    .inc();
                 return;
             }
         };
@@ -224,45 +232,53 @@
                 tag,
                 origin,
                 via,
-                declined,
+                declined_by,
                 payload,
             } => {
-                let arrival = Arrival {
+                let arrival = CallerDatagram {
                     origin,
                     via,
-                    declined,
+                    declined_by,
                     payload,
                 };
                 if tag == self.tag {
-                    self.on_caller(arrival, now).await;
+                    self.handle_caller_datagram(arrival, now).await;
                 } else {
-                    // The address was another agent's before.
+                    // The address belonged to an agent of another service before.
                     self.metrics
-                        .dropped
+                        .dropped_datagrams
                         .with_label_values(&["other_service"])
                         .inc();
-                    self.not_held(arrival.via, arrival.payload).await;
+                    self.send_not_held(arrival.via, arrival.payload).await;
                 }
             }
-            Message::Ask { tag, head } => self.asked(tag, &head, from, now).await,
+            Message::ClaimQuery { tag, header } => {
+                self.handle_claim_query(tag, &header, from, now).await;
+            }
             Message::Report(report) if report.service == self.cfg.service => {
                 self.pool.insert(from, report.candidate(now));
             }
             Message::Report(_)
             | Message::NotHeld { .. }
             | Message::Claim { .. }
-            | Message::Taken { .. }
-            | Message::Holds { .. } => {
+            | Message::FlowTaken { .. }
+            | Message::HeldFlows { .. } => {
                 self.metrics
-                    .dropped
+                    .dropped_datagrams
                     .with_label_values(&["not_for_agents"])
                     .inc();
             }
         }
     }
 
-    async fn asked(&mut self, tag: ServiceTag, head: &[u8], from: SocketAddrV4, now: Instant) {
-        let Some(seg) = self.codec.parse(head) else {
+    async fn handle_claim_query(
+        &mut self,
+        tag: ServiceTag,
+        header: &[u8],
+        from: SocketAddrV4,
+        now: Instant,
+    ) {
+        let Some(seg) = self.codec.parse(header) else {
             return;
         };
         let key = seg.key_from_caller();
@@ -271,18 +287,22 @@
         } else {
             flow::Claim::No
         };
-        self.tell(from, &Message::Claim { key, claim }).await;
+        self.send_message(from, &Message::Claim { key, claim })
+            .await;
     }
 
-    async fn on_caller(&mut self, arrival: Arrival, now: Instant) {
-        self.metrics.received.inc();
+    async fn handle_caller_datagram(&mut self, arrival: CallerDatagram, now: Instant) {
+        self.metrics.received_datagrams.inc();
         let Some(seg) = self.codec.parse(&arrival.payload) else {
-            self.metrics.dropped.with_label_values(&["malformed"]).inc();
+            self.metrics
+                .dropped_datagrams
+                .with_label_values(&["malformed"])
+                .inc();
             return;
         };
         let key = seg.key_from_caller();
-        let leaves = self.leaving && seg.is_opening();
-        let verdict = if leaves {
+        let refuses_opening = self.leaving && seg.is_opening();
+        let verdict = if refuses_opening {
             CallerAction::PassOn
         } else {
             self.holder.caller_datagram(&seg, arrival.origin, now)
@@ -290,183 +310,221 @@
         self.holder.set_via(&key, arrival.via);
         match verdict {
             CallerAction::Deliver => self.deliver(&seg, arrival, now).await,
-            CallerAction::PassOn => self.pass_on(&seg, arrival, now).await,
+            CallerAction::PassOn => self.forward_opening(&seg, arrival, now).await,
             CallerAction::NotHeld => {
-                log::info!(event = "not_held", flow:% = key, origin:? = arrival.origin; "flow is not held here");
-                self.not_held(arrival.via, arrival.payload).await;
+                log::info!(event = "not_held", flow:% = key, origin:? = arrival.origin; "agent does not hold the flow; returning the datagram to the balancer");
+                self.send_not_held(arrival.via, arrival.payload).await;
             }
-            CallerAction::Reset => self.reset(&seg, "upstream_restarted").await,
+            CallerAction::Reset => self.reset_flow(&seg, "upstream_restarted").await,
         }
     }
 
-    async fn deliver(&mut self, seg: &Segment, arrival: Arrival, now: Instant) {
+    async fn deliver(&mut self, seg: &Segment, arrival: CallerDatagram, now: Instant) {
         let key = seg.key_from_caller();
         if seg.is_opening() {
             let load = self.holder.load(now);
             log::info!(
                 event = "opened", flow:% = key, copy = seg.ack, origin:? = arrival.origin,
-                busy = load.busy_requests, flows = load.open_flows; "new flow given to the upstream"
+                busy = load.busy_requests, flows = load.open_flows; "delivering the opening datagram of a new flow to the upstream"
             );
-            self.metrics.flows.with_label_values(&["opened"]).inc();
+            self.metrics
+                .flow_events
+                .with_label_values(&["opened"])
+                .inc();
             if arrival.origin == Origin::Passed {
                 let service = self.cfg.service.clone();
-                self.tell(arrival.via, &Message::Taken { key, service })
+                self.send_message(arrival.via, &Message::FlowTaken { key, service })
                     .await;
             }
-            let opening = Opening {
+            let opening = OpeningRoute {
                 via: arrival.via,
-                declined: arrival.declined,
-                at: now,
+                declined_by: arrival.declined_by,
+                delivered_at: now,
             };
-            self.openings.insert(key, opening);
+            self.opening_routes.insert(key, opening);
         } else if matches!(arrival.origin, Origin::Held | Origin::Tried)
             && self.holder.is_tried(&key)
         {
-            self.tried_by.insert(key, arrival.via);
+            self.tried_flow_balancers.insert(key, arrival.via);
         }
-        self.metrics.sent.with_label_values(&["upstream"]).inc();
-        // A datagram may be lost anyway.
+        self.metrics
+            .sent_datagrams
+            .with_label_values(&["upstream"])
+            .inc();
+        // The network may lose the datagram too, so a failed send is ignored.
         let _ = self
-            .outbound
+            .upstream_socket
             .send_to(&arrival.payload, self.cfg.upstream_address)
             .await;
     }
 
-    /// Gives an opening datagram to another agent, or decides what becomes of
-    /// it if there is none.
-    async fn pass_on(&mut self, seg: &Segment, arrival: Arrival, now: Instant) {
+    /// Forwards an opening datagram to another agent. If none is available, delivers
+    /// it to the upstream or resets the flow.
+    async fn forward_opening(&mut self, seg: &Segment, arrival: CallerDatagram, now: Instant) {
         let key = seg.key_from_caller();
-        let mut declined = arrival.declined.clone();
-        declined.push(self.cfg.peer_address);
-        let full = self.accepts(now);
-        let willing =
-            declined.len() <= MAX_DECLINED && (!full || self.pool.has_free_slot(&declined, now));
-        let peer = if willing {
+        let mut declined_by = arrival.declined_by.clone();
+        declined_by.push(self.cfg.peer_address);
+        let accepts_flows = self.accepts_flows(now);
+        let may_forward = declined_by.len() <= MAX_PLACEMENT_ATTEMPTS
+            && (!accepts_flows || self.pool.has_free_slot(&declined_by, now));
+        let peer = if may_forward {
             self.pool
-                .place(&self.cfg.data_centre, key.stable_hash(), &declined, now)
+                .place(&self.cfg.data_centre, key.stable_hash(), &declined_by, now)
         } else {
             None
         };
         if let Some(peer) = peer {
             log::info!(
-                event = "passed_on", flow:% = key, copy = seg.ack, to:% = peer, full = u64::from(full);
-                "new flow passed on to another agent"
+                event = "passed_on", flow:% = key, copy = seg.ack, to:% = peer, full = u64::from(accepts_flows);
+                "forwarding the opening datagram of a new flow to another agent"
             );
-            return self.hand_on(peer, arrival, declined).await;
+            return self.send_to_agent(peer, arrival, declined_by).await;
         }
-        if full {
-            // Nobody has a free slot: the upstream's own queue is as good as another's.
+        if accepts_flows {
+            // No agent has a free slot. The queue of this upstream is as good as the
+            // queue of another one.
             self.holder.accept_opening(seg, now);
             return self.deliver(seg, arrival, now).await;
         }
-        self.reset(seg, "no_agent").await;
+        self.reset_flow(seg, "no_agent").await;
     }
 
-    /// Sends an opening datagram to a peer, which may take it.
-    async fn hand_on(&self, peer: SocketAddrV4, arrival: Arrival, declined: Vec<SocketAddrV4>) {
-        self.metrics.flows.with_label_values(&["passed_on"]).inc();
+    /// Sends an opening datagram to another agent, which may decline it.
+    async fn send_to_agent(
+        &self,
+        peer: SocketAddrV4,
+        arrival: CallerDatagram,
+        declined_by: Vec<SocketAddrV4>,
+    ) {
+        self.metrics
+            .flow_events
+            .with_label_values(&["passed_on"])
+            .inc();
         let message = Message::Datagram {
             tag: self.tag,
             origin: Origin::Passed,
             via: arrival.via,
-            declined,
+            declined_by,
             payload: arrival.payload,
         };
-        self.tell(peer, &message).await;
+        self.send_message(peer, &message).await;
     }
 
-    async fn reset(&mut self, seg: &Segment, cause: &str) {
-        self.metrics.flows.with_label_values(&["reset"]).inc();
-        log::info!(event = "reset", flow:% = seg.key_from_caller(), cause = cause; "flow broken off");
+    async fn reset_flow(&mut self, seg: &Segment, cause: &str) {
+        self.metrics.flow_events.with_label_values(&["reset"]).inc();
+        log::info!(event = "reset", flow:% = seg.key_from_caller(), cause = cause; "resetting the flow");
         let to = SocketAddrV4::new(*seg.source.ip(), self.cfg.caller_port);
-        // A datagram may be lost anyway.
-        let _ = self.callers.send_to(&self.codec.reset(seg), to).await;
+        // The network may lose the datagram too, so a failed send is ignored.
+        let _ = self.caller_socket.send_to(&self.codec.reset(seg), to).await;
     }
 
-    async fn not_held(&self, via: SocketAddrV4, payload: Bytes) {
-        self.metrics.flows.with_label_values(&["not_held"]).inc();
-        self.tell(via, &Message::NotHeld { payload }).await;
+    async fn send_not_held(&self, via: SocketAddrV4, payload: Bytes) {
+        self.metrics
+            .flow_events
+            .with_label_values(&["not_held"])
+            .inc();
+        self.send_message(via, &Message::NotHeld { payload }).await;
     }
 
-    async fn on_upstream(&mut self, datagram: &mut [u8]) {
+    async fn handle_upstream_datagram(&mut self, datagram: &mut [u8]) {
         let now = Instant::now();
         let Some(seg) = self.codec.parse(datagram) else {
-            self.metrics.dropped.with_label_values(&["malformed"]).inc();
+            self.metrics
+                .dropped_datagrams
+                .with_label_values(&["malformed"])
+                .inc();
             return;
         };
         match self.holder.upstream_datagram(&seg, now) {
             UpstreamAction::ToCaller { learned } => {
                 let key = seg.key_from_upstream();
                 if learned {
-                    self.learned(key).await;
+                    self.handle_learned_flow(key).await;
                 }
-                self.metrics.sent.with_label_values(&["caller"]).inc();
+                self.metrics
+                    .sent_datagrams
+                    .with_label_values(&["caller"])
+                    .inc();
                 let to = SocketAddrV4::new(*seg.destination.ip(), self.cfg.caller_port);
-                // A datagram may be lost anyway.
-                let _ = self.callers.send_to(datagram, to).await;
+                // The network may lose the datagram too, so a failed send is ignored.
+                let _ = self.caller_socket.send_to(datagram, to).await;
             }
             UpstreamAction::PassOn => {
                 let key = seg.key_from_caller();
                 self.codec.clear_bounce(datagram);
-                let opening = self.openings.remove(&key);
-                let (via, declined) = opening
+                let opening = self.opening_routes.remove(&key);
+                let (via, declined_by) = opening
                     .map_or((self.cfg.peer_address, Vec::new()), |opening| {
-                        (opening.via, opening.declined)
+                        (opening.via, opening.declined_by)
                     });
-                let arrival = Arrival {
+                let arrival = CallerDatagram {
                     origin: Origin::Placed,
                     via,
-                    declined,
+                    declined_by,
                     payload: Bytes::copy_from_slice(datagram),
                 };
-                log::info!(event = "bounced", flow:% = key; "upstream did not take a new flow");
-                self.bounced_opening(&seg, arrival, now).await;
+                log::info!(event = "bounced", flow:% = key; "upstream returned the opening datagram of a new flow");
+                self.forward_bounced_opening(&seg, arrival, now).await;
             }
             UpstreamAction::NotHeld => {
                 let key = seg.key_from_caller();
-                log::info!(event = "not_held", flow:% = key; "upstream returned a datagram that was tried");
-                if let Some(via) = self.tried_by.remove(&key) {
+                log::info!(event = "not_held", flow:% = key; "upstream returned a datagram that was delivered on trial; it does not hold the flow");
+                if let Some(via) = self.tried_flow_balancers.remove(&key) {
                     self.codec.clear_bounce(datagram);
-                    self.not_held(via, Bytes::copy_from_slice(datagram)).await;
+                    self.send_not_held(via, Bytes::copy_from_slice(datagram))
+                        .await;
                 }
             }
-            UpstreamAction::Reset => self.reset(&seg, "upstream_lost_flow").await,
+            UpstreamAction::Reset => self.reset_flow(&seg, "upstream_lost_flow").await,
             UpstreamAction::Drop => {}
         }
     }
 
-    /// An opening datagram that the upstream returned goes to another agent or
-    /// is refused: the upstream would return it again.
-    async fn bounced_opening(&mut self, seg: &Segment, arrival: Arrival, now: Instant) {
-        let mut declined = arrival.declined.clone();
-        declined.push(self.cfg.peer_address);
+    /// Forwards an opening datagram that the upstream returned to another agent, or
+    /// resets its flow. It is not delivered again: the upstream would return it
+    /// again.
+    async fn forward_bounced_opening(
+        &mut self,
+        seg: &Segment,
+        arrival: CallerDatagram,
+        now: Instant,
+    ) {
+        let mut declined_by = arrival.declined_by.clone();
+        declined_by.push(self.cfg.peer_address);
         let (near, hash) = (&self.cfg.data_centre, seg.key_from_caller().stable_hash());
-        let peer = if declined.len() <= MAX_DECLINED {
-            self.pool.place(near, hash, &declined, now)
+        let peer = if declined_by.len() <= MAX_PLACEMENT_ATTEMPTS {
+            self.pool.place(near, hash, &declined_by, now)
         } else {
             None
         };
         let Some(peer) = peer else {
-            return self.reset(seg, "bounced").await;
+            return self.reset_flow(seg, "bounced").await;
         };
-        self.hand_on(peer, arrival, declined).await;
+        self.send_to_agent(peer, arrival, declined_by).await;
     }
 
-    /// Tells the balancer that asked that a flow is held here.
-    async fn learned(&mut self, key: FlowTuple) {
-        self.metrics.flows.with_label_values(&["learned"]).inc();
-        log::info!(event = "learned", flow:% = key; "the upstream holds a flow that was not known");
-        if let Some(via) = self.tried_by.remove(&key) {
+    /// Reports to the balancer that sent a datagram on trial that the flow is held
+    /// here.
+    async fn handle_learned_flow(&mut self, key: FlowTuple) {
+        self.metrics
+            .flow_events
+            .with_label_values(&["learned"])
+            .inc();
+        log::info!(event = "learned", flow:% = key; "upstream holds a flow that was not in the flow table");
+        if let Some(via) = self.tried_flow_balancers.remove(&key) {
             let service = self.cfg.service.clone();
-            self.tell(via, &Message::Taken { key, service }).await;
+            self.send_message(via, &Message::FlowTaken { key, service })
+                .await;
         }
     }
 
-    async fn tell(&self, to: SocketAddrV4, message: &Message) {
+    async fn send_message(&self, to: SocketAddrV4, message: &Message) {
         match wire::encode(message) {
-            // A datagram may be lost anyway.
-            Ok(datagram) => drop(self.peers.send_to(&datagram, to).await),
-            Err(e) => log::error!(event = "unencodable_message", error:% = e; "cannot encode"),
+            // The network may lose the datagram too, so a failed send is ignored.
+            Ok(datagram) => drop(self.peer_socket.send_to(&datagram, to).await),
+            Err(e) => {
+                log::error!(event = "unencodable_message", error:% = e; "cannot encode a message to a node");
+            }
         }
     }
 }
--- a/crates/relay/src/process/agent/neighbours.rs
+++ b/crates/relay/src/process/agent/neighbours.rs
@@ -1,4 +1,4 @@
-//! What an agent tells balancers and other agents, and knows of them.
+//! Messages of an agent to balancers and other agents, and its view of them.
 
 use std::time::{Duration, Instant};
 
@@ -9,26 +9,28 @@
 use super::Agent;
 use crate::{AgentReport, Codec, Handover, Message};
 
-/// Pause between two rounds of forgetting what is over.
-const EXPIRE: Duration = Duration::from_secs(1);
+/// Interval between removals of expired state.
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Flows of which a balancer is told at most: a few datagrams. It searches for
-/// the others when they are used.
-const MAX_TOLD: usize = 200;
+/// Maximum number of flows that a handover lists, which take a few datagrams. The
+/// balancer searches for the others when they are used.
+const MAX_HANDOVER_FLOWS: usize = 200;
 
-/// Flows in one message, so that it fits a packet.
-const KEYS: usize = 40;
+/// Flows in one message, so that it fits in a packet.
+const KEYS_PER_MESSAGE: usize = 40;
 
 impl<C: Codec> Agent<C> {
-    /// Tells balancers and other agents the load, if it is due.
-    pub(super) async fn report(&mut self, now: Instant) {
+    /// Sends a report of the state and load to the recipients for which it is due.
+    pub(super) async fn send_due_reports(&mut self, now: Instant) {
         let load = self.holder.load(now);
-        let accepting = self.accepts(now);
-        let listeners = self.audience.due(load, accepting, now);
-        if listeners.is_empty() {
+        let accepting = self.accepts_flows(now);
+        let recipients = self.report_schedule.take_due(load, accepting, now);
+        if recipients.is_empty() {
             return;
         }
-        self.metrics.busy.set(i64::from(load.busy_requests));
+        self.metrics
+            .busy_requests
+            .set(i64::from(load.busy_requests));
         let report = Message::Report(AgentReport {
             run: self.cfg.run,
             data_centre: self.cfg.data_centre.clone(),
@@ -37,31 +39,31 @@
             accepting,
             load,
         });
-        for listener in listeners {
-            self.tell(listener, &report).await;
+        for recipient in recipients {
+            self.send_message(recipient, &report).await;
         }
     }
 
-    /// Takes over what the directory says of balancers and other agents.
-    pub(super) async fn nodes_changed(&mut self, changes: ViewChanges) {
-        for handover in self.balancers.handovers(&changes) {
-            self.hand_over(&handover).await;
+    /// Applies changes of balancers and other agents in the directory.
+    pub(super) async fn apply_node_changes(&mut self, changes: ViewChanges) {
+        for handover in self.balancers.apply(&changes) {
+            self.send_handover(&handover).await;
         }
         for node in changes.removed {
-            self.audience.remove(node.address);
+            self.report_schedule.remove(node.address);
             self.pool.remove(node.address);
         }
         for node in changes.changed {
-            let listens = match &node.role {
+            let is_recipient = match &node.role {
                 NodeRole::Balancer => true,
                 NodeRole::Agent(service) => *service == self.cfg.service,
                 NodeRole::Control { .. } | NodeRole::Observer => false,
             };
-            if !listens || node.address == self.cfg.peer_address {
+            if !is_recipient || node.address == self.cfg.peer_address {
                 continue;
             }
-            let near = node.data_centre == self.cfg.data_centre;
-            self.audience.insert(node.address, near);
+            let same_data_centre = node.data_centre == self.cfg.data_centre;
+            self.report_schedule.insert(node.address, same_data_centre);
             let leaving = node.leaving;
             if let Some(known) = self.pool.get_mut(node.address) {
                 known.accepting &= !leaving || known.id != UpstreamId(node.incarnation);
@@ -69,47 +71,49 @@
         }
     }
 
-    /// Tells balancers which flows are held here, so that they need not search.
-    async fn hand_over(&self, handover: &Handover) {
+    /// Sends balancers the flows that are held here, so that they need not search.
+    async fn send_handover(&self, handover: &Handover) {
         let keys = self
             .holder
-            .flows_via(|via| handover.from.contains(&via), MAX_TOLD);
+            .flows_via(|via| handover.from.contains(&via), MAX_HANDOVER_FLOWS);
         if keys.is_empty() {
             return;
         }
         self.metrics
-            .flows
+            .flow_events
             .with_label_values(&["handed_over"])
             .inc_by(keys.len() as u64);
         for balancer in &handover.to {
             log::info!(
                 event = "handed_over", to:% = balancer, flows = keys.len();
-                "telling a balancer which flows are held here"
+                "sending a balancer the list of flows that are held here"
             );
-            for piece in keys.chunks(KEYS) {
-                let message = Message::Holds {
+            for chunk in keys.chunks(KEYS_PER_MESSAGE) {
+                let message = Message::HeldFlows {
                     service: self.cfg.service.clone(),
-                    keys: piece.to_vec(),
+                    keys: chunk.to_vec(),
                 };
-                self.tell(*balancer, &message).await;
+                self.send_message(*balancer, &message).await;
             }
         }
     }
 
-    /// Forgets what is over, if it is due.
-    pub(super) fn expire(&mut self, now: Instant) {
-        if now < self.expire_at {
+    /// Removes expired state once per `EXPIRY_INTERVAL`.
+    pub(super) fn expire_state(&mut self, now: Instant) {
+        if now < self.next_expiry_at {
             return;
         }
-        self.expire_at = now + EXPIRE;
+        self.next_expiry_at = now + EXPIRY_INTERVAL;
         self.holder.expire(now);
         let linger = self.cfg.holder.linger_timeout;
-        self.openings.retain(|_, opening| now < opening.at + linger);
+        self.opening_routes
+            .retain(|_, route| now < route.delivered_at + linger);
         let holder = &self.holder;
-        self.tried_by.retain(|key, _| holder.is_tried(key));
+        self.tried_flow_balancers
+            .retain(|key, _| holder.is_tried(key));
         self.pool
             .retain(|_, agent| AgentPool::has_recent_report(agent, now));
         let flows = self.holder.load(now).open_flows;
-        self.metrics.known.set(i64::from(flows));
+        self.metrics.known_flows.set(i64::from(flows));
     }
 }
--- a/crates/relay/src/process/balancer.rs
+++ b/crates/relay/src/process/balancer.rs
@@ -20,71 +20,73 @@
 };
 use types::{BytesPerSecond, DataCentre, ServiceName, Slots, UpstreamId};
 
-use super::{ControlUpdate, Egress, metrics::Metrics};
+use super::{ControlUpdate, EgressQueue, metrics::RelayMetrics};
 use crate::{AgentReport, Codec, Error, Message, Result, ServiceTag};
 
-/// Pause between two rounds of forgetting what is over.
-const EXPIRE: Duration = Duration::from_millis(250);
+/// Interval between removals of expired state.
+const EXPIRY_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Largest datagram in bytes.
-const DATAGRAM: usize = 64 * 1024;
+/// Size of the receive buffers, as large as any UDP datagram.
+const MAX_DATAGRAM_BYTES: usize = 64 * 1024;
 
-/// An agent that is not listed and did not report for this long is forgotten.
-const FORGET: Duration = Duration::from_secs(5);
+/// An agent that the directory does not list is removed if it has not reported for
+/// this long.
+const UNLISTED_AGENT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Part of the link, in percent, that questions of searches may take.
-const QUESTIONS_PERCENT: u64 = 10;
+/// Share of the link, in percent, that the claim queries of searches may use.
+const MAX_QUERY_LINK_PERCENT: u64 = 10;
 
-/// Bytes of a question with the headers below it.
-const QUESTION: u64 = 72;
+/// Bytes of a claim query with its IPv4 and UDP headers.
+const QUERY_BYTES: u64 = 72;
 
-/// Questions that a link can take in a second.
-fn questions(link: BytesPerSecond) -> u32 {
-    u32::try_from(link.0 * QUESTIONS_PERCENT / 100 / QUESTION).unwrap_or(u32::MAX)
+/// Maximum rate of claim queries on a link.
+fn max_queries_per_second(link_rate: BytesPerSecond) -> u32 {
+    u32::try_from(link_rate.0 * MAX_QUERY_LINK_PERCENT / 100 / QUERY_BYTES).unwrap_or(u32::MAX)
 }
 
 /// Settings of a [`Balancer`].
 #[derive(Debug, Clone)]
 pub struct BalancerSettings {
-    /// Where callers' datagrams arrive.
+    /// Local address at which callers' datagrams arrive.
     pub ingress_address: SocketAddrV4,
-    /// Where agents reach the balancer.
+    /// Address at which agents reach the balancer.
     pub peer_address: SocketAddrV4,
-    /// Local address for it.
+    /// Local address that the socket for `peer_address` is bound to.
     pub peer_listen_address: SocketAddrV4,
-    /// Port of callers.
+    /// UDP port of all callers.
     pub caller_port: u16,
-    /// Where the balancer is.
+    /// Data centre of the balancer.
     pub data_centre: DataCentre,
-    /// Rate of the host's link; `None` if it needs no care.
+    /// Rate of the host's link; `None` sends to agents without pacing.
     pub link_rate: Option<BytesPerSecond>,
-    /// Times and bounds of its decisions.
+    /// Timeouts and limits of its decisions.
     pub steering: SteeringSettings,
 }
 
-/// The task of a balancer: it owns the sockets and the decisions.
+/// The task of a balancer, which owns its sockets and steering state.
 pub struct Balancer<C> {
     cfg: BalancerSettings,
     codec: C,
     steering: Steering,
-    ingress: UdpSocket,
-    peers: UdpSocket,
-    egress: Egress,
+    ingress_socket: UdpSocket,
+    peer_socket: UdpSocket,
+    egress_queue: EgressQueue,
     updates: mpsc::Receiver<ControlUpdate>,
     /// Whether new flows can be placed.
     ready: watch::Sender<bool>,
     /// Agents that the directory lists.
-    listed: BTreeSet<SocketAddrV4>,
-    expire_at: Instant,
-    metrics: Metrics,
+    listed_agents: BTreeSet<SocketAddrV4>,
+    next_expiry_at: Instant,
+    metrics: RelayMetrics,
 }
 
 impl<C: Codec> Balancer<C> {
-    /// Opens the sockets. `ready` tells whether new flows can be placed.
+    /// Creates the task and binds its sockets. `ready` receives whether new flows can
+    /// be placed.
     ///
     /// # Errors
     ///
-    /// A socket cannot be opened.
+    /// A socket cannot be bound, or the registry already has one of the metrics.
     pub fn new(
         cfg: BalancerSettings,
         codec: C,
@@ -97,71 +99,75 @@
             net::bind_udp(address).map_err(|e| Error::Bind(address, e))
         };
         let steering = SteeringSettings {
-            max_queries_per_second: cfg
-                .link_rate
-                .map_or(cfg.steering.max_queries_per_second, |link| {
-                    questions(link).min(cfg.steering.max_queries_per_second)
-                }),
+            max_queries_per_second: cfg.link_rate.map_or(
+                cfg.steering.max_queries_per_second,
+                |link_rate| {
+                    max_queries_per_second(link_rate).min(cfg.steering.max_queries_per_second)
+                },
+            ),
             ..cfg.steering
         };
         Ok(Balancer {
-            ingress: bind(cfg.ingress_address)?,
-            peers: bind(cfg.peer_listen_address)?,
-            egress: Egress::new(cfg.link_rate, Instant::now()),
+            ingress_socket: bind(cfg.ingress_address)?,
+            peer_socket: bind(cfg.peer_listen_address)?,
+            egress_queue: EgressQueue::new(cfg.link_rate, Instant::now()),
             steering: Steering::new(steering, cfg.data_centre.clone()),
             cfg,
             codec,
             updates,
             ready,
-            listed: BTreeSet::new(),
-            expire_at: Instant::now(),
-            metrics: Metrics::new(registry)?,
+            listed_agents: BTreeSet::new(),
+            next_expiry_at: Instant::now(),
+            metrics: RelayMetrics::new(registry)?,
         })
     }
 
-    /// Runs until the sender of updates is gone.
+    /// Runs until the sender of `updates` is dropped.
     pub async fn run(mut self) {
-        let mut from_callers = vec![0; DATAGRAM];
-        let mut from_agents = vec![0; DATAGRAM];
+        let mut from_callers = vec![0; MAX_DATAGRAM_BYTES];
+        let mut from_agents = vec![0; MAX_DATAGRAM_BYTES];
         loop {
-            let search_ends = self.steering.next_deadline().unwrap_or(self.expire_at);
-            let deadline = self.expire_at.min(search_ends);
-            let link_free = self.egress.next_deadline();
+            let search_deadline = self.steering.next_deadline().unwrap_or(self.next_expiry_at);
+            let deadline = self.next_expiry_at.min(search_deadline);
+            let egress_deadline = self.egress_queue.next_deadline();
             tokio::select! {
-                received = self.ingress.recv_from(&mut from_callers) => {
+                received = self.ingress_socket.recv_from(&mut from_callers) => {
                     if let Ok((len, _)) = received {
-                        self.on_caller(&from_callers[..len]).await;
+                        self.handle_caller_datagram(&from_callers[..len]).await;
                     }
                 }
-                received = self.peers.recv_from(&mut from_agents) => {
+                received = self.peer_socket.recv_from(&mut from_agents) => {
                     if let Ok((len, SocketAddr::V4(from))) = received {
-                        self.on_agent(&from_agents[..len], from).await;
+                        self.handle_agent_message(&from_agents[..len], from).await;
                     }
                 }
                 update = self.updates.recv() => match update {
-                    Some(update) => self.update(update),
+                    Some(update) => self.apply_update(update),
                     None => return,
                 },
-                () = sleep_until(link_free.unwrap_or(deadline).into()), if link_free.is_some() => {
+                () = sleep_until(egress_deadline.unwrap_or(deadline).into()), if egress_deadline.is_some() => {
                     self.flush().await;
                 }
-                () = sleep_until(deadline.into()) => self.deadline_reached(Instant::now()).await,
+                () = sleep_until(deadline.into()) => self.handle_deadlines(Instant::now()).await,
             }
         }
     }
 
-    async fn on_caller(&mut self, datagram: &[u8]) {
-        self.metrics.received.inc();
+    async fn handle_caller_datagram(&mut self, datagram: &[u8]) {
+        self.metrics.received_datagrams.inc();
         let Some(seg) = self.codec.parse(datagram) else {
-            self.metrics.dropped.with_label_values(&["malformed"]).inc();
+            self.metrics
+                .dropped_datagrams
+                .with_label_values(&["malformed"])
+                .inc();
             return;
         };
         let payload = Bytes::copy_from_slice(datagram);
         let steer = self.steering.steer(&seg, &payload, Instant::now());
-        self.carry_out(steer, &seg, payload).await;
+        self.apply_decision(steer, &seg, payload).await;
     }
 
-    async fn carry_out(&mut self, steer: SteeringDecision, seg: &Segment, payload: Bytes) {
+    async fn apply_decision(&mut self, steer: SteeringDecision, seg: &Segment, payload: Bytes) {
         let key = seg.key_from_caller();
         match steer {
             SteeringDecision::Forward {
@@ -170,49 +176,63 @@
                 service,
             } => {
                 if seg.is_opening() {
-                    self.metrics.flows.with_label_values(&["placed"]).inc();
+                    self.metrics
+                        .flow_events
+                        .with_label_values(&["placed"])
+                        .inc();
                     log::info!(
                         event = "placed", flow:% = key, copy = seg.ack, agent:% = agent,
-                        service:% = service, set = self.set_number(); "new flow placed"
+                        service:% = service, set = self.set_number(); "placing a new flow at an agent"
                     );
                 }
-                self.send(agent, origin, &service, payload).await;
+                self.send_to_agent(agent, origin, &service, payload).await;
             }
             SteeringDecision::Query(agents) => {
-                self.metrics.flows.with_label_values(&["searched"]).inc();
+                self.metrics
+                    .flow_events
+                    .with_label_values(&["searched"])
+                    .inc();
                 log::info!(
                     event = "searching", flow:% = key, agents = agents.len();
-                    "holder of a flow is not known; asking the agents"
+                    "agent of the flow is unknown; querying agents"
                 );
-                self.ask(&payload, agents).await;
+                self.send_claim_queries(&payload, agents).await;
             }
             SteeringDecision::Queued => {}
-            SteeringDecision::Reset => self.break_off(&payload, "no_rule").await,
+            SteeringDecision::Reset => self.reset_flow(&payload, "no_rule").await,
             SteeringDecision::Drop(cause) => self.drop_datagram(seg, cause),
         }
     }
 
-    /// Breaks off the flow of a caller's datagram.
-    async fn break_off(&self, payload: &Bytes, cause: &str) {
+    /// Sends the caller a reset of its flow.
+    async fn reset_flow(&self, payload: &Bytes, cause: &str) {
         let Some(seg) = self.codec.parse(payload) else {
             return;
         };
-        self.metrics.flows.with_label_values(&["reset"]).inc();
+        self.metrics.flow_events.with_label_values(&["reset"]).inc();
         log::info!(
             event = "reset", flow:% = seg.key_from_caller(), cause = cause,
-            set = self.set_number(); "flow broken off"
+            set = self.set_number(); "resetting the flow"
         );
         let to = SocketAddrV4::new(*seg.source.ip(), self.cfg.caller_port);
-        // A datagram may be lost anyway.
-        let _ = self.ingress.send_to(&self.codec.reset(&seg), to).await;
+        // The network may lose the datagram too, so a failed send is ignored.
+        let _ = self
+            .ingress_socket
+            .send_to(&self.codec.reset(&seg), to)
+            .await;
     }
 
-    async fn ask(&mut self, payload: &Bytes, agents: Vec<(SocketAddrV4, ServiceName)>) {
-        let head = Bytes::copy_from_slice(self.codec.header(payload));
+    async fn send_claim_queries(
+        &mut self,
+        payload: &Bytes,
+        agents: Vec<(SocketAddrV4, ServiceName)>,
+    ) {
+        let header = Bytes::copy_from_slice(self.codec.header(payload));
         for (agent, service) in agents {
             let tag = ServiceTag::of(&service);
-            let head = head.clone();
-            self.tell(agent, &Message::Ask { tag, head }).await;
+            let header = header.clone();
+            self.send_message(agent, &Message::ClaimQuery { tag, header })
+                .await;
         }
     }
 
@@ -222,55 +242,63 @@
 
     fn drop_datagram(&self, seg: &Segment, cause: DropReason) {
         self.metrics
-            .dropped
+            .dropped_datagrams
             .with_label_values(&[cause.as_str()])
             .inc();
         log::info!(
             event = "dropped", flow:% = seg.key_from_caller(), cause = cause.as_str(),
-            opening = u64::from(seg.is_opening()), set = self.set_number(); "datagram dropped"
+            opening = u64::from(seg.is_opening()), set = self.set_number(); "dropping a datagram of a caller"
         );
     }
 
-    async fn send(
+    async fn send_to_agent(
         &mut self,
         agent: SocketAddrV4,
         origin: Origin,
         service: &ServiceName,
         payload: Bytes,
     ) {
-        self.metrics.sent.with_label_values(&["agent"]).inc();
+        self.metrics
+            .sent_datagrams
+            .with_label_values(&["agent"])
+            .inc();
         let message = Message::Datagram {
             tag: ServiceTag::of(service),
             origin,
             via: self.cfg.peer_address,
-            declined: Vec::new(),
+            declined_by: Vec::new(),
             payload,
         };
-        self.tell(agent, &message).await;
+        self.send_message(agent, &message).await;
     }
 
-    async fn tell(&mut self, agent: SocketAddrV4, message: &Message) {
+    async fn send_message(&mut self, agent: SocketAddrV4, message: &Message) {
         match wire::encode(message) {
             Ok(datagram) => {
-                if !self.egress.push(agent, datagram) {
-                    self.metrics.dropped.with_label_values(&["link_full"]).inc();
-                    log::warn!(event = "link_full", agent:% = agent; "link cannot take a datagram in time");
+                if !self.egress_queue.push(agent, datagram) {
+                    self.metrics
+                        .dropped_datagrams
+                        .with_label_values(&["link_full"])
+                        .inc();
+                    log::warn!(event = "link_full", agent:% = agent; "egress queue is full; dropping a datagram to an agent");
                 }
                 self.flush().await;
             }
-            Err(e) => log::error!(event = "unencodable_message", error:% = e; "cannot encode"),
+            Err(e) => {
+                log::error!(event = "unencodable_message", error:% = e; "cannot encode a message to an agent");
+            }
         }
     }
 
-    /// Sends what the link can take.
+    /// Sends the queued datagrams that the link can transmit now.
     async fn flush(&mut self) {
-        while let Some((to, datagram)) = self.egress.pop(Instant::now()) {
-            // A datagram may be lost anyway.
-            let _ = self.peers.send_to(&datagram, to).await;
+        while let Some((to, datagram)) = self.egress_queue.pop(Instant::now()) {
+            // The network may lose the datagram too, so a failed send is ignored.
+            let _ = self.peer_socket.send_to(&datagram, to).await;
         }
     }
 
-    async fn release(&mut self, released: Vec<ReleasedDatagram>) {
+    async fn send_released(&mut self, released: Vec<ReleasedDatagram>) {
         for release in released {
             let ReleasedDatagram {
                 agent,
@@ -278,22 +306,25 @@
                 service,
                 payload,
             } = release;
-            self.send(agent, origin, &service, payload).await;
+            self.send_to_agent(agent, origin, &service, payload).await;
         }
     }
 
-    async fn on_agent(&mut self, datagram: &[u8], from: SocketAddrV4) {
+    async fn handle_agent_message(&mut self, datagram: &[u8], from: SocketAddrV4) {
         let now = Instant::now();
         let message = match wire::decode(datagram) {
             Ok(message) => message,
             Err(e) => {
-                log::debug!(event = "bad_message", from:% = from, error:% = e; "no message of an agent");
-                self.metrics.dropped.with_label_values(&["malformed"]).inc();
+                log::debug!(event = "bad_message", from:% = from, error:% = e; "dropping a datagram that is not a valid message of an agent");
+                self.metrics
+                    .dropped_datagrams
+                    .with_label_values(&["malformed"])
+                    .inc();
                 return;
             }
         };
         match message {
-            Message::Report(report) => self.report(from, &report, now),
+            Message::Report(report) => self.handle_report(from, &report, now),
             Message::NotHeld { payload } => {
                 let Some(seg) = self.codec.parse(&payload) else {
                     return;
@@ -303,44 +334,44 @@
                 let steer = self
                     .steering
                     .handle_not_held(key, from, payload.clone(), now);
-                self.carry_out(steer, &seg, payload).await;
+                self.apply_decision(steer, &seg, payload).await;
             }
             Message::Claim { key, claim } => {
                 if claim != Claim::No {
-                    log::info!(event = "claim", flow:% = key, agent:% = from, claim:? = claim; "agent answered");
+                    log::info!(event = "claim", flow:% = key, agent:% = from, claim:? = claim; "agent claims the flow");
                 }
                 let released = self.steering.handle_claim(key, from, claim, now);
-                self.release(released).await;
+                self.send_released(released).await;
             }
-            Message::Taken { key, service } => {
-                log::info!(event = "taken", flow:% = key, agent:% = from; "another agent took the flow");
+            Message::FlowTaken { key, service } => {
+                log::info!(event = "taken", flow:% = key, agent:% = from; "agent reports that it holds the flow");
                 let released = self.steering.record_holder(key, from, &service, now);
-                self.release(released).await;
+                self.send_released(released).await;
             }
-            Message::Holds { service, keys } => {
+            Message::HeldFlows { service, keys } => {
                 log::info!(
                     event = "told", agent:% = from, service:% = service, flows = keys.len();
-                    "agent tells which flows it holds"
+                    "agent listed the flows that it holds"
                 );
                 let released = self
                     .steering
                     .record_reported_flows(keys, from, &service, now);
-                self.release(released).await;
+                self.send_released(released).await;
             }
-            Message::Datagram { .. } | Message::Ask { .. } => {
+            Message::Datagram { .. } | Message::ClaimQuery { .. } => {
                 self.metrics
-                    .dropped
+                    .dropped_datagrams
                     .with_label_values(&["not_for_balancers"])
                     .inc();
             }
         }
-        // Answers of all agents may have come before the deadline.
+        // The replies of all agents may have arrived before the deadline.
         if self.steering.next_deadline().is_some_and(|at| now >= at) {
-            self.deadline_reached(now).await;
+            self.handle_deadlines(now).await;
         }
     }
 
-    fn report(&mut self, from: SocketAddrV4, report: &AgentReport, now: Instant) {
+    fn handle_report(&mut self, from: SocketAddrV4, report: &AgentReport, now: Instant) {
         let candidate = report.clone().candidate(now);
         let pool = self.steering.pool(&report.service);
         let known = pool.get(from).map(|known| (known.id, known.accepting));
@@ -348,46 +379,46 @@
             log::info!(
                 event = "agent", agent:% = from, service:% = report.service, run = report.run,
                 accepting = u64::from(report.accepting), slots = report.slots.0;
-                "an agent is new or has changed"
+                "agent is new, has restarted, or has changed whether it accepts flows"
             );
         }
         pool.insert(from, candidate);
-        self.note_ready();
+        self.update_readiness();
     }
 
-    fn update(&mut self, update: ControlUpdate) {
+    fn apply_update(&mut self, update: ControlUpdate) {
         match update {
-            ControlUpdate::Nodes(changes) => self.nodes_changed(changes, Instant::now()),
+            ControlUpdate::Nodes(changes) => self.apply_node_changes(changes, Instant::now()),
             ControlUpdate::NodeListComplete(until) => {
                 self.steering.set_directory_complete_until(until);
             }
             ControlUpdate::Routes(delta) => {
                 let (number, changed) = (delta.number, delta.changed.len());
-                let advanced = self.steering.routes_mut().advance(delta);
+                let applied = self.steering.routes_mut().advance(delta);
                 log::info!(
                     event = "routes", set = number.0, changed = changed,
-                    applied = u64::from(advanced); "newer routing set"
+                    applied = u64::from(applied); "received a newer routing set"
                 );
             }
         }
-        self.note_ready();
+        self.update_readiness();
     }
 
-    fn nodes_changed(&mut self, changes: ViewChanges, now: Instant) {
+    fn apply_node_changes(&mut self, changes: ViewChanges, now: Instant) {
         for node in changes.changed {
             if let NodeRole::Agent(service) = node.role.clone() {
-                self.agent_listed(&node, &service, now);
+                self.add_listed_agent(&node, &service, now);
             }
         }
         for node in changes.removed {
             if let NodeRole::Agent(_) = node.role {
-                self.listed.remove(&node.address);
+                self.listed_agents.remove(&node.address);
             }
         }
     }
 
-    fn agent_listed(&mut self, node: &Node, service: &ServiceName, now: Instant) {
-        self.listed.insert(node.address);
+    fn add_listed_agent(&mut self, node: &Node, service: &ServiceName, now: Instant) {
+        self.listed_agents.insert(node.address);
         let pool = self.steering.pool(service);
         match pool.get_mut(node.address) {
             Some(known) if known.id == UpstreamId(node.incarnation) => {
@@ -399,7 +430,7 @@
                     id: UpstreamId(node.incarnation),
                     data_centre: node.data_centre.clone(),
                     slots: Slots(1),
-                    // It takes flows once it has reported.
+                    // It is eligible for flows once it has sent a report.
                     accepting: false,
                     load: Load::default(),
                     reported_at: now,
@@ -409,54 +440,55 @@
         }
     }
 
-    fn note_ready(&mut self) {
+    fn update_readiness(&mut self) {
         let ready = self.steering.can_place(Instant::now());
         self.ready.send_if_modified(|known| {
             let changed = *known != ready;
             if changed {
-                log::info!(event = "ready", ready = u64::from(ready); "readiness changed");
+                log::info!(event = "ready", ready = u64::from(ready); "readiness of the balancer changed");
             }
             *known = ready;
             changed
         });
     }
 
-    async fn deadline_reached(&mut self, now: Instant) {
+    async fn handle_deadlines(&mut self, now: Instant) {
         let ended = self.steering.end_searches(now);
         for question in ended.queries {
             self.metrics
-                .flows
+                .flow_events
                 .with_label_values(&["searched_wider"])
                 .inc();
-            self.ask(&question.payload, question.agents).await;
+            self.send_claim_queries(&question.payload, question.agents)
+                .await;
         }
         for payload in ended.lost_flows {
-            self.break_off(&payload, "held_by_no_agent").await;
+            self.reset_flow(&payload, "held_by_no_agent").await;
         }
         let released = ended.released;
         for release in &released {
             if let Some(seg) = self.codec.parse(&release.payload) {
                 log::info!(
                     event = "tried", flow:% = seg.key_from_caller(), agent:% = release.agent;
-                    "no agent claims the flow; trying one that has restarted"
+                    "no agent claims the flow; delivering on trial to an agent whose upstream may hold it"
                 );
             }
         }
-        self.release(released).await;
-        if now < self.expire_at {
+        self.send_released(released).await;
+        if now < self.next_expiry_at {
             return;
         }
-        self.expire_at = now + EXPIRE;
+        self.next_expiry_at = now + EXPIRY_INTERVAL;
         self.steering.expire(now);
-        let listed = &self.listed;
+        let listed_agents = &self.listed_agents;
         for pool in self.steering.pools_mut() {
             pool.retain(|address, agent| {
-                listed.contains(&address) || now < agent.reported_at + FORGET
+                listed_agents.contains(&address) || now < agent.reported_at + UNLISTED_AGENT_TIMEOUT
             });
         }
         self.metrics
-            .known
+            .known_flows
             .set(i64::try_from(self.steering.hint_count()).unwrap_or(i64::MAX));
-        self.note_ready();
+        self.update_readiness();
     }
 }
--- a/crates/relay/src/process/balancer_table.rs
+++ b/crates/relay/src/process/balancer_table.rs
@@ -1,8 +1,8 @@
 //! The balancers that an agent knows, and which of them take over flows.
 //!
-//! Flows move from balancer to balancer when one leaves, comes back or is
-//! added. To search for each of them costs more datagrams than to tell the
-//! balancers that take over, and delays the flows.
+//! Flows move between balancers when one leaves, restarts or is added. A search
+//! for each flow costs more datagrams than a list of the flows for the balancers
+//! that take over, and delays the flows.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -12,85 +12,85 @@
 use directory::{Node, NodeRole, ViewChanges};
 use types::DataCentre;
 
-/// The balancers that an agent knows.
+/// The balancers that an agent knows from the directory.
 #[derive(Debug, Default)]
 pub struct BalancerTable {
-    known: BTreeMap<SocketAddrV4, Known>,
+    balancers: BTreeMap<SocketAddrV4, KnownBalancer>,
 }
 
 #[derive(Debug)]
-struct Known {
+struct KnownBalancer {
     run: u64,
     data_centre: DataCentre,
     leaving: bool,
 }
 
-/// Flows that came by way of some balancers may now come by way of others.
+/// Flows of some balancers may from now on arrive through others.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Handover {
-    /// Where the flows came from; a balancer that has started again is one of them.
+    /// Balancers that the flows came from; includes a balancer that has restarted.
     pub from: BTreeSet<SocketAddrV4>,
-    /// Who takes them over.
+    /// Balancers that take the flows over.
     pub to: Vec<SocketAddrV4>,
 }
 
 impl BalancerTable {
-    /// Notes changes of the directory and returns what follows for flows.
-    pub fn handovers(&mut self, changes: &ViewChanges) -> Vec<Handover> {
+    /// Applies changes of the directory and returns the handovers that they cause.
+    pub fn apply(&mut self, changes: &ViewChanges) -> Vec<Handover> {
         let mut handovers = Vec::new();
         for node in &changes.removed {
-            handovers.extend(self.removed(node));
+            handovers.extend(self.remove(node));
         }
         for node in &changes.changed {
             if node.role == NodeRole::Balancer {
-                handovers.extend(self.changed(node));
+                handovers.extend(self.update(node));
             }
         }
         handovers.retain(|handover| !handover.to.is_empty());
         handovers
     }
 
-    fn removed(&mut self, node: &Node) -> Option<Handover> {
-        let known = self.known.remove(&node.address)?;
-        // One that said that it leaves has been replaced already.
+    fn remove(&mut self, node: &Node) -> Option<Handover> {
+        let known = self.balancers.remove(&node.address)?;
+        // The flows of a leaving balancer were handed over when it announced that.
         (!known.leaving).then(|| Handover {
             from: [node.address].into(),
-            to: self.others(node.address, &known.data_centre),
+            to: self.successors(node.address, &known.data_centre),
         })
     }
 
-    fn changed(&mut self, node: &Node) -> Option<Handover> {
-        let known = Known {
+    fn update(&mut self, node: &Node) -> Option<Handover> {
+        let known = KnownBalancer {
             run: node.incarnation,
             data_centre: node.data_centre.clone(),
             leaving: node.leaving,
         };
-        let former = self.known.insert(node.address, known);
-        let started = former.as_ref().is_none_or(|f| f.run != node.incarnation);
+        let previous = self.balancers.insert(node.address, known);
+        let is_new_run = previous.as_ref().is_none_or(|f| f.run != node.incarnation);
         if node.leaving {
-            let said_before = former.is_some_and(|f| f.leaving && f.run == node.incarnation);
-            return (!said_before).then(|| Handover {
+            let already_leaving = previous.is_some_and(|f| f.leaving && f.run == node.incarnation);
+            return (!already_leaving).then(|| Handover {
                 from: [node.address].into(),
-                to: self.others(node.address, &node.data_centre),
+                to: self.successors(node.address, &node.data_centre),
             });
         }
-        started.then(|| Handover {
-            from: self.all_in(&node.data_centre),
+        is_new_run.then(|| Handover {
+            from: self.in_data_centre(&node.data_centre),
             to: vec![node.address],
         })
     }
 
-    /// The balancers of a data centre, also those that leave.
-    fn all_in(&self, data_centre: &DataCentre) -> BTreeSet<SocketAddrV4> {
-        let known = self.known.iter();
+    /// The balancers of a data centre, including leaving ones.
+    fn in_data_centre(&self, data_centre: &DataCentre) -> BTreeSet<SocketAddrV4> {
+        let known = self.balancers.iter();
         let known = known.filter(|(_, known)| known.data_centre == *data_centre);
         known.map(|(address, _)| *address).collect()
     }
 
-    /// The balancers that get the flows of one that has gone: the fabric keeps
-    /// a caller's datagrams in a data centre.
-    fn others(&self, gone: SocketAddrV4, data_centre: &DataCentre) -> Vec<SocketAddrV4> {
-        let known = self.known.iter();
+    /// The balancers that receive the flows of one that has gone. The fabric keeps
+    /// a caller's datagrams within a data centre.
+    fn successors(&self, gone: SocketAddrV4, data_centre: &DataCentre) -> Vec<SocketAddrV4> {
+        let known = self.balancers.iter();
         let known = known.filter(|(address, known)| {
             !known.leaving && known.data_centre == *data_centre && **address != gone
         });
--- a/crates/relay/src/process/metrics.rs
+++ b/crates/relay/src/process/metrics.rs
@@ -6,27 +6,27 @@
 
 /// Metrics of a balancer or agent. Clones share the values.
 #[derive(Debug, Clone)]
-pub struct Metrics {
-    /// Datagrams of callers that were taken.
-    pub received: IntCounter,
-    /// Datagrams that were sent on, by way.
-    pub sent: IntCounterVec,
-    /// Datagrams that were dropped, by cause.
-    pub dropped: IntCounterVec,
-    /// Flows that were decided about, by outcome.
-    pub flows: IntCounterVec,
-    /// Flows that are known.
-    pub known: IntGauge,
-    /// Requests in progress; agents only.
-    pub busy: IntGauge,
+pub struct RelayMetrics {
+    /// Datagrams received from callers.
+    pub received_datagrams: IntCounter,
+    /// Datagrams sent, by kind of receiver.
+    pub sent_datagrams: IntCounterVec,
+    /// Dropped datagrams, by cause.
+    pub dropped_datagrams: IntCounterVec,
+    /// Decisions about flows, by outcome.
+    pub flow_events: IntCounterVec,
+    /// Flows that an agent holds, or whose agent a balancer has cached.
+    pub known_flows: IntGauge,
+    /// Requests that wait for the first byte of their response; agents only.
+    pub busy_requests: IntGauge,
 }
 
-impl Metrics {
-    /// Registers the metrics.
+impl RelayMetrics {
+    /// Creates the metrics and registers them.
     ///
     /// # Errors
     ///
-    /// The registry already has one of the names.
+    /// The registry already has a metric with one of the names.
     pub fn new(registry: &Registry) -> Result<Self> {
         let counters = |name: &str, help: &str, label: &str| -> Result<IntCounterVec> {
             let counters = IntCounterVec::new(Opts::new(name, help), &[label])?;
@@ -38,30 +38,30 @@
             registry.register(Box::new(gauge.clone()))?;
             Ok(gauge)
         };
-        let received = IntCounter::new(
+        let received_datagrams = IntCounter::new(
             "limpet_relay_received_datagrams_total",
             "Datagrams of callers that were taken.",
         )?;
-        registry.register(Box::new(received.clone()))?;
-        Ok(Metrics {
-            received,
-            sent: counters(
+        registry.register(Box::new(received_datagrams.clone()))?;
+        Ok(RelayMetrics {
+            received_datagrams,
+            sent_datagrams: counters(
                 "limpet_relay_sent_datagrams_total",
                 "Datagrams that were sent on, by way.",
                 "way",
             )?,
-            dropped: counters(
+            dropped_datagrams: counters(
                 "limpet_relay_dropped_datagrams_total",
                 "Datagrams that were dropped, by cause.",
                 "cause",
             )?,
-            flows: counters(
+            flow_events: counters(
                 "limpet_relay_flows_total",
                 "Decisions about flows, by outcome.",
                 "outcome",
             )?,
-            known: gauge("limpet_relay_known_flows", "Flows that are known.")?,
-            busy: gauge(
+            known_flows: gauge("limpet_relay_known_flows", "Flows that are known.")?,
+            busy_requests: gauge(
                 "limpet_relay_busy_requests",
                 "Requests that wait for the first byte of their answer.",
             )?,
--- a/crates/relay/src/process/mod.rs
+++ b/crates/relay/src/process/mod.rs
@@ -1,15 +1,15 @@
-//! What lasts as long as the process: tasks, settings, metrics.
+//! State with the lifetime of the process: tasks, settings and metrics.
 
 mod agent;
-mod audience;
 mod balancer;
 mod balancer_table;
-mod egress;
+mod egress_queue;
 mod metrics;
+mod report_schedule;
 mod sync;
 
 pub use agent::{Agent, AgentSettings, UpstreamUpdate};
 pub use balancer::{Balancer, BalancerSettings};
 pub use balancer_table::{BalancerTable, Handover};
-pub use egress::{Egress, Outgoing};
+pub use egress_queue::{EgressQueue, OutgoingDatagram};
 pub use sync::{ControlSync, ControlSyncSettings, ControlUpdate};
--- a/crates/relay/src/process/sync.rs
+++ b/crates/relay/src/process/sync.rs
@@ -1,4 +1,4 @@
-//! The task that keeps a node up to date by way of the control hosts.
+//! The task that keeps a node in sync with the control hosts.
 
 use std::{
     collections::BTreeSet,
@@ -18,103 +18,103 @@
 
 use crate::{Error, Result};
 
-/// Pause between two hellos. A third of the time after which a control host
-/// does not tell of changes by itself any more.
-const HELLO: Duration = Duration::from_millis(500);
+/// Interval between hellos. A third of the time after which a control host stops
+/// sending changes to a node without being asked.
+const HELLO_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Pause between two hellos while no control host answers.
-const SEEK: Duration = Duration::from_millis(100);
+/// Interval between hellos while no control host is in use.
+const SEARCH_HELLO_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A control host that did not answer for this long is given up for another.
-const SILENT: Duration = Duration::from_millis(1200);
+/// A control host that has not replied for this long is replaced by another.
+const CONTROL_HOST_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// Control hosts that are remembered while none is in use.
-const INTRODUCED: usize = 32;
+/// Maximum number of introduced control hosts to keep while none is in use.
+const MAX_INTRODUCED_HOSTS: usize = 32;
 
-/// Control hosts that are tried at a time.
-const TRIED: usize = 6;
+/// Maximum number of control hosts that each hello is sent to during a search.
+const HOSTS_PER_SEARCH_HELLO: usize = 6;
 
-/// A control host without a routing set is not used for this long while others
-/// may answer: it may have no disk, or an empty one.
-const PATIENCE: Duration = Duration::from_secs(1);
+/// During a search, control hosts without a routing set are ignored for this long,
+/// as others may reply. Such a host may have no disk, or an empty one.
+const NO_ROUTES_GRACE: Duration = Duration::from_secs(1);
 
-/// A control host that has not heard its leader for this long is left for one
-/// that has. Longer than most elections, and well within the time in which a
+/// A control host without contact to its leader for this long is replaced by one
+/// with contact. Longer than most elections, and well within the time in which a
 /// change must be in force everywhere.
-const OUTDATED: Duration = Duration::from_millis(900);
+const LEADER_CONTACT_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// The word of a control host that the list of nodes is complete holds for this
-/// long: two pauses between hellos, so that one may be lost.
-const WHOLE: Duration = HELLO.saturating_mul(2);
+/// How long the list of nodes counts as complete after a control host has confirmed
+/// that. Two intervals between hellos, so that one may be lost.
+const NODE_LIST_VALIDITY: Duration = HELLO_INTERVAL.saturating_mul(2);
 
-/// Time for a control host to send what a node lacks of the routing set.
-const FETCH: Duration = Duration::from_millis(800);
+/// Timeout for fetching a delta of the routing set.
+const FETCH_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Bytes of a routing set at most.
-const MAX_SET: usize = 16 << 20;
+/// Maximum size of an encoded delta of the routing set.
+const MAX_ROUTING_SET_BYTES: usize = 16 << 20;
 
-/// What a node learns from the control hosts.
+/// An update from the control hosts.
 #[derive(Debug)]
 pub enum ControlUpdate {
-    /// Nodes that have come, changed or gone.
+    /// Nodes that were added, changed or removed.
     Nodes(ViewChanges),
-    /// A newer routing set.
+    /// A delta to a newer routing set.
     Routes(RoutingDelta),
-    /// All processes are listed, until then.
+    /// The list of nodes counts as complete until this deadline.
     NodeListComplete(Instant),
 }
 
 /// Settings of a [`ControlSync`] task.
 #[derive(Debug, Clone)]
 pub struct ControlSyncSettings {
-    /// What the node says of itself.
+    /// The node as it announces itself in hellos.
     pub node: Node,
     /// Local address of the task's socket.
     pub listen_address: SocketAddrV4,
-    /// Where control hosts reach it.
+    /// Address to which control hosts reply.
     pub reply_to: SocketAddrV4,
-    /// Hosts where control hosts may be found; they may change.
+    /// Hosts to search for control hosts; may change while the task runs.
     pub seeds: watch::Receiver<Vec<Ipv4Addr>>,
     /// UDP port of control hosts for hellos.
     pub node_port: u16,
-    /// TCP port of control hosts for calls.
+    /// TCP port of control hosts for HTTP requests.
     pub member_port: u16,
-    /// Whether the node needs the routing set.
+    /// Whether the task fetches the routing set.
     pub needs_routing_set: bool,
 }
 
-/// The task that keeps a node up to date by way of the control hosts.
+/// The task that announces a node to a control host and receives its updates.
 pub struct ControlSync {
     cfg: ControlSyncSettings,
     socket: UdpSocket,
     view: View,
     /// The control host in use.
-    host: Option<SocketAddrV4>,
-    /// Control hosts that others told of while none is in use.
-    introduced: BTreeSet<SocketAddrV4>,
-    /// Where the search for a control host goes on.
-    next_host: usize,
-    heard: Instant,
-    /// Since when no control host is in use, if none is.
-    seeking_since: Instant,
-    /// When the control host in use last heard the leader of its group.
-    current_at: Instant,
-    hello_at: Instant,
-    have: SetNumber,
-    /// Outcome of the call for the routing set that is under way.
-    fetch_tx: mpsc::Sender<Option<RoutingDelta>>,
-    fetch_rx: mpsc::Receiver<Option<RoutingDelta>>,
-    fetching: bool,
+    control_host: Option<SocketAddrV4>,
+    /// Control hosts that replies named while none is in use.
+    introduced_hosts: BTreeSet<SocketAddrV4>,
+    /// Rotation of the list of control hosts for the next search hello.
+    search_offset: usize,
+    last_reply_at: Instant,
+    /// When the search began, if no control host is in use.
+    search_started_at: Instant,
+    /// When the control host in use last confirmed contact to its leader.
+    leader_contact_at: Instant,
+    next_hello_at: Instant,
+    routing_set_number: SetNumber,
+    /// Result of the fetch in progress; `None` if it failed or there is no newer set.
+    fetch_result_tx: mpsc::Sender<Option<RoutingDelta>>,
+    fetch_result_rx: mpsc::Receiver<Option<RoutingDelta>>,
+    fetch_in_progress: bool,
     updates: mpsc::Sender<ControlUpdate>,
     stop: watch::Receiver<bool>,
 }
 
 impl ControlSync {
-    /// Opens the socket of the task.
+    /// Creates the task and binds its socket.
     ///
     /// # Errors
     ///
-    /// The socket cannot be opened.
+    /// The socket cannot be bound.
     pub fn new(
         cfg: ControlSyncSettings,
         updates: mpsc::Sender<ControlUpdate>,
@@ -122,177 +122,189 @@
     ) -> Result<Self> {
         let listen = SocketAddr::V4(cfg.listen_address);
         let socket = net::bind_udp(listen).map_err(|e| Error::Bind(listen, e))?;
-        let (fetch_tx, fetch_rx) = mpsc::channel(1);
+        let (fetch_result_tx, fetch_result_rx) = mpsc::channel(1);
         let now = Instant::now();
         Ok(ControlSync {
-            // Nodes that start together do not all ask the same host first.
-            next_host: usize::from(rand::random::<u8>()),
+            // A random offset spreads nodes that start together over the hosts.
+            search_offset: usize::from(rand::random::<u8>()),
             cfg,
             socket,
             view: View::default(),
-            host: None,
-            introduced: BTreeSet::new(),
-            heard: now,
-            seeking_since: now,
-            current_at: now,
-            hello_at: now,
-            have: SetNumber(0),
-            fetch_tx,
-            fetch_rx,
-            fetching: false,
+            control_host: None,
+            introduced_hosts: BTreeSet::new(),
+            last_reply_at: now,
+            search_started_at: now,
+            leader_contact_at: now,
+            next_hello_at: now,
+            routing_set_number: SetNumber(0),
+            fetch_result_tx,
+            fetch_result_rx,
+            fetch_in_progress: false,
             updates,
             stop,
         })
     }
 
-    /// Runs until the receiver of updates is gone.
+    /// Runs until the receiver of updates is dropped.
     pub async fn run(mut self) {
         let mut buf = vec![0; 64 * 1024];
         loop {
-            let hello_at = self.hello_at;
+            let next_hello_at = self.next_hello_at;
             tokio::select! {
                 received = self.socket.recv_from(&mut buf) => {
                     if let Ok((len, SocketAddr::V4(from))) = received {
-                        self.receive(&buf[..len], from).await;
+                        self.handle_reply(&buf[..len], from).await;
                     }
                 }
-                Some(fetched) = self.fetch_rx.recv() => self.fetched(fetched).await,
+                Some(fetched) = self.fetch_result_rx.recv() => self.handle_fetch_result(fetched).await,
                 _ = self.stop.changed(), if !self.cfg.node.leaving => {
                     self.cfg.node.leaving = true;
                     self.cfg.node.seq += 1;
-                    self.hello(Instant::now()).await;
+                    self.send_hello(Instant::now()).await;
                 }
-                () = sleep_until(hello_at.into()) => self.hello(Instant::now()).await,
+                () = sleep_until(next_hello_at.into()) => self.send_hello(Instant::now()).await,
                 () = self.updates.closed() => return,
             }
         }
     }
 
-    async fn hello(&mut self, now: Instant) {
+    async fn send_hello(&mut self, now: Instant) {
         let gone = self.view.expire(now);
-        self.tell(ViewChanges {
+        self.send_node_changes(ViewChanges {
             removed: gone,
             ..ViewChanges::default()
         })
         .await;
-        if let Some(host) = self.host
-            && now >= self.heard + SILENT
+        if let Some(host) = self.control_host
+            && now >= self.last_reply_at + CONTROL_HOST_TIMEOUT
         {
-            log::warn!(event = "control_lost", host:% = host; "control host does not answer; trying another");
-            self.host = None;
-            self.seeking_since = now;
+            log::warn!(event = "control_lost", host:% = host; "no reply from the control host; searching for another");
+            self.control_host = None;
+            self.search_started_at = now;
         }
-        self.hello_at = now + if self.host.is_some() { HELLO } else { SEEK };
+        self.next_hello_at = now
+            + if self.control_host.is_some() {
+                HELLO_INTERVAL
+            } else {
+                SEARCH_HELLO_INTERVAL
+            };
         let hosts = self
-            .host
-            .map_or_else(|| self.candidates(), |host| vec![host]);
+            .control_host
+            .map_or_else(|| self.search_candidates(), |host| vec![host]);
         let hello = ControlMessage::Hello(Hello {
             node: self.cfg.node.clone(),
             reply_to: self.cfg.reply_to,
-            version: self.host.map(|_| self.view.version()),
+            version: self.control_host.map(|_| self.view.version()),
         });
         match wire::encode(&hello) {
             Ok(datagram) => {
                 for host in hosts {
-                    // A datagram may be lost anyway.
+                    // The network may lose the datagram too, so a failed send is ignored.
                     let _ = self.socket.send_to(&datagram, host).await;
                 }
             }
-            Err(e) => log::error!(event = "unencodable_message", error:% = e; "cannot encode"),
+            Err(e) => {
+                log::error!(event = "unencodable_message", error:% = e; "cannot encode a hello");
+            }
         }
     }
 
-    /// The control hosts to try while none is in use, some of those that are
-    /// known and the seeds.
-    fn candidates(&mut self) -> Vec<SocketAddrV4> {
+    /// The control hosts to send the next search hello to, from the known ones, the
+    /// introduced ones and the seeds.
+    fn search_candidates(&mut self) -> Vec<SocketAddrV4> {
         let port = self.cfg.node_port;
         let seeds = self.cfg.seeds.borrow().clone();
         let seeds = seeds.into_iter().map(|ip| SocketAddrV4::new(ip, port));
         let known = self.view.nodes().filter(|node| node.is_control());
         let known = known.map(|node| node.address);
-        let introduced = self.introduced.iter().copied();
-        let mut hosts: Vec<SocketAddrV4> = known.chain(introduced).chain(seeds).collect();
+        let introduced_hosts = self.introduced_hosts.iter().copied();
+        let mut hosts: Vec<SocketAddrV4> = known.chain(introduced_hosts).chain(seeds).collect();
         hosts.sort_unstable();
         hosts.dedup();
         let len = hosts.len();
-        self.next_host += 1;
-        hosts.rotate_left(self.next_host.checked_rem(len).unwrap_or(0));
-        hosts.truncate(TRIED);
+        self.search_offset += 1;
+        hosts.rotate_left(self.search_offset.checked_rem(len).unwrap_or(0));
+        hosts.truncate(HOSTS_PER_SEARCH_HELLO);
         hosts
     }
 
-    async fn receive(&mut self, datagram: &[u8], from: SocketAddrV4) {
+    async fn handle_reply(&mut self, datagram: &[u8], from: SocketAddrV4) {
         let now = Instant::now();
         let reply: HelloReply = match wire::decode(datagram) {
             Ok(reply) => reply,
             Err(e) => {
-                log::debug!(event = "bad_reply", from:% = from, error:% = e; "datagram is no reply");
+                log::debug!(event = "bad_reply", from:% = from, error:% = e; "dropping a datagram that is not a valid reply of a control host");
                 return;
             }
         };
-        if self.host.is_none() {
+        if self.control_host.is_none() {
             let holds_routes = reply.current || reply.routing_set > SetNumber(0);
-            if !holds_routes && now < self.seeking_since + PATIENCE {
-                // It may know where others are.
+            if !holds_routes && now < self.search_started_at + NO_ROUTES_GRACE {
+                // Its reply names other control hosts.
                 for host in reply.control_hosts {
-                    if self.introduced.len() < INTRODUCED && self.introduced.insert(host) {
-                        self.hello_at = now;
+                    if self.introduced_hosts.len() < MAX_INTRODUCED_HOSTS
+                        && self.introduced_hosts.insert(host)
+                    {
+                        self.next_hello_at = now;
                     }
                 }
                 return;
             }
-            log::info!(event = "control_found", host:% = from; "control host answers");
-            self.host = Some(from);
-            self.introduced.clear();
-            // It has sent no news yet.
-            self.hello_at = now;
+            log::info!(event = "control_found", host:% = from; "using the control host that replied");
+            self.control_host = Some(from);
+            self.introduced_hosts.clear();
+            // Request the list of nodes: the reply to a search has none.
+            self.next_hello_at = now;
         }
-        if self.host != Some(from) {
+        if self.control_host != Some(from) {
             return;
         }
-        self.heard = now;
+        self.last_reply_at = now;
         if let Some(news) = reply.delta {
             let changes = self.view.apply(news, now);
-            self.tell(changes).await;
+            self.send_node_changes(changes).await;
         }
         if reply.current {
-            self.current_at = now;
+            self.leader_contact_at = now;
         }
-        // News of the list may have been lost on its way here.
+        // The view is complete only if no delta was lost.
         if reply.complete && self.view.version() == reply.version {
-            // The receiver ends only with the process.
+            // The receiver is only dropped when the process ends.
             let _ = self
                 .updates
-                .send(ControlUpdate::NodeListComplete(now + WHOLE))
+                .send(ControlUpdate::NodeListComplete(now + NODE_LIST_VALIDITY))
                 .await;
         }
-        self.prefer_current(now);
-        if self.cfg.needs_routing_set && reply.routing_set > self.have && !self.fetching {
-            self.fetch(from);
+        self.switch_control_host(now);
+        if self.cfg.needs_routing_set
+            && reply.routing_set > self.routing_set_number
+            && !self.fetch_in_progress
+        {
+            self.start_fetch(from);
         }
     }
 
-    /// Moves to a control host that knows the latest configuration, of the own
-    /// data centre if there is one. One that has lost its leader for a moment is
-    /// not left: all have during an election.
-    fn prefer_current(&mut self, now: Instant) {
+    /// Switches to a control host with contact to its leader, preferably in the own
+    /// data centre. A short loss of contact is tolerated, because all control hosts
+    /// lose it during an election.
+    fn switch_control_host(&mut self, now: Instant) {
         let near = |node: &&Node| node.data_centre == self.cfg.node.data_centre;
         let host = self
             .view
             .nodes()
-            .find(|node| Some(node.address) == self.host);
+            .find(|node| Some(node.address) == self.control_host);
         let holds_routes = host.is_some_and(Node::is_formed);
-        let outdated = now >= self.current_at + OUTDATED;
+        let outdated = now >= self.leader_contact_at + LEADER_CONTACT_TIMEOUT;
         if holds_routes && !outdated && host.is_some_and(|node| near(&node)) {
             return;
         }
         let others = self
             .view
             .nodes()
-            .filter(|node| Some(node.address) != self.host);
+            .filter(|node| Some(node.address) != self.control_host);
         let mut others = others.filter(|node| node.is_formed() && !node.leaving);
         let better = if !holds_routes {
-            // A set from the disk is better than none while no leader is elected.
+            // A routing set from the disk is better than none while there is no leader.
             others.max_by_key(|node| (node.is_current(), near(node)))
         } else if outdated {
             others.filter(|node| node.is_current()).max_by_key(near)
@@ -302,59 +314,63 @@
         if let Some(node) = better {
             log::info!(
                 event = "control_moved", host:% = node.address, outdated = u64::from(outdated);
-                "using another control host"
+                "switching to another control host"
             );
-            self.host = Some(node.address);
-            self.heard = now;
-            self.current_at = now;
-            self.hello_at = now;
+            self.control_host = Some(node.address);
+            self.last_reply_at = now;
+            self.leader_contact_at = now;
+            self.next_hello_at = now;
         }
     }
 
-    fn fetch(&mut self, host: SocketAddrV4) {
-        self.fetching = true;
-        let have = self.have;
-        let tx = self.fetch_tx.clone();
+    fn start_fetch(&mut self, host: SocketAddrV4) {
+        self.fetch_in_progress = true;
+        let have = self.routing_set_number;
+        let tx = self.fetch_result_tx.clone();
         let address = SocketAddrV4::new(*host.ip(), self.cfg.member_port);
         actix_rt::spawn(async move {
-            let delta = fetch(address, have).await;
-            // The receiver lives as long as the process.
+            let delta = fetch_routing_delta(address, have).await;
+            // The receiver is only dropped when the process ends.
             let _ = tx.send(delta).await;
         });
     }
 
-    async fn fetched(&mut self, delta: Option<RoutingDelta>) {
-        self.fetching = false;
+    async fn handle_fetch_result(&mut self, delta: Option<RoutingDelta>) {
+        self.fetch_in_progress = false;
         let Some(delta) = delta else {
-            // The next reply asks again.
+            // The next reply starts another fetch.
             return;
         };
-        if delta.number <= self.have || delta.base.is_some_and(|base| base != self.have) {
+        if delta.number <= self.routing_set_number
+            || delta
+                .base
+                .is_some_and(|base| base != self.routing_set_number)
+        {
             return;
         }
-        self.have = delta.number;
-        // The receiver ends only with the process.
+        self.routing_set_number = delta.number;
+        // The receiver is only dropped when the process ends.
         let _ = self.updates.send(ControlUpdate::Routes(delta)).await;
-        self.hello_at = Instant::now();
+        self.next_hello_at = Instant::now();
     }
 
-    async fn tell(&mut self, changes: ViewChanges) {
+    async fn send_node_changes(&mut self, changes: ViewChanges) {
         if changes != ViewChanges::default() {
-            // The receiver ends only with the process.
+            // The receiver is only dropped when the process ends.
             let _ = self.updates.send(ControlUpdate::Nodes(changes)).await;
         }
     }
 }
 
-async fn fetch(host: SocketAddrV4, have: SetNumber) -> Option<RoutingDelta> {
+async fn fetch_routing_delta(host: SocketAddrV4, have: SetNumber) -> Option<RoutingDelta> {
     let body = Bytes::from(wire::encode(&have).ok()?);
-    let deadline = Instant::now() + FETCH;
+    let deadline = Instant::now() + FETCH_TIMEOUT;
     let response = net::send_request(
         host.into(),
         Method::POST,
         ROUTES_PATH,
         body,
-        MAX_SET,
+        MAX_ROUTING_SET_BYTES,
         deadline,
     );
     let failed = match response.await {
@@ -366,6 +382,6 @@
         Ok((status, _)) => status.to_string(),
         Err(e) => e.to_string(),
     };
-    log::warn!(event = "routes_not_fetched", host:% = host, error = failed.as_str(); "cannot fetch the routing set");
+    log::warn!(event = "routes_not_fetched", host:% = host, error = failed.as_str(); "cannot fetch the routing set from the control host");
     None
 }
--- a/crates/relay/tests/egress.rs
+++ b/crates/relay/tests/egress.rs
@@ -1,88 +1,89 @@
-//! What goes out over a thin link.
+//! Pacing of datagrams to a low-bandwidth link.
 
 use std::{
     net::{Ipv4Addr, SocketAddrV4},
     time::{Duration, Instant},
 };
 
-use relay::Egress;
+use relay::EgressQueue;
 use types::BytesPerSecond;
 
-const TO: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 7000);
+const DESTINATION: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 7000);
 
-/// 4.6 Mbit/s, as the thin hosts have.
-fn thin() -> BytesPerSecond {
+/// 4.6 Mbit/s, the rate of the hosts with the slowest links.
+fn slow_link() -> BytesPerSecond {
     BytesPerSecond::from_megabits(4.6).unwrap()
 }
 
-/// Guards against a caller's window that overflows the queue of a thin link:
-/// uploads lost most of it, and waited for the time-outs of their callers.
+/// Guards against a caller's window that overflows the queue of a slow link. The
+/// link dropped most of an upload's window, which the caller retransmitted only
+/// after its timeout.
 #[test]
-fn a_window_leaves_at_the_pace_of_the_link() {
+fn a_window_is_sent_at_the_rate_of_the_link() {
     let start = Instant::now();
-    let mut egress = Egress::new(Some(thin()), start);
+    let mut queue = EgressQueue::new(Some(slow_link()), start);
     for _ in 0..16 {
-        assert!(egress.push(TO, vec![0; 1260]));
+        assert!(queue.push(DESTINATION, vec![0; 1260]));
     }
     let mut now = start;
     let mut sent = 0;
-    let mut ahead = 0;
-    while let Some(due) = egress.next_deadline() {
+    let mut max_ahead = 0;
+    while let Some(due) = queue.next_deadline() {
         now = now.max(due);
-        while egress.pop(now).is_some() {
+        while queue.pop(now).is_some() {
             sent += 1;
         }
-        let taken = (now - start).as_micros() * 575 / 1_288_000;
-        ahead = ahead.max(sent - i64::try_from(taken).unwrap());
+        let transmitted = (now - start).as_micros() * 575 / 1_288_000;
+        max_ahead = max_ahead.max(sent - i64::try_from(transmitted).unwrap());
     }
     assert_eq!(sent, 16);
-    // The queue of a link holds some 24 of these.
-    assert!(ahead <= 7, "{ahead} datagrams ahead of the link");
+    // The queue of a link holds about 24 of these datagrams.
+    assert!(max_ahead <= 7, "{max_ahead} datagrams ahead of the link");
 }
 
-/// Guards against opening datagrams that wait behind uploads.
+/// Guards against opening datagrams that are queued behind uploads.
 #[test]
-fn small_datagrams_go_first() {
+fn small_datagrams_are_sent_first() {
     let now = Instant::now();
-    let mut egress = Egress::new(Some(thin()), now);
-    assert!(egress.push(TO, vec![0; 1260]));
-    assert!(egress.push(TO, vec![1; 60]));
-    assert_eq!(
-        egress.pop(now).map(|(_, datagram)| datagram.len()),
-        Some(60)
-    );
+    let mut queue = EgressQueue::new(Some(slow_link()), now);
+    assert!(queue.push(DESTINATION, vec![0; 1260]));
+    assert!(queue.push(DESTINATION, vec![1; 60]));
+    assert_eq!(queue.pop(now).map(|(_, datagram)| datagram.len()), Some(60));
 }
 
-/// Guards against a queue that holds what the callers send again.
+/// Guards against a queue so long that callers retransmit what it still holds.
 #[test]
-fn a_full_queue_takes_nothing_more() {
+fn a_full_queue_rejects_datagrams() {
     let now = Instant::now();
-    let mut egress = Egress::new(Some(thin()), now);
-    let kept = (0..1000)
-        .take_while(|_| egress.push(TO, vec![0; 1260]))
+    let mut queue = EgressQueue::new(Some(slow_link()), now);
+    let accepted = (0..1000)
+        .take_while(|_| queue.push(DESTINATION, vec![0; 1260]))
         .count();
-    assert!((100..200).contains(&kept), "{kept}");
+    assert!(
+        (100..200).contains(&accepted),
+        "{accepted} datagrams accepted"
+    );
 }
 
-/// Guards against pacing where no rate is known.
+/// Guards against pacing without a configured rate.
 #[test]
-fn without_a_rate_everything_goes_at_once() {
+fn without_a_rate_nothing_is_paced() {
     let now = Instant::now();
-    let mut egress = Egress::new(None, now);
+    let mut queue = EgressQueue::new(None, now);
     for _ in 0..1000 {
-        assert!(egress.push(TO, vec![0; 1260]));
+        assert!(queue.push(DESTINATION, vec![0; 1260]));
     }
     for _ in 0..1000 {
-        assert!(egress.pop(now).is_some());
+        assert!(queue.pop(now).is_some());
     }
-    assert_eq!(egress.next_deadline(), None);
+    assert_eq!(queue.next_deadline(), None);
 }
 
-/// Guards against rates that are nonsense.
+/// Guards against rates that are not positive numbers.
 #[test]
-fn only_rates_above_zero_are_rates() {
+fn rates_that_are_not_positive_are_rejected() {
     for megabits in [0.0, -1.0, f64::NAN] {
         assert_eq!(BytesPerSecond::from_megabits(megabits), None);
     }
-    assert_eq!(thin().time(575_000), Duration::from_secs(1));
+    assert_eq!(slow_link().time(575_000), Duration::from_secs(1));
 }
--- a/crates/relay/tests/handover.rs
+++ b/crates/relay/tests/handover.rs
@@ -1,4 +1,4 @@
-//! Which balancers are told of flows, and when.
+//! Which balancers receive the list of flows, and when.
 
 use std::net::SocketAddrV4;
 
@@ -25,15 +25,15 @@
     }
 }
 
-/// Three balancers, the last one in another data centre.
-fn three() -> BalancerTable {
+/// A table of three balancers, the last one in another data centre.
+fn three_balancers() -> BalancerTable {
     let mut balancers = BalancerTable::default();
     let nodes = vec![
         balancer(1, 1, "a", false),
         balancer(2, 1, "a", false),
         balancer(3, 1, "b", false),
     ];
-    balancers.handovers(&changed(nodes));
+    balancers.apply(&changed(nodes));
     balancers
 }
 
@@ -44,10 +44,10 @@
     }
 }
 
-/// Guards against searches for all flows of a balancer that leaves, starts
-/// again, is added or dies: they filled the thin links of the others.
+/// Guards against a search for each flow of a balancer that leaves, restarts, is
+/// added or crashes. These searches saturated the slow links of the other balancers.
 #[test]
-fn those_who_take_over_are_told() {
+fn flows_are_handed_over_to_successors() {
     let cases = [
         (
             "leaves",
@@ -55,7 +55,7 @@
             vec![handover(&[1], &[2])],
         ),
         (
-            "starts again",
+            "restarts",
             changed(vec![balancer(1, 2, "a", false)]),
             vec![handover(&[1, 2], &[1])],
         ),
@@ -65,7 +65,7 @@
             vec![handover(&[1, 2, 4], &[4])],
         ),
         (
-            "dies",
+            "crashes",
             ViewChanges {
                 removed: vec![balancer(1, 1, "a", false)],
                 ..ViewChanges::default()
@@ -73,31 +73,31 @@
             vec![handover(&[1], &[2])],
         ),
         (
-            "is alone and leaves",
+            "is the only one and leaves",
             changed(vec![balancer(3, 1, "b", true)]),
             vec![],
         ),
         (
-            "says the same again",
+            "is announced again unchanged",
             changed(vec![balancer(1, 1, "a", false)]),
             vec![],
         ),
     ];
-    for (what, changes, expected) in cases {
-        assert_eq!(three().handovers(&changes), expected, "{what}");
+    for (name, changes, expected) in cases {
+        assert_eq!(three_balancers().apply(&changes), expected, "{name}");
     }
 }
 
 /// Guards against flows that are handed over twice.
 #[test]
-fn one_that_has_left_is_handed_over_once() {
-    let mut balancers = three();
+fn a_leaving_balancer_is_handed_over_once() {
+    let mut balancers = three_balancers();
     let leaving = changed(vec![balancer(1, 1, "a", true)]);
-    assert_eq!(balancers.handovers(&leaving).len(), 1);
-    assert_eq!(balancers.handovers(&leaving), []);
+    assert_eq!(balancers.apply(&leaving).len(), 1);
+    assert_eq!(balancers.apply(&leaving), []);
     let gone = ViewChanges {
         removed: vec![balancer(1, 1, "a", true)],
         ..ViewChanges::default()
     };
-    assert_eq!(balancers.handovers(&gone), []);
+    assert_eq!(balancers.apply(&gone), []);
 }
