--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,8 +1,8 @@
-//! Sockets and small HTTP servers and clients that several processes use alike.
+//! UDP sockets and a minimal HTTP server and client that several processes share.
 //!
-//! [`serve`] and [`send_request`] are for control traffic of processes that must stay
-//! small: a connection for each call, so that a connection that has gone silent
-//! holds back nothing, and no thread of their own.
+//! [`serve`] and [`send_request`] carry the control traffic of processes that must
+//! stay small. They start no threads, and each request opens a connection of its
+//! own, so that a stalled connection delays no other request.
 
 pub mod process;
 pub mod request;
--- a/crates/net/src/process/mod.rs
+++ b/crates/net/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as the process.
+//! Sockets and servers with the lifetime of the process.
 
 mod serve;
 mod udp;
--- a/crates/net/src/process/serve.rs
+++ b/crates/net/src/process/serve.rs
@@ -1,4 +1,4 @@
-//! A small HTTP server.
+//! A minimal HTTP server.
 
 use std::{convert::Infallible, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -16,16 +16,16 @@
 
 use crate::request::{BufferedRequest, BufferedResponse, Handler};
 
-/// Bounds of a server.
+/// Limits and timeouts of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ServerLimits {
-    /// Connections that are open at a time; others wait in the kernel's queue.
+    /// Connections that are open at a time; others wait in the listen backlog.
     pub max_connections: usize,
-    /// Bytes of a request's body.
+    /// Size of a request body; larger ones get status 413.
     pub max_body_bytes: usize,
-    /// Time for the head of a request, also on a connection that is kept open.
+    /// Time to receive the header of a request, also on a connection that is kept open.
     pub header_timeout: Duration,
-    /// Time for a body to arrive and for the answer to be worked out.
+    /// Time to receive the body and to produce the response; status 503 after that.
     pub request_timeout: Duration,
 }
 
@@ -40,10 +40,11 @@
     }
 }
 
-/// Pause after a failed accept, which is a lack of descriptors in most cases.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay before the next accept after a failed one. Most failures are a lack of file
+/// descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Serves connections until the future is dropped. Must run on a local task set.
+/// Serves connections until the future is dropped. Must run in a Tokio `LocalSet`.
 pub async fn serve<H: Handler>(listener: TcpListener, handler: H, limits: ServerLimits) {
     let permits = Arc::new(Semaphore::new(limits.max_connections));
     loop {
@@ -59,8 +60,8 @@
                 });
             }
             Err(e) => {
-                log::warn!(event = "accept_failed", error:% = e; "cannot accept a connection");
-                sleep(ACCEPT_PAUSE).await;
+                log::warn!(event = "accept_failed", error:% = e; "cannot accept an HTTP connection");
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -72,7 +73,7 @@
     handler: H,
     limits: ServerLimits,
 ) {
-    // Only a socket that is already closed refuses this.
+    // This fails only if the socket is already closed.
     let _ = stream.set_nodelay(true);
     let service = service_fn(|req| {
         let handler = handler.clone();
@@ -84,7 +85,7 @@
         .serve_connection(TokioIo::new(stream), service)
         .await;
     if let Err(e) = served {
-        log::debug!(event = "connection_failed", from:% = client_address, error:% = e; "a connection broke");
+        log::debug!(event = "connection_failed", from:% = client_address, error:% = e; "HTTP connection failed");
     }
 }
 
--- a/crates/net/src/request/message.rs
+++ b/crates/net/src/request/message.rs
@@ -1,38 +1,38 @@
-//! Requests and answers whose bodies are in memory.
+//! HTTP requests and responses whose bodies are in memory.
 
 use std::{future::Future, net::SocketAddr};
 
 use bytes::Bytes;
 use http::{Method, StatusCode};
 
-/// A request whose body has been read.
+/// An HTTP request whose body has been read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BufferedRequest {
-    /// The method.
+    /// The HTTP method.
     pub method: Method,
-    /// The path, without a query.
+    /// The path, without the query.
     pub path: String,
-    /// The body.
+    /// The whole body.
     pub body: Bytes,
     /// Address from which the request was sent.
     pub client_address: SocketAddr,
 }
 
-/// An answer.
+/// An HTTP response whose body is in memory.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BufferedResponse {
-    /// The status.
+    /// The status code.
     pub status: StatusCode,
-    /// The type of the body; none without a body.
+    /// Value of the `content-type` field; the field is omitted if this is empty.
     pub content_type: &'static str,
-    /// Where else to ask; none if empty.
+    /// Value of the `location` field; the field is omitted if this is empty.
     pub location: String,
-    /// The body.
+    /// The whole body; may be empty.
     pub body: Bytes,
 }
 
 impl BufferedResponse {
-    /// Sends the caller to another place.
+    /// A temporary redirect (307) to `location`.
     #[must_use]
     pub fn redirect(location: String) -> Self {
         BufferedResponse {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// An answer without a body.
+    /// A response without a body.
     #[must_use]
     pub fn empty(status: StatusCode) -> Self {
         BufferedResponse {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// A successful answer with a body.
+    /// A response with status 200 and a body.
     #[must_use]
     pub fn ok(content_type: &'static str, body: impl Into<Bytes>) -> Self {
         BufferedResponse {
@@ -64,8 +64,8 @@
     }
 }
 
-/// Answers requests. A clone of it serves each connection.
+/// Handles requests. Each connection gets a clone of the handler.
 pub trait Handler: Clone + 'static {
-    /// Answers a request.
+    /// Returns the response to a request.
     fn handle(&self, req: BufferedRequest) -> impl Future<Output = BufferedResponse>;
 }
--- a/crates/net/src/request/mod.rs
+++ b/crates/net/src/request/mod.rs
@@ -1,4 +1,4 @@
-//! What lasts for one HTTP request.
+//! Types and functions with the lifetime of one HTTP request.
 
 mod message;
 mod send;
--- a/crates/net/src/request/send.rs
+++ b/crates/net/src/request/send.rs
@@ -1,4 +1,4 @@
-//! One call to another process.
+//! An HTTP client for one request to another process.
 
 use std::{io, net::SocketAddr, time::Instant};
 
@@ -9,41 +9,41 @@
 use hyper_util::rt::TokioIo;
 use tokio::{net::TcpStream, time::timeout_at};
 
-/// Why a call brought no answer.
+/// Why a request got no complete response.
 #[derive(Debug, thiserror::Error)]
 pub enum RequestError {
-    /// The deadline has passed.
-    #[error("no answer before the deadline")]
+    /// The deadline passed before the response was complete.
+    #[error("no complete response before the deadline")]
     Deadline,
-    /// The connection could not be opened.
+    /// The connection could not be opened or configured.
     #[error("cannot connect: {0}")]
     Connect(#[source] io::Error),
-    /// The connection broke, or the answer is not HTTP.
-    #[error("the exchange failed: {0}")]
+    /// The connection failed, or the response is not valid HTTP.
+    #[error("HTTP exchange failed: {0}")]
     Exchange(#[from] hyper::Error),
-    /// The answer is longer than allowed, or broke off.
-    #[error("cannot read the body of the answer: {0}")]
+    /// The body of the response is longer than allowed, or incomplete.
+    #[error("cannot read the response body: {0}")]
     Body(#[source] Box<dyn std::error::Error + Send + Sync>),
-    /// The request cannot be written.
-    #[error("invalid request: {0}")]
+    /// The method, path and address make no valid request.
+    #[error("invalid HTTP request: {0}")]
     Request(#[from] http::Error),
 }
 
-/// Sends a request on a connection of its own and returns the status and body
-/// of the answer, of at most `max_body` bytes.
+/// Sends a request on a new connection and returns the status and body of the
+/// response. The body may have at most `max_body_bytes` bytes.
 ///
 /// # Errors
 ///
-/// No whole answer came before the deadline.
+/// The request failed, or no complete response arrived before the deadline.
 pub async fn send_request(
     address: SocketAddr,
     method: Method,
     path: &str,
     body: Bytes,
-    max_body: usize,
+    max_body_bytes: usize,
     deadline: Instant,
 ) -> Result<(StatusCode, Bytes), RequestError> {
-    let exchange = exchange(address, method, path, body, max_body);
+    let exchange = exchange(address, method, path, body, max_body_bytes);
     timeout_at(deadline.into(), exchange)
         .await
         .map_err(|_| RequestError::Deadline)?
@@ -54,7 +54,7 @@
     method: Method,
     path: &str,
     body: Bytes,
-    max_body: usize,
+    max_body_bytes: usize,
 ) -> Result<(StatusCode, Bytes), RequestError> {
     let stream = TcpStream::connect(address).await;
     let stream = stream.map_err(RequestError::Connect)?;
@@ -68,19 +68,20 @@
     let exchange = async {
         let response = sender.send_request(req).await?;
         let status = response.status();
-        let body = Limited::new(response.into_body(), max_body).collect();
+        let body = Limited::new(response.into_body(), max_body_bytes).collect();
         let body = body.await.map_err(RequestError::Body)?;
         Ok((status, body.to_bytes()))
     };
-    // Both run in this task, so that dropping the call closes the connection.
+    // Both futures run in this task, so that dropping the caller's future closes the
+    // connection.
     tokio::pin!(exchange, connection);
-    let mut open = true;
+    let mut connection_open = true;
     loop {
         tokio::select! {
             result = &mut exchange => return result,
-            ended = &mut connection, if open => {
+            ended = &mut connection, if connection_open => {
                 ended?;
-                open = false;
+                connection_open = false;
             }
         }
     }
--- a/crates/net/tests/http.rs
+++ b/crates/net/tests/http.rs
@@ -1,4 +1,4 @@
-//! The small HTTP server and client.
+//! The HTTP server and client.
 
 use std::{
     net::SocketAddr,
@@ -29,7 +29,7 @@
     }
 }
 
-async fn server() -> SocketAddr {
+async fn start_server() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let limits = ServerLimits {
@@ -51,11 +51,11 @@
     send_request(address, Method::POST, path, body, 1000, deadline).await
 }
 
-/// Guards against bodies that are cut, and against too large ones that are taken.
+/// Guards against truncated bodies, and against oversized ones that are accepted.
 #[test]
-fn answers_by_size_and_path() {
+fn status_depends_on_body_size_and_path() {
     System::new().block_on(async {
-        let address = server().await;
+        let address = start_server().await;
         let (status, body) = post(address, "/echo", 1000).await.unwrap();
         assert_eq!((status, body.len()), (StatusCode::OK, 1000));
         let cases = [
@@ -73,34 +73,34 @@
     });
 }
 
-/// Guards against a call that waits for ever on a host that takes connections
-/// and says nothing.
+/// Guards against a request that waits forever for a host that accepts the
+/// connection and sends nothing.
 #[test]
-fn a_silent_host_costs_no_more_than_the_deadline() {
+fn a_request_to_an_unresponsive_host_ends_at_the_deadline() {
     System::new().block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         let start = Instant::now();
         let deadline = start + Duration::from_millis(100);
-        let answer = send_request(address, Method::GET, "/", Bytes::new(), 10, deadline).await;
-        assert!(matches!(answer, Err(RequestError::Deadline)));
+        let result = send_request(address, Method::GET, "/", Bytes::new(), 10, deadline).await;
+        assert!(matches!(result, Err(RequestError::Deadline)));
         assert!(start.elapsed() < Duration::from_secs(2));
     });
 }
 
-/// Guards against a server that ends on bytes that are no HTTP.
+/// Guards against a server that stops after bytes that are not HTTP.
 #[test]
-fn garbage_does_not_end_the_server() {
+fn invalid_http_does_not_stop_the_server() {
     System::new().block_on(async {
-        let address = server().await;
-        for garbage in [
+        let address = start_server().await;
+        for bytes in [
             &b"\x00\xff\x00"[..],
             b"GET",
             b"POST /echo HTTP/1.1\r\ncontent-length: -1\r\n\r\n",
         ] {
             let stream = tokio::net::TcpStream::connect(address).await.unwrap();
             stream.writable().await.unwrap();
-            stream.try_write(garbage).unwrap();
+            stream.try_write(bytes).unwrap();
         }
         assert_eq!(post(address, "/echo", 1).await.unwrap().0, StatusCode::OK);
     });
