--- a/crates/bench/src/bin/relay.rs
+++ b/crates/bench/src/bin/relay.rs
@@ -193,7 +193,7 @@
 /// Reports an agent to the balancer and opens the flows there.
 fn open_flows(sink: &UdpSocket, ingress: SocketAddrV4, peer: SocketAddrV4, flows: u32) {
     let report = Message::Report(AgentReport {
-        run: 1,
+        incarnation: 1,
         data_centre: "dc".parse().expect("a name"),
         service: service(),
         slots: Slots(8),
--- a/crates/relay/src/connection/message.rs
+++ b/crates/relay/src/connection/message.rs
@@ -82,8 +82,8 @@
 /// State of an agent and load of its upstream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AgentReport {
-    /// Random id that differs for each run of the agent's process.
-    pub run: u64,
+    /// Random incarnation of the agent's process; differs after each restart.
+    pub incarnation: u64,
     /// Data centre of the agent.
     pub data_centre: DataCentre,
     /// Service of its upstream.
@@ -101,7 +101,7 @@
     #[must_use]
     pub fn candidate(self, now: Instant) -> AgentStatus {
         AgentStatus {
-            id: UpstreamId(self.run),
+            id: UpstreamId(self.incarnation),
             data_centre: self.data_centre,
             slots: self.slots,
             accepting: self.accepting,
--- a/crates/relay/src/process/agent/mod.rs
+++ b/crates/relay/src/process/agent/mod.rs
@@ -39,8 +39,8 @@
 /// Settings of an [`Agent`].
 #[derive(Debug, Clone)]
 pub struct AgentSettings {
-    /// Random id that differs for each run of the agent's process.
-    pub run: u64,
+    /// Random incarnation of the agent's process; differs after each restart.
+    pub incarnation: u64,
     /// Local address to which the upstream sends its datagrams.
     pub outbound_address: SocketAddrV4,
     /// Local address from which datagrams are sent to callers.
--- a/crates/relay/src/process/agent/neighbours.rs
+++ b/crates/relay/src/process/agent/neighbours.rs
@@ -32,7 +32,7 @@
             .busy_requests
             .set(i64::from(load.busy_requests));
         let report = Message::Report(AgentReport {
-            run: self.cfg.run,
+            incarnation: self.cfg.incarnation,
             data_centre: self.cfg.data_centre.clone(),
             service: self.cfg.service.clone(),
             slots: self.holder.slots(now),
--- a/crates/relay/src/process/balancer.rs
+++ b/crates/relay/src/process/balancer.rs
@@ -377,7 +377,7 @@
         let known = pool.get(from).map(|known| (known.id, known.accepting));
         if known != Some((candidate.id, candidate.accepting)) {
             log::info!(
-                event = "agent", agent:% = from, service:% = report.service, run = report.run,
+                event = "agent", agent:% = from, service:% = report.service, run = report.incarnation,
                 accepting = u64::from(report.accepting), slots = report.slots.0;
                 "agent is new, has restarted, or has changed whether it accepts flows"
             );
--- a/crates/relay/src/process/balancer_table.rs
+++ b/crates/relay/src/process/balancer_table.rs
@@ -20,7 +20,7 @@
 
 #[derive(Debug)]
 struct KnownBalancer {
-    run: u64,
+    incarnation: u64,
     data_centre: DataCentre,
     leaving: bool,
 }
@@ -61,14 +61,17 @@
 
     fn update(&mut self, node: &Node) -> Option<Handover> {
         let known = KnownBalancer {
-            run: node.incarnation,
+            incarnation: node.incarnation,
             data_centre: node.data_centre.clone(),
             leaving: node.leaving,
         };
         let previous = self.balancers.insert(node.address, known);
-        let is_new_run = previous.as_ref().is_none_or(|f| f.run != node.incarnation);
+        let is_new_run = previous
+            .as_ref()
+            .is_none_or(|f| f.incarnation != node.incarnation);
         if node.leaving {
-            let already_leaving = previous.is_some_and(|f| f.leaving && f.run == node.incarnation);
+            let already_leaving =
+                previous.is_some_and(|f| f.leaving && f.incarnation == node.incarnation);
             return (!already_leaving).then(|| Handover {
                 from: [node.address].into(),
                 to: self.successors(node.address, &node.data_centre),
