--- a/crates/relay/src/process/agent/mod.rs
+++ b/crates/relay/src/process/agent/mod.rs
@@ -58,7 +58,7 @@
     /// Data centre of the agent.
     pub data_centre: DataCentre,
     /// Timeouts and limits of the flow table.
-    pub holder: FlowTableSettings,
+    pub flow_table: FlowTableSettings,
 }
 
 /// A new state of an agent's upstream.
@@ -75,7 +75,7 @@
     cfg: AgentSettings,
     tag: ServiceTag,
     codec: C,
-    holder: FlowTable,
+    flow_table: FlowTable,
     /// The other agents of the service.
     pool: AgentPool,
     report_schedule: ReportSchedule,
@@ -134,7 +134,7 @@
         Ok(Agent {
             tag: ServiceTag::of(&cfg.service),
             codec,
-            holder: FlowTable::new(cfg.holder, now),
+            flow_table: FlowTable::new(cfg.flow_table, now),
             pool: AgentPool::default(),
             report_schedule: ReportSchedule::new(now),
             balancers: BalancerTable::default(),
@@ -192,8 +192,8 @@
 
     async fn apply_upstream_update(&mut self, update: UpstreamUpdate) {
         let now = Instant::now();
-        let before = self.holder.upstream().copied();
-        self.holder.set_upstream(update.upstream, now);
+        let before = self.flow_table.upstream().copied();
+        self.flow_table.set_upstream(update.upstream, now);
         let state =
             |upstream: Option<UpstreamStatus>| upstream.map(|u| (u.incarnation, u.accepting));
         if state(before) != state(update.upstream) {
@@ -211,7 +211,7 @@
     }
 
     fn accepts_flows(&self, now: Instant) -> bool {
-        !self.leaving && self.holder.accepts_new_flows(now)
+        !self.leaving && self.flow_table.accepts_new_flows(now)
     }
 
     async fn handle_peer_datagram(&mut self, datagram: &[u8], from: SocketAddrV4) {
@@ -283,7 +283,7 @@
         };
         let key = seg.key_from_caller();
         let claim = if tag == self.tag {
-            self.holder.claim(&key, &seg, now)
+            self.flow_table.claim(&key, &seg, now)
         } else {
             flow::Claim::No
         };
@@ -305,9 +305,9 @@
         let verdict = if refuses_opening {
             CallerAction::PassOn
         } else {
-            self.holder.caller_datagram(&seg, arrival.origin, now)
+            self.flow_table.caller_datagram(&seg, arrival.origin, now)
         };
-        self.holder.set_via(&key, arrival.via);
+        self.flow_table.set_via(&key, arrival.via);
         match verdict {
             CallerAction::Deliver => self.deliver(&seg, arrival, now).await,
             CallerAction::PassOn => self.forward_opening(&seg, arrival, now).await,
@@ -322,7 +322,7 @@
     async fn deliver(&mut self, seg: &Segment, arrival: CallerDatagram, now: Instant) {
         let key = seg.key_from_caller();
         if seg.is_opening() {
-            let load = self.holder.load(now);
+            let load = self.flow_table.load(now);
             log::info!(
                 event = "opened", flow:% = key, copy = seg.ack, origin:? = arrival.origin,
                 busy = load.busy_requests, flows = load.open_flows; "delivering the opening datagram of a new flow to the upstream"
@@ -343,7 +343,7 @@
             };
             self.opening_routes.insert(key, opening);
         } else if matches!(arrival.origin, Origin::Held | Origin::Tried)
-            && self.holder.is_tried(&key)
+            && self.flow_table.is_tried(&key)
         {
             self.tried_flow_balancers.insert(key, arrival.via);
         }
@@ -383,7 +383,7 @@
         if accepts_flows {
             // No agent has a free slot. The queue of this upstream is as good as the
             // queue of another one.
-            self.holder.accept_opening(seg, now);
+            self.flow_table.accept_opening(seg, now);
             return self.deliver(seg, arrival, now).await;
         }
         self.reset_flow(seg, "no_agent").await;
@@ -435,7 +435,7 @@
                 .inc();
             return;
         };
-        match self.holder.upstream_datagram(&seg, now) {
+        match self.flow_table.upstream_datagram(&seg, now) {
             UpstreamAction::ToCaller { learned } => {
                 let key = seg.key_from_upstream();
                 if learned {
--- a/crates/relay/src/process/agent/neighbours.rs
+++ b/crates/relay/src/process/agent/neighbours.rs
@@ -22,7 +22,7 @@
 impl<C: Codec> Agent<C> {
     /// Sends a report of the state and load to the recipients for which it is due.
     pub(super) async fn send_due_reports(&mut self, now: Instant) {
-        let load = self.holder.load(now);
+        let load = self.flow_table.load(now);
         let accepting = self.accepts_flows(now);
         let recipients = self.report_schedule.take_due(load, accepting, now);
         if recipients.is_empty() {
@@ -35,7 +35,7 @@
             incarnation: self.cfg.incarnation,
             data_centre: self.cfg.data_centre.clone(),
             service: self.cfg.service.clone(),
-            slots: self.holder.slots(now),
+            slots: self.flow_table.slots(now),
             accepting,
             load,
         });
@@ -74,7 +74,7 @@
     /// Sends balancers the flows that are held here, so that they need not search.
     async fn send_handover(&self, handover: &Handover) {
         let keys = self
-            .holder
+            .flow_table
             .flows_via(|via| handover.from.contains(&via), MAX_HANDOVER_FLOWS);
         if keys.is_empty() {
             return;
@@ -104,16 +104,16 @@
             return;
         }
         self.next_expiry_at = now + EXPIRY_INTERVAL;
-        self.holder.expire(now);
-        let linger = self.cfg.holder.linger_timeout;
+        self.flow_table.expire(now);
+        let linger = self.cfg.flow_table.linger_timeout;
         self.opening_routes
             .retain(|_, route| now < route.delivered_at + linger);
-        let holder = &self.holder;
+        let flow_table = &self.flow_table;
         self.tried_flow_balancers
-            .retain(|key, _| holder.is_tried(key));
+            .retain(|key, _| flow_table.is_tried(key));
         self.pool
             .retain(|_, agent| AgentPool::has_recent_report(agent, now));
-        let flows = self.holder.load(now).open_flows;
+        let flows = self.flow_table.load(now).open_flows;
         self.metrics.known_flows.set(i64::from(flows));
     }
 }
--- a/crates/relay/src/process/balancer.rs
+++ b/crates/relay/src/process/balancer.rs
@@ -338,7 +338,7 @@
             }
             Message::Claim { key, claim } => {
                 if claim != Claim::No {
-                    log::info!(event = "claim", flow:% = key, agent:% = from, claim:? = claim; "agent claims the flow");
+                    log::info!(event = "claim", flow:% = key, agent:% = from, claim:? = claim; "agent replied that it holds or may hold the flow");
                 }
                 let released = self.steering.handle_claim(key, from, claim, now);
                 self.send_released(released).await;
