--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,21 +1,21 @@
 //! The replicated log of the control group.
 //!
-//! This crate only decides: it has no sockets, files, clock or tasks. The
-//! caller passes every [`Input`] with the present instant to
+//! A Raft implementation without I/O: it has no sockets, files, clock or tasks.
+//! The caller passes every [`Input`] with the current instant to
 //! [`Consensus::step`] and carries out the [`Output`]:
 //!
 //! 1. [`Output::write`] goes to the disk. At most one write is outstanding;
-//!    the caller reports it with [`Input::WriteSynced`] or [`Input::WriteFailed`].
-//!    What arrives meanwhile is collected into the next write.
-//! 2. [`Output::messages`] may be sent at once. Messages that speak of a term,
-//!    a vote or an entry are held inside until the write that holds it is
-//!    reported as synced.
+//!    the caller reports its result with [`Input::WriteSynced`] or [`Input::WriteFailed`].
+//!    Changes made meanwhile are batched into the next write.
+//! 2. [`Output::messages`] may be sent at once. Messages that depend on
+//!    a term, a vote or an entry are held back until the write that contains it
+//!    is reported as synced.
 //! 3. [`Output::installed_snapshot`], then [`Output::committed_entries`], go to the state
 //!    machine, in this order.
 //! 4. [`Output::completions`] answer proposals, group changes and reads. A read is
 //!    answered from the state after step 3.
 //!
-//! [`Consensus::next_deadline`] tells when [`Input::Tick`] is due.
+//! [`Consensus::next_deadline`] returns when [`Input::Tick`] is due.
 //!
 //! ```
 //! use consensus::{Consensus, Completion, Group, MemberIdentity, Input, RestoredState, Settings, RequestToken};
@@ -35,12 +35,12 @@
 //! }
 //!
 //! let address = "127.0.0.1:7000".parse().unwrap();
-//! let me = MemberIdentity { id: MemberId(1), address };
+//! let identity = MemberIdentity { id: MemberId(1), address };
 //! let start = Instant::now();
-//! let mut member = Consensus::new(Settings::default(), me, RestoredState::default(), 7, start);
+//! let mut member = Consensus::new(Settings::default(), identity, RestoredState::default(), 7, start);
 //!
 //! // A group of one member elects itself at its first deadline.
-//! run(&mut member, start, Input::Bootstrap(Group::from_voters([(me.id, address)])));
+//! run(&mut member, start, Input::Bootstrap(Group::from_voters([(identity.id, address)])));
 //! let now = member.next_deadline();
 //! run(&mut member, now, Input::Tick);
 //! assert!(member.status().is_leader());
--- a/crates/consensus/src/process/disk.rs
+++ b/crates/consensus/src/process/disk.rs
@@ -1,35 +1,36 @@
-//! What this member knows about its disk.
+//! The outstanding write and the messages that wait for it.
 
-use super::{Consensus, DiskWrite, Envelope, Part, WriteId};
+use super::{Consensus, DiskWrite, Envelope, RoleState, WriteId};
 use std::time::Instant;
 
 /// The outstanding write, and the messages that wait for a write.
 #[derive(Debug)]
-pub(super) struct Disk {
+pub(super) struct DiskState {
     next_id: WriteId,
-    /// The outstanding write and the `vote_version` it brings to disk.
+    /// The outstanding write and the `vote_version` that it contains.
     in_flight: Option<(WriteId, u64)>,
-    /// Counts the changes of term and vote.
+    /// Number of changes of term and vote.
     vote_version: u64,
-    /// The version on disk.
-    vote_durable: u64,
+    /// The `vote_version` on disk.
+    durable_vote_version: u64,
     failed: bool,
     /// After a failed write, no write is issued before this instant.
     retry_at: Instant,
-    /// Messages with the version that must be on disk before they are sent.
-    held: Vec<(u64, Envelope)>,
+    /// Messages, each with the `vote_version` that must be on disk before it is
+    /// sent.
+    held_messages: Vec<(u64, Envelope)>,
 }
 
-impl Disk {
+impl DiskState {
     pub fn new(now: Instant) -> Self {
-        Disk {
+        DiskState {
             next_id: WriteId(1),
             in_flight: None,
             vote_version: 0,
-            vote_durable: 0,
+            durable_vote_version: 0,
             failed: false,
             retry_at: now,
-            held: Vec::new(),
+            held_messages: Vec::new(),
         }
     }
 
@@ -42,27 +43,27 @@
         (self.failed && self.in_flight.is_none()).then_some(self.retry_at)
     }
 
-    /// Notes that term or vote changed.
+    /// Records that term or vote changed.
     pub fn vote_changed(&mut self) {
         self.vote_version += 1;
     }
 
     /// Whether term and vote are on disk.
     pub fn vote_synced(&self) -> bool {
-        self.vote_durable == self.vote_version
+        self.durable_vote_version == self.vote_version
     }
 
-    /// Holds a message until its term and vote are on disk. While the disk
-    /// fails, a message that would have to wait is dropped, as if it were lost.
-    pub fn hold(&mut self, envelope: Envelope) {
+    /// Holds a message until its term and vote are on disk. While writes fail, a
+    /// message that would have to wait is dropped, as if the network lost it.
+    pub fn hold_until_synced(&mut self, envelope: Envelope) {
         if self.vote_synced() || !self.failed {
-            self.held.push((self.vote_version, envelope));
+            self.held_messages.push((self.vote_version, envelope));
         }
     }
 }
 
 impl Consensus {
-    pub(super) fn written(&mut self, id: WriteId) {
+    pub(super) fn write_synced(&mut self, id: WriteId) {
         let Some((_, version)) = self
             .disk
             .in_flight
@@ -70,9 +71,9 @@
         else {
             return;
         };
-        self.disk.vote_durable = version;
+        self.disk.durable_vote_version = version;
         self.disk.failed = false;
-        self.log.written();
+        self.log.complete_write();
         self.count_own_vote();
     }
 
@@ -86,17 +87,23 @@
         }
         self.disk.failed = true;
         self.disk.retry_at = self.now + self.settings.election_timeout_min;
-        let durable = self.disk.vote_durable;
-        self.disk.held.retain(|(version, _)| *version <= durable);
-        self.log.write_failed();
-        if matches!(self.part, Part::PreCandidate(_) | Part::Candidate(_)) {
+        let durable = self.disk.durable_vote_version;
+        self.disk
+            .held_messages
+            .retain(|(version, _)| *version <= durable);
+        self.log.fail_write();
+        if matches!(
+            self.role_state,
+            RoleState::PreCandidate(_) | RoleState::Candidate(_)
+        ) {
             self.become_follower();
         }
     }
 
-    /// Hands the disk all that it lacks, unless a write is outstanding. After a
-    /// failure the term is written again even if nothing else is left to
-    /// write, because only a synced write shows that the disk works again.
+    /// Issues a write of everything that is not on disk, unless one is
+    /// outstanding. After a failure the term is written again even if nothing
+    /// else has changed, because only a synced write shows that the disk works
+    /// again.
     pub(super) fn issue_write(&mut self) {
         let disk = &mut self.disk;
         let vote_needed = !disk.vote_synced() || disk.failed;
@@ -118,10 +125,10 @@
     }
 
     pub(super) fn release_messages(&mut self) {
-        let durable = self.disk.vote_durable;
+        let durable = self.disk.durable_vote_version;
         let ready = self
             .disk
-            .held
+            .held_messages
             .extract_if(.., |(version, _)| *version <= durable);
         self.out
             .messages
--- a/crates/consensus/src/process/election.rs
+++ b/crates/consensus/src/process/election.rs
@@ -1,17 +1,17 @@
 //! Elections.
 
-use super::leader::Leader;
-use super::{Consensus, Following, MessageBody, Part};
-use crate::version::{EntryPayload, Group, LogPosition, next};
+use super::leader::LeaderState;
+use super::{Consensus, FollowerState, MessageBody, RoleState};
+use crate::version::{EntryPayload, Group, LogPosition, index_after};
 use rand::Rng;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use types::{MemberId, Revision, Term};
 
 impl Consensus {
-    /// Draws the next election deadline. The jitter keeps members from asking
-    /// for votes at the same time again and again.
-    pub(super) fn arm_election(&mut self) {
+    /// Sets the election deadline with random jitter, which avoids repeated split
+    /// votes.
+    pub(super) fn reset_election_deadline(&mut self) {
         let (min, max) = (
             self.settings.election_timeout_min,
             self.settings.election_timeout_max,
@@ -27,37 +27,39 @@
         self.become_follower();
     }
 
-    /// Waits for a leader; gives up what this member did in its part so far.
+    /// Becomes a follower without a known leader. A leader fails its pending
+    /// requests.
     pub(super) fn become_follower(&mut self) {
-        let following = Part::Follower(Following::default());
-        if let Part::Leader(leader) = std::mem::replace(&mut self.part, following) {
-            self.give_up(leader);
+        let follower = RoleState::Follower(FollowerState::default());
+        if let RoleState::Leader(leader) = std::mem::replace(&mut self.role_state, follower) {
+            self.fail_pending_requests(leader);
         }
-        self.arm_election();
+        self.reset_election_deadline();
     }
 
-    /// The group that elects this member, if it may lead. A member that an
-    /// uncommitted change removes may, without a vote of its own: if it alone
-    /// holds the change, the others cannot win without its vote, and it must
-    /// not vote for a log that is behind its own.
+    /// The group whose voters can elect this member; `None` if it must not lead. A
+    /// member that an uncommitted change removes may lead, without a vote of its
+    /// own: if only it holds the change, the others cannot win without its vote,
+    /// and it must not vote for a log that is behind its own.
     fn electing_group(&self) -> Option<Group> {
         let group = self.log.group()?;
         let index = self.log.group_index();
         let before = self.log.group_at(Revision(index.0.saturating_sub(1)));
-        let voted = index > self.commit && before.is_some_and(|group| group.is_voter(self.me.id));
-        (voted || group.is_voter(self.me.id)).then(|| group.clone())
+        let was_voter =
+            index > self.commit && before.is_some_and(|group| group.is_voter(self.identity.id));
+        (was_voter || group.is_voter(self.identity.id)).then(|| group.clone())
     }
 
-    /// Asks whether an election can be won before it raises the term, so that
-    /// a member that was cut off does not depose a working leader.
+    /// Requests pre-votes before the term is raised, so that a member that returns
+    /// from a partition does not depose a working leader.
     pub(super) fn begin_pre_vote(&mut self) {
         self.become_follower();
         let Some(group) = self.electing_group().filter(|_| !self.disk.failed()) else {
             return;
         };
-        self.part = Part::PreCandidate(BTreeSet::from([self.me.id]));
+        self.role_state = RoleState::PreCandidate(BTreeSet::from([self.identity.id]));
         let last = self.log.durable_position();
-        self.ask_voters(
+        self.send_to_voters(
             &group,
             &MessageBody::PreVote {
                 last_log_position: last,
@@ -66,9 +68,9 @@
         self.count_pre_votes();
     }
 
-    fn ask_voters(&mut self, group: &Group, body: &MessageBody) {
+    fn send_to_voters(&mut self, group: &Group, body: &MessageBody) {
         for (id, address) in &group.voters {
-            if *id != self.me.id {
+            if *id != self.identity.id {
                 self.send((*id, *address), body.clone());
             }
         }
@@ -80,7 +82,8 @@
         asked: Term,
         last: LogPosition,
     ) {
-        let granted = asked >= self.term && last >= self.log.last() && !self.hears_leader();
+        let granted =
+            asked >= self.term && last >= self.log.last_position() && !self.has_recent_leader();
         self.send(
             sender,
             MessageBody::PreVoteReply {
@@ -90,20 +93,21 @@
         );
     }
 
-    /// Whether a leader was heard within the shortest election timeout.
-    fn hears_leader(&self) -> bool {
-        match &self.part {
-            Part::Leader(_) => true,
-            Part::Follower(following) => following
-                .heard
-                .is_some_and(|heard| self.now < heard + self.settings.election_timeout_min),
-            Part::PreCandidate(_) | Part::Candidate(_) => false,
+    /// Whether a leader is known and sent a message within the shortest election
+    /// timeout.
+    fn has_recent_leader(&self) -> bool {
+        match &self.role_state {
+            RoleState::Leader(_) => true,
+            RoleState::Follower(follower) => follower.last_heard.is_some_and(|last_heard| {
+                self.now < last_heard + self.settings.election_timeout_min
+            }),
+            RoleState::PreCandidate(_) | RoleState::Candidate(_) => false,
         }
     }
 
-    pub(super) fn take_pre_vote(&mut self, from: MemberId, asked: Term, granted: bool) {
+    pub(super) fn receive_pre_vote_reply(&mut self, from: MemberId, asked: Term, granted: bool) {
         let term = self.term;
-        if let Part::PreCandidate(votes) = &mut self.part
+        if let RoleState::PreCandidate(votes) = &mut self.role_state
             && asked == term
             && granted
         {
@@ -113,7 +117,7 @@
     }
 
     fn count_pre_votes(&mut self) {
-        let Part::PreCandidate(votes) = &self.part else {
+        let RoleState::PreCandidate(votes) = &self.role_state else {
             return;
         };
         let group = self.electing_group();
@@ -124,12 +128,12 @@
 
     fn begin_election(&mut self, group: &Group) {
         self.term = Term(self.term.0 + 1);
-        self.vote = Some(self.me.id);
+        self.vote = Some(self.identity.id);
         self.disk.vote_changed();
-        self.part = Part::Candidate(BTreeSet::new());
-        self.arm_election();
+        self.role_state = RoleState::Candidate(BTreeSet::new());
+        self.reset_election_deadline();
         let last = self.log.durable_position();
-        self.ask_voters(
+        self.send_to_voters(
             group,
             &MessageBody::Vote {
                 last_log_position: last,
@@ -144,18 +148,18 @@
         last: LogPosition,
     ) {
         let free = self.vote.is_none() || self.vote == Some(sender.0);
-        let follows = matches!(self.part, Part::Follower(_));
-        let granted = current && free && follows && last >= self.log.last();
+        let follows = matches!(self.role_state, RoleState::Follower(_));
+        let granted = current && free && follows && last >= self.log.last_position();
         if granted && self.vote.is_none() {
             self.vote = Some(sender.0);
             self.disk.vote_changed();
-            self.arm_election();
+            self.reset_election_deadline();
         }
         self.send(sender, MessageBody::VoteReply { granted });
     }
 
-    pub(super) fn take_vote(&mut self, from: MemberId, granted: bool) {
-        if let Part::Candidate(votes) = &mut self.part
+    pub(super) fn receive_vote_reply(&mut self, from: MemberId, granted: bool) {
+        if let RoleState::Candidate(votes) = &mut self.role_state
             && granted
         {
             votes.insert(from);
@@ -165,29 +169,29 @@
 
     /// Counts this candidate's own vote once it is on disk.
     pub(super) fn count_own_vote(&mut self) {
-        if let Part::Candidate(votes) = &mut self.part
+        if let RoleState::Candidate(votes) = &mut self.role_state
             && self.disk.vote_synced()
-            && votes.insert(self.me.id)
+            && votes.insert(self.identity.id)
         {
             self.count_votes();
         }
     }
 
     fn count_votes(&mut self) {
-        let Part::Candidate(votes) = &self.part else {
+        let RoleState::Candidate(votes) = &self.role_state else {
             return;
         };
         // Without its own vote on disk, a candidate whose process restarts
         // could vote for another one in a term that it has already won.
-        let won = votes.contains(&self.me.id)
+        let won = votes.contains(&self.identity.id)
             && self
                 .electing_group()
                 .is_some_and(|group| group.has_majority(|id| votes.contains(&id)));
         if won {
-            let first = next(self.log.last().index);
-            self.part = Part::Leader(Leader::new(first));
-            self.append_own(EntryPayload::Noop);
-            self.begin_round();
+            let first = index_after(self.log.last_position().index);
+            self.role_state = RoleState::Leader(LeaderState::new(first));
+            self.append_as_leader(EntryPayload::Noop);
+            self.begin_heartbeat_round();
         }
     }
 }
--- a/crates/consensus/src/process/follower.rs
+++ b/crates/consensus/src/process/follower.rs
@@ -1,103 +1,108 @@
-//! Following a leader.
+//! Handling of a leader's messages.
 
-use super::{AppendOutcome, Consensus, MessageBody, Part};
+use super::{AppendOutcome, Consensus, MessageBody, RoleState};
 use crate::version::{LogEntry, LogPosition, Snapshot};
 use std::net::SocketAddr;
 use std::time::Instant;
 use types::{MemberId, Revision};
 
-/// What a follower knows of the leader of its term.
+/// A follower's state for its term.
 #[derive(Debug, Default)]
-pub(super) struct Following {
+pub(super) struct FollowerState {
     pub leader: Option<(MemberId, SocketAddr)>,
-    /// When the leader was last heard.
-    pub heard: Option<Instant>,
-    /// The latest round received.
+    /// When the last message of the leader arrived.
+    pub last_heard: Option<Instant>,
+    /// The latest heartbeat round received.
     round: u64,
-    /// The log equals the leader's up to here; it need not be on disk yet.
-    verified: Revision,
-    /// The last acknowledgement sent.
-    acked: Revision,
-    /// What the next reply says in place of an acknowledgement.
-    refusal: Option<AppendOutcome>,
+    /// The log equals the leader's up to this index, which may not be on disk yet.
+    matched_index: Revision,
+    /// The highest index acknowledged to the leader.
+    last_acknowledged: Revision,
+    /// Sent in the next reply instead of an acknowledgement.
+    mismatch: Option<AppendOutcome>,
     /// A reply is due even if nothing new is on disk.
     reply_due: bool,
 }
 
 impl Consensus {
-    /// Follows the sender of entries or of a snapshot. Returns whether what it
-    /// sent counts: not if it leads an earlier term.
-    pub(super) fn follow(
+    /// Records the sender of entries or a snapshot as leader. Returns whether the
+    /// message must be processed: not if it is of an earlier term.
+    pub(super) fn accept_leader(
         &mut self,
         sender: (MemberId, SocketAddr),
         current: bool,
         round: u64,
     ) -> bool {
         if !current {
-            // Tells the sender of the later term.
+            // The reply carries the later term, which deposes the sender.
             let outcome = AppendOutcome::Conflict(Revision(0));
             self.reply(sender, 0, outcome);
             return false;
         }
-        if matches!(self.part, Part::PreCandidate(_) | Part::Candidate(_)) {
+        if matches!(
+            self.role_state,
+            RoleState::PreCandidate(_) | RoleState::Candidate(_)
+        ) {
             self.become_follower();
         }
-        let Part::Follower(following) = &mut self.part else {
+        let RoleState::Follower(follower) = &mut self.role_state else {
             return false;
         };
-        following.leader = Some(sender);
-        following.heard = Some(self.now);
-        following.round = following.round.max(round);
-        following.reply_due = true;
-        following.refusal = None;
-        self.arm_election();
+        follower.leader = Some(sender);
+        follower.last_heard = Some(self.now);
+        follower.round = follower.round.max(round);
+        follower.reply_due = true;
+        follower.mismatch = None;
+        self.reset_election_deadline();
         true
     }
 
-    pub(super) fn take_entries(
+    pub(super) fn append_entries(
         &mut self,
         prev: LogPosition,
         entries: Vec<LogEntry>,
         commit: Revision,
     ) {
         let last = Revision(prev.index.0 + entries.len() as u64);
-        if let Some(refusal) = self.refusal(prev) {
-            return self.refuse(refusal);
+        if let Some(mismatch) = self.find_mismatch(prev) {
+            return self.record_mismatch(mismatch);
         }
         let heartbeat = entries.is_empty();
         for entry in entries {
-            if !self.take_entry(entry) {
+            if !self.append_entry(entry) {
                 return;
             }
         }
-        self.verify(last, heartbeat);
+        self.record_match(last, heartbeat);
         self.commit = self.commit.max(commit.min(last));
     }
 
-    /// Why entries after `prev` do not fit this log.
-    fn refusal(&self, prev: LogPosition) -> Option<AppendOutcome> {
+    /// The reply to entries after `prev` if this log does not contain `prev`.
+    fn find_mismatch(&self, prev: LogPosition) -> Option<AppendOutcome> {
         if self.log.snapshot().is_none() {
             return Some(AppendOutcome::Blank);
         }
         // What the snapshot covers is committed, so it equals the leader's.
-        if prev.index < self.log.base().index || self.log.position(prev.index) == Some(prev) {
+        if prev.index < self.log.base_position().index
+            || self.log.position(prev.index) == Some(prev)
+        {
             return None;
         }
         let hint = match self.log.first_of_term_at(prev.index) {
             Some(first) => Revision(first.0 - 1),
-            None => self.log.last().index,
+            None => self.log.last_position().index,
         };
         Some(AppendOutcome::Conflict(hint.max(self.commit)))
     }
 
-    /// Takes one entry that fits. Returns whether to go on with the next one.
-    fn take_entry(&mut self, entry: LogEntry) -> bool {
+    /// Appends one entry. Returns whether to continue with the next one.
+    fn append_entry(&mut self, entry: LogEntry) -> bool {
         let held = self.log.position(entry.index);
-        if entry.index <= self.log.base().index || held == Some(entry.position()) {
+        if entry.index <= self.log.base_position().index || held == Some(entry.position()) {
             return true;
         }
-        // Entries that cannot be written would only pile up in memory. A
-        // contradiction of a committed entry is no leader's log.
+        // While writes fail, entries would only accumulate in memory. An entry
+        // that contradicts a committed one cannot come from a valid leader.
         if self.disk.failed() || entry.index <= self.commit {
             return false;
         }
@@ -108,7 +113,7 @@
         true
     }
 
-    pub(super) fn take_snapshot(&mut self, snapshot: Snapshot) {
+    pub(super) fn install_snapshot(&mut self, snapshot: Snapshot) {
         let index = snapshot.position.index;
         let new = self.log.snapshot().is_none() || index > self.commit;
         if new && self.disk.failed() {
@@ -118,44 +123,44 @@
             self.log.install(snapshot);
             self.commit = self.commit.max(index);
         }
-        self.verify(index, false);
+        self.record_match(index, false);
     }
 
-    fn verify(&mut self, last: Revision, heartbeat: bool) {
-        let durable = self.log.durable();
-        if let Part::Follower(following) = &mut self.part {
-            following.verified = following.verified.max(last);
-            // An acknowledgement of new entries waits for the disk, and serves
-            // as the answer to the round as well. A heartbeat is answered at
-            // once, so that a slow disk does not look like a lost member.
-            following.reply_due = heartbeat || last <= durable || self.disk.failed();
+    fn record_match(&mut self, last: Revision, heartbeat: bool) {
+        let durable = self.log.durable_index();
+        if let RoleState::Follower(follower) = &mut self.role_state {
+            follower.matched_index = follower.matched_index.max(last);
+            // The acknowledgement of new entries waits for the disk and also
+            // replies to the heartbeat round. A heartbeat is answered at once,
+            // so that a member with a slow disk does not appear to be lost.
+            follower.reply_due = heartbeat || last <= durable || self.disk.failed();
         }
     }
 
-    fn refuse(&mut self, refusal: AppendOutcome) {
-        if let Part::Follower(following) = &mut self.part {
-            following.refusal = Some(refusal);
+    fn record_mismatch(&mut self, mismatch: AppendOutcome) {
+        if let RoleState::Follower(follower) = &mut self.role_state {
+            follower.mismatch = Some(mismatch);
         }
     }
 
-    /// Sends the reply that is due, or acknowledges what is newly on disk.
-    pub(super) fn acknowledge(&mut self) {
-        let durable = self.log.durable();
-        let Part::Follower(following) = &mut self.part else {
+    /// Sends a reply if one is due or if more entries are now on disk.
+    pub(super) fn send_due_reply(&mut self) {
+        let durable = self.log.durable_index();
+        let RoleState::Follower(follower) = &mut self.role_state else {
             return;
         };
-        let Some(leader) = following.leader else {
+        let Some(leader) = follower.leader else {
             return;
         };
-        let matched = following.verified.min(durable);
-        if !following.reply_due && matched <= following.acked {
+        let matched = follower.matched_index.min(durable);
+        if !follower.reply_due && matched <= follower.last_acknowledged {
             return;
         }
-        following.reply_due = false;
-        following.acked = following.acked.max(matched);
+        follower.reply_due = false;
+        follower.last_acknowledged = follower.last_acknowledged.max(matched);
         let held = AppendOutcome::Matched(matched);
-        let outcome = following.refusal.take().unwrap_or(held);
-        let round = following.round;
+        let outcome = follower.mismatch.take().unwrap_or(held);
+        let round = follower.round;
         self.reply(leader, round, outcome);
     }
 
--- a/crates/consensus/src/process/group.rs
+++ b/crates/consensus/src/process/group.rs
@@ -1,14 +1,14 @@
-//! Forming and changing the group.
+//! Bootstrapping and changing the group.
 
-use super::{Consensus, Part};
+use super::{Consensus, RoleState};
 use crate::request::{GroupChange, Rejection, RequestToken};
 use crate::version::{EntryPayload, Group, LogPosition, Snapshot};
 use bytes::Bytes;
 
 impl Consensus {
-    /// Forms the first group. Ignored by a member that knows a group already.
-    pub(super) fn form(&mut self, group: Group) {
-        if self.log.snapshot().is_none() && group.is_voter(self.me.id) {
+    /// Forms the first group. Ignored by a member that already has one.
+    pub(super) fn bootstrap(&mut self, group: Group) {
+        if self.log.snapshot().is_none() && group.is_voter(self.identity.id) {
             self.log.install(Snapshot {
                 position: LogPosition::default(),
                 group,
@@ -17,39 +17,40 @@
         }
     }
 
-    /// Keeps the change until a majority has answered a round that began after
-    /// it was asked for. Otherwise a leader that is cut off could append a
-    /// removal, elect itself in the smaller group and go on alone.
+    /// Delays the change until a quorum has replied to a heartbeat round that
+    /// began after the request. Otherwise a partitioned leader could append a
+    /// removal, elect itself in the smaller group and commit alone.
     pub(super) fn change_group(&mut self, token: RequestToken, change: GroupChange) {
-        if let Err(reason) = self.changed_group(change) {
+        if let Err(reason) = self.group_after(change) {
             return self.reject(token, reason);
         }
-        let Part::Leader(leader) = &mut self.part else {
+        let RoleState::Leader(leader) = &mut self.role_state else {
             return;
         };
-        if leader.change.is_some() {
+        if leader.pending_change.is_some() {
             return self.reject(token, Rejection::ChangePending);
         }
-        leader.change = Some((token, change, leader.round + 1));
+        leader.pending_change = Some((token, change, leader.round + 1));
     }
 
-    /// Appends a change whose round was answered, if it still fits.
+    /// Appends a change once its round is confirmed, if it is still valid.
     pub(super) fn append_change(&mut self, token: RequestToken, change: GroupChange) {
-        match self.changed_group(change) {
+        match self.group_after(change) {
             Ok(group) => self.append_proposal(token, EntryPayload::Group(group)),
             Err(reason) => self.reject(token, reason),
         }
     }
 
     /// The group after the change, if the change may be appended now.
-    fn changed_group(&self, change: GroupChange) -> Result<Group, Rejection> {
-        self.may_append()?;
-        let Part::Leader(leader) = &self.part else {
+    fn group_after(&self, change: GroupChange) -> Result<Group, Rejection> {
+        self.check_can_append()?;
+        let RoleState::Leader(leader) = &self.role_state else {
             return Err(Rejection::NotLeader { leader: None });
         };
-        // Before that, an uncommitted change of an earlier leader could be in
-        // force elsewhere, and two changes at once can have disjoint majorities.
-        if self.commit < leader.first {
+        // Before that, an uncommitted change of an earlier leader could be
+        // effective on other members, and two concurrent changes can have
+        // disjoint majorities.
+        if self.commit < leader.first_index {
             return Err(Rejection::LeaderNotReady);
         }
         if self.log.group_index() > self.commit {
@@ -65,14 +66,14 @@
         }
     }
 
-    /// Lets go of removed members. A leader that removed itself has done its
-    /// work once that is committed.
-    pub(super) fn group_committed(&mut self) {
-        self.refresh_peers();
+    /// Stops replicating to removed members. A leader that removed itself steps
+    /// down once the removal is committed.
+    pub(super) fn on_group_committed(&mut self) {
+        self.update_peers();
         let stays = self
             .log
             .group()
-            .is_some_and(|group| group.is_voter(self.me.id));
+            .is_some_and(|group| group.is_voter(self.identity.id));
         if !stays {
             self.become_follower();
         }
--- a/crates/consensus/src/process/io.rs
+++ b/crates/consensus/src/process/io.rs
@@ -7,20 +7,20 @@
 use std::fmt;
 use types::{MemberId, Revision, Term};
 
-/// What a member has on disk when it starts. The default is a blank member.
+/// The state recovered from disk at startup. The default is a blank member.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct RestoredState {
     /// The last term written.
     pub term: Term,
     /// The vote written with that term.
     pub vote: Option<MemberId>,
-    /// The last snapshot written; `None` only in a member that knows no group.
+    /// The last snapshot written; `None` only in a member without a group.
     pub snapshot: Option<Snapshot>,
     /// The consecutive entries after the snapshot.
     pub entries: Vec<LogEntry>,
 }
 
-/// What happened.
+/// An input event for [`Consensus::step`](super::Consensus::step).
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Input {
     /// A deadline was reached.
@@ -29,55 +29,55 @@
     Message(Message),
     /// The write is synced.
     WriteSynced(WriteId),
-    /// The write failed as a whole or in part: any part of it may be on disk.
+    /// The write failed; any part of it may be on disk.
     WriteFailed(WriteId),
-    /// Forms the first group. Every member of it must get the same group.
+    /// Forms the first group. Every member must get the same group.
     Bootstrap(Group),
     /// Proposes a command.
     Propose {
-        /// Names the proposal in its [`Completion`].
+        /// Identifies the proposal in its [`Completion`].
         token: RequestToken,
         /// The command.
         command: Bytes,
     },
     /// Proposes a group change.
     ChangeGroup {
-        /// Names the change in its [`Completion`].
+        /// Identifies the change in its [`Completion`].
         token: RequestToken,
         /// The change.
         change: GroupChange,
     },
-    /// Asks whether this member still leads.
+    /// Requests confirmation by a quorum that this member is still the leader.
     ConfirmRead {
-        /// Names the read in its [`Completion`].
+        /// Identifies the read in its [`Completion`].
         token: RequestToken,
     },
-    /// Replaces the log up to `through`, which must have been handed out as
-    /// committed, by the state after it. Ignored if it is not.
+    /// Replaces the log up to `through` by the state after it. Ignored if
+    /// `through` was not yet returned as committed.
     Compact {
-        /// The last entry covered.
+        /// Index of the last covered entry.
         through: Revision,
         /// The state after it.
         state: Bytes,
     },
 }
 
-/// What to do, in the order of the fields.
+/// Actions to carry out, in the order of the fields.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Output {
-    /// A write for the disk. The next one comes only after the result of this.
+    /// A write for the disk. No other one is issued before its result.
     pub write: Option<DiskWrite>,
     /// Messages to send now. Any of them may be lost.
     pub messages: Vec<Envelope>,
-    /// A state to load in place of the present one.
+    /// A snapshot that replaces the state of the state machine.
     pub installed_snapshot: Option<Snapshot>,
-    /// Committed entries in log order, each handed out once per process.
+    /// Committed entries in log order, each returned once per process.
     pub committed_entries: Vec<LogEntry>,
-    /// Answers.
+    /// Results of proposals, group changes and reads.
     pub completions: Vec<Completion>,
 }
 
-/// Names a write towards the disk.
+/// Identifies a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WriteId(pub u64);
 
@@ -87,19 +87,19 @@
     }
 }
 
-/// What must be synced, as one report, in the order of the fields. A write that
-/// holds a snapshot drops entries from `from` on before the snapshot is put in
-/// place, so that entries that contradict the snapshot never follow it.
+/// A write, applied in the order of the fields and reported as one. Entries from
+/// `truncate_from` on are removed before the snapshot is put in place, so that
+/// entries that contradict the snapshot never follow it on disk.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DiskWrite {
-    /// Names the write in its result.
+    /// Identifies the write in its result.
     pub id: WriteId,
     /// Term and vote, if they changed.
     pub term_and_vote: Option<(Term, Option<MemberId>)>,
-    /// Entries from this index on are dropped before `entries` are appended.
+    /// Entries from this index on are removed before `entries` are appended.
     pub truncate_from: Option<Revision>,
     /// A snapshot that replaces the log up to its index.
     pub snapshot: Option<Snapshot>,
-    /// Consecutive entries; the first has index `from`.
+    /// Consecutive entries; the first has index `truncate_from`.
     pub entries: Vec<LogEntry>,
 }
--- a/crates/consensus/src/process/leader.rs
+++ b/crates/consensus/src/process/leader.rs
@@ -1,94 +1,102 @@
-//! What a leader keeps, and how it counts majorities.
+//! The leader's state: commits, reads and quorum checks.
 
-use super::{Consensus, Part};
-use crate::request::{Completion, GroupChange, Reads, Rejection, RequestToken};
+use super::{Consensus, RoleState};
+use crate::request::{Completion, GroupChange, PendingReads, Rejection, RequestToken};
 use crate::version::{EntryPayload, Group};
 use bytes::Bytes;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
 use types::{MemberId, Revision};
 
-/// What a leader keeps for its term.
+/// A leader's state for its term.
 #[derive(Debug)]
-pub(super) struct Leader {
+pub(super) struct LeaderState {
     /// The other members of the group, and a removed one until the removal is
     /// committed.
     pub peers: BTreeMap<MemberId, Peer>,
-    /// The first entry of the term.
-    pub first: Revision,
-    /// The latest round of heartbeats that has begun.
+    /// Index of the first entry of the term.
+    pub first_index: Revision,
+    /// The latest heartbeat round that has begun.
     pub round: u64,
-    /// The latest round that a majority answered.
-    pub confirmed: u64,
-    pub reads: Reads,
-    /// A group change, and the first round that began after it was asked for.
-    pub change: Option<(RequestToken, GroupChange, u64)>,
-    /// Proposals that are not committed yet.
-    pub proposals: BTreeMap<Revision, RequestToken>,
+    /// The latest heartbeat round that a quorum replied to.
+    pub confirmed_round: u64,
+    pub pending_reads: PendingReads,
+    /// A group change that is not appended yet, and the first heartbeat round that
+    /// begins after the request.
+    pub pending_change: Option<(RequestToken, GroupChange, u64)>,
+    /// Proposals that are not committed yet, by log index.
+    pub pending_proposals: BTreeMap<Revision, RequestToken>,
 }
 
-/// What a leader knows of another member.
+/// A leader's replication state for another member.
 #[derive(Debug)]
 pub(super) struct Peer {
-    /// The next entry to send; above `matched`.
-    pub next: Revision,
-    /// Entries up to here are on its disk and equal the leader's.
-    pub matched: Revision,
-    /// Its last answer; the start of leadership before the first one.
-    pub heard: Instant,
-    /// Whether it has said what it holds; before that, only heartbeats go out.
-    pub answered: bool,
-    /// The latest round it answered.
+    /// Index of the next entry to send; above `match_index`.
+    pub next_index: Revision,
+    /// Entries up to this index are on its disk and equal the leader's.
+    pub match_index: Revision,
+    /// When its last reply arrived; the time at which replication to it started
+    /// before the first reply.
+    pub last_heard: Instant,
+    /// Whether it has reported its log position; until then, it gets only
+    /// heartbeats.
+    pub has_replied: bool,
+    /// The latest heartbeat round it replied to.
     pub round: u64,
     /// Whether its disk accepts writes.
     pub writable: bool,
-    /// The snapshot that was sent and when to send it again.
-    pub installing: Option<(Revision, Instant)>,
+    /// Index of the snapshot that was sent, and when to send it again.
+    pub snapshot_in_flight: Option<(Revision, Instant)>,
 }
 
-impl Leader {
+impl LeaderState {
     pub fn new(first: Revision) -> Self {
-        Leader {
+        LeaderState {
             peers: BTreeMap::new(),
-            first,
+            first_index: first,
             round: 0,
-            confirmed: 0,
-            reads: Reads::default(),
-            change: None,
-            proposals: BTreeMap::new(),
+            confirmed_round: 0,
+            pending_reads: PendingReads::default(),
+            pending_change: None,
+            pending_proposals: BTreeMap::new(),
         }
     }
 }
 
 impl Consensus {
-    /// The groups that must agree: the one in force, and the one before it while
-    /// a change that this leader made is uncommitted. Asking both keeps a leader
-    /// that is cut off from shrinking the group to itself and committing alone.
-    /// A change that an earlier leader made needs only the group in force, whose
-    /// majority has elected this one: the members it removed may be gone.
-    pub(super) fn deciding_groups(&self) -> Vec<&Group> {
+    /// The groups whose majorities are required: the effective one, and the
+    /// previous one while a change by this leader is uncommitted. Requiring both
+    /// prevents a partitioned leader from shrinking the group to itself and
+    /// committing alone. A change by an earlier leader needs only the effective
+    /// group, whose majority elected this leader: the removed members may be gone.
+    pub(super) fn quorum_groups(&self) -> Vec<&Group> {
         let index = self.log.group_index();
         let before = Revision(index.0.saturating_sub(1));
         let previous = self.log.group_at(before);
-        let made_here = matches!(&self.part, Part::Leader(leader) if index >= leader.first);
+        let made_here =
+            matches!(&self.role_state, RoleState::Leader(leader) if index >= leader.first_index);
         let pending = made_here && index > self.commit;
         let groups = self.log.group().into_iter();
         groups.chain(previous.filter(|_| pending)).collect()
     }
 
-    fn majority(&self, agrees: impl Fn(MemberId) -> bool) -> bool {
-        let groups = self.deciding_groups();
+    fn has_quorum(&self, agrees: impl Fn(MemberId) -> bool) -> bool {
+        let groups = self.quorum_groups();
         !groups.is_empty() && groups.iter().all(|group| group.has_majority(&agrees))
     }
 
-    fn is_fresh(&self, peer: &Peer) -> bool {
-        self.now < peer.heard + self.settings.election_timeout_max
+    fn heard_recently(&self, peer: &Peer) -> bool {
+        self.now < peer.last_heard + self.settings.election_timeout_max
     }
 
-    /// The members that hold all that is committed and were heard lately.
-    pub(super) fn caught_up(&self, leader: &Leader) -> BTreeSet<MemberId> {
+    /// The members that hold all committed entries, can write, and replied within
+    /// an election timeout.
+    pub(super) fn caught_up(&self, leader: &LeaderState) -> BTreeSet<MemberId> {
         let caught_up = |peer: &Peer| {
-            peer.answered && peer.writable && peer.matched >= self.commit && self.is_fresh(peer)
+            peer.has_replied
+                && peer.writable
+                && peer.match_index >= self.commit
+                && self.heard_recently(peer)
         };
         let peers = leader.peers.iter();
         peers
@@ -97,52 +105,52 @@
             .collect()
     }
 
-    /// Steps down if no majority was heard for an election timeout, or if this
-    /// disk refuses writes while a majority of others could go on. If no
-    /// majority could, the leader stays and reads go on.
-    pub(super) fn check_contact(&mut self) {
-        let Part::Leader(leader) = &self.part else {
+    /// Steps down if no quorum replied for an election timeout, or if writes to
+    /// this disk fail while a quorum of other members can write. If no such quorum
+    /// exists, the leader stays, so that reads remain available.
+    pub(super) fn check_quorum(&mut self) {
+        let RoleState::Leader(leader) = &self.role_state else {
             return;
         };
-        let me = self.me.id;
+        let local_id = self.identity.id;
         let fresh = |id| {
             leader
                 .peers
                 .get(&id)
-                .is_some_and(|peer| self.is_fresh(peer))
+                .is_some_and(|peer| self.heard_recently(peer))
         };
         let writable = |id| leader.peers.get(&id).is_some_and(|peer| peer.writable);
-        let in_contact = self.majority(|id| id == me || fresh(id));
+        let in_contact = self.has_quorum(|id| id == local_id || fresh(id));
         let replaceable =
-            self.disk.failed() && self.majority(|id| id != me && fresh(id) && writable(id));
+            self.disk.failed() && self.has_quorum(|id| id != local_id && fresh(id) && writable(id));
         if !in_contact || replaceable {
             self.become_follower();
         }
     }
 
-    /// Answers what waits for a leadership that has ended.
-    pub(super) fn give_up(&mut self, mut leader: Leader) {
-        for token in leader.proposals.into_values() {
+    /// Completes the requests that are pending when leadership ends.
+    pub(super) fn fail_pending_requests(&mut self, mut leader: LeaderState) {
+        for token in leader.pending_proposals.into_values() {
             self.out
                 .completions
                 .push(Completion::OutcomeUnknown { token });
         }
-        // A change that still waits was never appended.
-        let change = leader.change.map(|(token, ..)| token);
-        for token in leader.reads.take_all().into_iter().chain(change) {
+        // A pending group change was never appended.
+        let change = leader.pending_change.map(|(token, ..)| token);
+        for token in leader.pending_reads.take_all().into_iter().chain(change) {
             self.reject(token, Rejection::NotLeader { leader: None });
         }
     }
 
     pub(super) fn propose(&mut self, token: RequestToken, command: Bytes) {
-        match self.may_append() {
+        match self.check_can_append() {
             Ok(()) => self.append_proposal(token, EntryPayload::Command(command)),
             Err(reason) => self.reject(token, reason),
         }
     }
 
-    pub(super) fn may_append(&self) -> Result<(), Rejection> {
-        if !matches!(self.part, Part::Leader(_)) {
+    pub(super) fn check_can_append(&self) -> Result<(), Rejection> {
+        if !matches!(self.role_state, RoleState::Leader(_)) {
             let leader = self.leader();
             return Err(Rejection::NotLeader { leader });
         }
@@ -153,47 +161,47 @@
     }
 
     pub(super) fn append_proposal(&mut self, token: RequestToken, payload: EntryPayload) {
-        let index = self.append_own(payload);
-        if let Part::Leader(leader) = &mut self.part {
-            leader.proposals.insert(index, token);
+        let index = self.append_as_leader(payload);
+        if let RoleState::Leader(leader) = &mut self.role_state {
+            leader.pending_proposals.insert(index, token);
         }
     }
 
     pub(super) fn confirm_read(&mut self, token: RequestToken) {
         let known = self.leader();
-        match &mut self.part {
-            Part::Leader(leader) => leader.reads.add(token, leader.round),
+        match &mut self.role_state {
+            RoleState::Leader(leader) => leader.pending_reads.add(token, leader.round),
             _ => self.reject(token, Rejection::NotLeader { leader: known }),
         }
     }
 
-    pub(super) fn settle_leader(&mut self) {
+    pub(super) fn advance_leader(&mut self) {
         self.advance_commit();
-        self.check_contact();
+        self.check_quorum();
         self.advance_reads();
         self.send_entries();
     }
 
-    /// Commits up to the last entry that a majority of disks holds, if it is of
-    /// this term: an entry of an earlier term can be on a majority and still be
-    /// overwritten by a leader that lacks it.
+    /// Commits up to the last entry that a quorum has on disk, if it is of this
+    /// term: an entry of an earlier term can be on a majority of disks and still
+    /// be overwritten by a leader without it.
     fn advance_commit(&mut self) {
-        let Part::Leader(leader) = &self.part else {
+        let RoleState::Leader(leader) = &self.role_state else {
             return;
         };
-        let me = self.me.id;
-        let durable = self.log.durable();
+        let local_id = self.identity.id;
+        let durable = self.log.durable_index();
         let held = |id: MemberId| match leader.peers.get(&id) {
-            Some(peer) => peer.matched,
-            None if id == me => durable,
+            Some(peer) => peer.match_index,
+            None if id == local_id => durable,
             None => Revision(0),
         };
-        let places = leader.peers.values().map(|peer| peer.matched);
+        let places = leader.peers.values().map(|peer| peer.match_index);
         let agreed = places
             .chain([durable])
-            .filter(|index| *index <= durable && self.majority(|id| held(id) >= *index))
+            .filter(|index| *index <= durable && self.has_quorum(|id| held(id) >= *index))
             .max();
-        let agreed = agreed.filter(|index| *index > self.commit && *index >= leader.first);
+        let agreed = agreed.filter(|index| *index > self.commit && *index >= leader.first_index);
         if let Some(index) = agreed {
             self.commit_through(index);
         }
@@ -202,9 +210,11 @@
     fn commit_through(&mut self, index: Revision) {
         let had_change = self.log.group_index() > self.commit;
         self.commit = index;
-        if let Part::Leader(leader) = &mut self.part {
-            let later = leader.proposals.split_off(&crate::version::next(index));
-            let accepted = std::mem::replace(&mut leader.proposals, later);
+        if let RoleState::Leader(leader) = &mut self.role_state {
+            let later = leader
+                .pending_proposals
+                .split_off(&crate::version::index_after(index));
+            let accepted = std::mem::replace(&mut leader.pending_proposals, later);
             for (index, token) in accepted {
                 self.out
                     .completions
@@ -212,50 +222,52 @@
             }
         }
         if had_change && self.log.group_index() <= index {
-            self.group_committed();
+            self.on_group_committed();
         }
     }
 
-    /// Confirms the reads whose round a majority answered, and begins the next
-    /// round if reads wait for one and none is outstanding.
+    /// Confirms the reads whose heartbeat round a quorum replied to, and begins the
+    /// next round if reads need one and none is outstanding.
     fn advance_reads(&mut self) {
-        let Part::Leader(leader) = &self.part else {
+        let RoleState::Leader(leader) = &self.role_state else {
             return;
         };
-        let me = self.me.id;
+        let local_id = self.identity.id;
         let answered = |id: MemberId| match leader.peers.get(&id) {
             Some(peer) => peer.round,
-            None if id == me => leader.round,
+            None if id == local_id => leader.round,
             None => 0,
         };
         let rounds = leader.peers.values().map(|peer| peer.round);
         let rounds = rounds.chain([leader.round]).filter(|r| *r <= leader.round);
         let confirmed = rounds
-            .filter(|round| self.majority(|id| answered(id) >= *round))
+            .filter(|round| self.has_quorum(|id| answered(id) >= *round))
             .max();
         let outstanding = confirmed < Some(leader.round);
-        let change = leader.change.map_or(0, |(.., needed)| needed);
-        let needed = leader.reads.need_round_after(leader.round) || change > leader.round;
+        let change = leader.pending_change.map_or(0, |(.., needed)| needed);
+        let needed = leader.pending_reads.need_round_after(leader.round) || change > leader.round;
         if !outstanding && needed {
-            self.begin_round();
-            // A group of one has its majority at once.
+            self.begin_heartbeat_round();
+            // In a group of one the new round is confirmed immediately.
             return self.advance_reads();
         }
         let index = self.commit;
-        let Part::Leader(leader) = &mut self.part else {
+        let RoleState::Leader(leader) = &mut self.role_state else {
             return;
         };
-        leader.confirmed = leader.confirmed.max(confirmed.unwrap_or(0));
-        if index < leader.first {
+        leader.confirmed_round = leader.confirmed_round.max(confirmed.unwrap_or(0));
+        if index < leader.first_index {
             return;
         }
-        for token in leader.reads.take_confirmed(leader.confirmed) {
+        for token in leader.pending_reads.take_confirmed(leader.confirmed_round) {
             self.out
                 .completions
                 .push(Completion::ReadConfirmed { token, index });
         }
-        let confirmed = leader.confirmed;
-        let change = leader.change.take_if(|(.., needed)| *needed <= confirmed);
+        let confirmed = leader.confirmed_round;
+        let change = leader
+            .pending_change
+            .take_if(|(.., needed)| *needed <= confirmed);
         if let Some((token, change, _)) = change {
             self.append_change(token, change);
         }
--- a/crates/consensus/src/process/message.rs
+++ b/crates/consensus/src/process/message.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use types::{MemberId, Revision, Term};
 
-/// A message and where to send it.
+/// A message and its destination address.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Envelope {
     /// The address of `message.to`.
@@ -19,81 +19,81 @@
 pub struct Message {
     /// The sender.
     pub from: MemberId,
-    /// Where the sender receives the answer.
+    /// Address for the reply.
     pub from_address: SocketAddr,
-    /// The member that this is meant for; any other one ignores it, so a host
-    /// that lost its disk never answers under its earlier id.
+    /// The recipient. Any other member ignores the message, so a host that lost
+    /// its disk never replies under its previous id.
     pub to: MemberId,
     /// The term of the sender.
     pub term: Term,
-    /// What is asked or answered.
+    /// The request or reply.
     pub body: MessageBody,
 }
 
-/// What a message asks or answers.
+/// The request or reply in a message.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MessageBody {
-    /// Asks whether a vote in the term after the sender's would be granted.
-    /// Changes nothing at the receiver.
+    /// Asks whether a vote in the term after the sender's would be granted. Does
+    /// not change the receiver's state.
     PreVote {
-        /// The end of the sender's log on disk.
+        /// The position of the last entry on the sender's disk.
         last_log_position: LogPosition,
     },
-    /// Answers [`MessageBody::PreVote`].
+    /// Replies to [`MessageBody::PreVote`].
     PreVoteReply {
-        /// The sender's term when it asked.
+        /// The term in which the pre-vote was requested.
         request_term: Term,
         /// Whether a vote would be granted.
         granted: bool,
     },
-    /// Asks for a vote in the message's term.
+    /// Requests a vote in the message's term.
     Vote {
-        /// The end of the sender's log on disk.
+        /// The position of the last entry on the sender's disk.
         last_log_position: LogPosition,
     },
-    /// Answers [`MessageBody::Vote`].
+    /// Replies to [`MessageBody::Vote`].
     VoteReply {
         /// Whether the vote was granted.
         granted: bool,
     },
     /// Entries, or a heartbeat if empty.
     Append {
-        /// The place before the first entry.
+        /// The position before the first entry.
         prev_log_position: LogPosition,
-        /// Consecutive entries, on the leader's disk.
+        /// Consecutive entries that are on the leader's disk.
         entries: Vec<LogEntry>,
         /// The leader's commit index.
         leader_commit: Revision,
-        /// The latest round of heartbeats that the leader has begun.
+        /// The latest heartbeat round that the leader has begun.
         round: u64,
     },
-    /// A snapshot for a member that lacks compacted entries.
+    /// A snapshot for a member that needs entries which are compacted.
     #[serde(rename = "Install")]
     InstallSnapshot {
         /// The snapshot.
         snapshot: Snapshot,
-        /// The latest round of heartbeats that the leader has begun.
+        /// The latest heartbeat round that the leader has begun.
         round: u64,
     },
-    /// Answers [`MessageBody::Append`] and [`MessageBody::InstallSnapshot`].
+    /// Replies to [`MessageBody::Append`] and [`MessageBody::InstallSnapshot`].
     AppendReply {
-        /// The latest round that the sender received in this term.
+        /// The latest heartbeat round that the sender received in this term.
         round: u64,
         /// Whether the sender's disk accepts writes.
         disk_writable: bool,
-        /// What the sender holds.
+        /// How the sender's log compares with the leader's.
         outcome: AppendOutcome,
     },
 }
 
-/// What a member holds of the leader's log.
+/// How a follower's log compares with the leader's.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AppendOutcome {
-    /// All entries up to here are on its disk and equal the leader's.
+    /// All entries up to this index are on its disk and equal the leader's.
     Matched(Revision),
-    /// Its log lacks or contradicts the place before the entries; the leader
-    /// should go on after this index or an earlier one.
+    /// Its log has no entry, or a different one, at the position before the sent
+    /// entries. The leader continues after this index or an earlier one.
     Conflict(Revision),
-    /// It knows no group yet.
+    /// It has no group yet.
     Blank,
 }
--- a/crates/consensus/src/process/mod.rs
+++ b/crates/consensus/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! A member, which lasts as long as its process.
+//! The state of a member, which lives as long as its process.
 
 mod disk;
 mod election;
@@ -18,9 +18,9 @@
 
 use crate::request::{Completion, Rejection, RequestToken};
 use crate::version::Log;
-use disk::Disk;
-use follower::Following;
-use leader::Leader;
+use disk::DiskState;
+use follower::FollowerState;
+use leader::LeaderState;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use std::collections::BTreeSet;
@@ -32,89 +32,90 @@
 #[derive(Debug)]
 pub struct Consensus {
     settings: Settings,
-    me: MemberIdentity,
-    /// Draws election timeouts; seeded by the caller.
+    identity: MemberIdentity,
+    /// Generates election timeouts; seeded by the caller.
     rng: StdRng,
     /// The latest instant passed in.
     now: Instant,
-    /// Never goes back; on disk before a message speaks of it.
+    /// Never decreases; on disk before it is sent in a message.
     term: Term,
     /// The candidate that got this member's vote in `term`.
     vote: Option<MemberId>,
     log: Log,
-    disk: Disk,
-    /// At most the end of the log; never goes back.
+    disk: DiskState,
+    /// At most the last index of the log; never decreases.
     commit: Revision,
-    /// Handed to the state machine; at most `commit`, and on disk here.
+    /// Last index returned for the state machine; at most `commit`, and on this
+    /// member's disk.
     applied: Revision,
-    part: Part,
-    /// When an election or the next round of heartbeats is due.
+    role_state: RoleState,
+    /// When an election or the next heartbeat round is due.
     deadline: Instant,
     out: Output,
 }
 
-/// The part this member plays in its term.
+/// The role of this member in its term, with the state that belongs to it.
 #[derive(Debug)]
-enum Part {
-    Follower(Following),
-    /// Holds the members that would grant a vote.
+enum RoleState {
+    Follower(FollowerState),
+    /// The members that would grant a vote.
     PreCandidate(BTreeSet<MemberId>),
-    /// Holds the members that granted their vote. Includes this one only once
-    /// its own vote is on disk.
+    /// The members that granted their vote. Includes this one only once its own
+    /// vote is on disk.
     Candidate(BTreeSet<MemberId>),
-    Leader(Leader),
+    Leader(LeaderState),
 }
 
 impl Consensus {
-    /// A member that has `restored` on disk. The same seed draws the same
-    /// election timeouts; members need different ones.
+    /// Creates a member from its state on disk. The seed determines the election
+    /// timeouts, so each member needs a different one.
     #[must_use]
     pub fn new(
         settings: Settings,
-        me: MemberIdentity,
+        identity: MemberIdentity,
         restored: RestoredState,
         seed: u64,
         now: Instant,
     ) -> Self {
         let log = Log::new(restored.snapshot, restored.entries);
-        let applied = log.base().index;
+        let applied = log.base_position().index;
         let mut member = Consensus {
             settings,
-            me,
+            identity,
             rng: StdRng::seed_from_u64(seed),
             now,
             term: restored.term,
             vote: restored.vote,
             log,
-            disk: Disk::new(now),
+            disk: DiskState::new(now),
             commit: applied,
             applied,
-            part: Part::Follower(Following::default()),
+            role_state: RoleState::Follower(FollowerState::default()),
             deadline: now,
             out: Output::default(),
         };
-        member.arm_election();
+        member.reset_election_deadline();
         member
     }
 
-    /// Takes in what happened at `now` and returns what to do. An instant
-    /// before the latest one counts as the latest one.
+    /// Processes an input that occurred at `now` and returns the actions to carry
+    /// out. An instant before the latest one is treated as the latest one.
     pub fn step(&mut self, now: Instant, input: Input) -> Output {
         self.now = self.now.max(now);
-        // First, so that a process that wakes after a freeze judges its
-        // leadership before it takes in messages that waited meanwhile.
-        self.check_contact();
+        // First, so that a leader whose process was suspended steps down before
+        // it processes messages that were queued meanwhile.
+        self.check_quorum();
         match input {
             Input::Tick => {}
             Input::Message(message) => self.receive(message),
-            Input::WriteSynced(id) => self.written(id),
+            Input::WriteSynced(id) => self.write_synced(id),
             Input::WriteFailed(id) => self.write_failed(id),
-            Input::Bootstrap(group) => self.form(group),
+            Input::Bootstrap(group) => self.bootstrap(group),
             Input::Propose { token, command } => self.propose(token, command),
             Input::ChangeGroup { token, change } => self.change_group(token, change),
             Input::ConfirmRead { token } => self.confirm_read(token),
             Input::Compact { through, state } => {
-                if through <= self.applied && through > self.log.base().index {
+                if through <= self.applied && through > self.log.base_position().index {
                     self.log.compact(through, state);
                 }
             }
@@ -122,7 +123,7 @@
         if self.now >= self.deadline {
             self.deadline_reached();
         }
-        self.settle();
+        self.advance();
         std::mem::take(&mut self.out)
     }
 
@@ -135,23 +136,23 @@
         }
     }
 
-    /// What this member tells about itself.
+    /// The current status of this member.
     #[must_use]
     pub fn status(&self) -> Status {
-        let (role, caught_up) = match &self.part {
-            Part::Follower(_) => (Role::Follower, BTreeSet::new()),
-            Part::PreCandidate(_) => (Role::PreCandidate, BTreeSet::new()),
-            Part::Candidate(_) => (Role::Candidate, BTreeSet::new()),
-            Part::Leader(leader) => (Role::Leader, self.caught_up(leader)),
+        let (role, caught_up) = match &self.role_state {
+            RoleState::Follower(_) => (Role::Follower, BTreeSet::new()),
+            RoleState::PreCandidate(_) => (Role::PreCandidate, BTreeSet::new()),
+            RoleState::Candidate(_) => (Role::Candidate, BTreeSet::new()),
+            RoleState::Leader(leader) => (Role::Leader, self.caught_up(leader)),
         };
         Status {
-            id: self.me.id,
+            id: self.identity.id,
             role,
             term: self.term,
             leader: self.leader(),
             commit_index: self.commit,
-            last_index: self.log.last().index,
-            snapshot_index: self.log.base().index,
+            last_index: self.log.last_position().index,
+            snapshot_index: self.log.base_position().index,
             group: self.log.group().cloned(),
             change_pending: self.log.group_index() > self.commit,
             caught_up,
@@ -161,18 +162,18 @@
 
     /// The leader of the term, if known.
     fn leader(&self) -> Option<(MemberId, SocketAddr)> {
-        match &self.part {
-            Part::Follower(following) => following.leader,
-            Part::Leader(_) => Some((self.me.id, self.me.address)),
-            Part::PreCandidate(_) | Part::Candidate(_) => None,
+        match &self.role_state {
+            RoleState::Follower(follower) => follower.leader,
+            RoleState::Leader(_) => Some((self.identity.id, self.identity.address)),
+            RoleState::PreCandidate(_) | RoleState::Candidate(_) => None,
         }
     }
 
     fn receive(&mut self, message: Message) {
-        if message.to != self.me.id || message.from == self.me.id {
+        if message.to != self.identity.id || message.from == self.identity.id {
             return;
         }
-        // A question whether a vote would be granted changes nothing here.
+        // A pre-vote request must not change the state of the receiver.
         let asks_only = matches!(message.body, MessageBody::PreVote { .. });
         if message.term > self.term && !asks_only {
             self.enter_term(message.term);
@@ -187,67 +188,69 @@
                 request_term,
                 granted,
             } => {
-                self.take_pre_vote(message.from, request_term, granted);
+                self.receive_pre_vote_reply(message.from, request_term, granted);
             }
             MessageBody::Vote { last_log_position } => {
                 self.answer_vote(sender, current, last_log_position);
             }
-            MessageBody::VoteReply { granted } if current => self.take_vote(message.from, granted),
+            MessageBody::VoteReply { granted } if current => {
+                self.receive_vote_reply(message.from, granted)
+            }
             MessageBody::Append {
                 prev_log_position,
                 entries,
                 leader_commit: commit,
                 round,
             } => {
-                if self.follow(sender, current, round) {
-                    self.take_entries(prev_log_position, entries, commit);
+                if self.accept_leader(sender, current, round) {
+                    self.append_entries(prev_log_position, entries, commit);
                 }
             }
             MessageBody::InstallSnapshot { snapshot, round } => {
-                if self.follow(sender, current, round) {
-                    self.take_snapshot(snapshot);
+                if self.accept_leader(sender, current, round) {
+                    self.install_snapshot(snapshot);
                 }
             }
             MessageBody::AppendReply {
                 round,
                 disk_writable,
                 outcome,
-            } if current => self.take_reply(message.from, round, disk_writable, outcome),
+            } if current => self.receive_append_reply(message.from, round, disk_writable, outcome),
             MessageBody::VoteReply { .. } | MessageBody::AppendReply { .. } => {}
         }
     }
 
     fn deadline_reached(&mut self) {
-        if matches!(self.part, Part::Leader(_)) {
-            self.begin_round();
+        if matches!(self.role_state, RoleState::Leader(_)) {
+            self.begin_heartbeat_round();
         } else {
             self.begin_pre_vote();
         }
     }
 
-    /// Draws the conclusions of the input.
-    fn settle(&mut self) {
-        if matches!(self.part, Part::Leader(_)) {
-            self.settle_leader();
+    /// Applies the effects of an input: commits, replies, writes and deliveries.
+    fn advance(&mut self) {
+        if matches!(self.role_state, RoleState::Leader(_)) {
+            self.advance_leader();
         }
-        self.acknowledge();
+        self.send_due_reply();
         self.issue_write();
         self.release_messages();
-        self.hand_out();
+        self.deliver_committed();
     }
 
-    /// Hands the state machine what is committed and on this disk. An entry
-    /// that only others hold waits, so that a restart does not go back behind
-    /// what was handed out.
-    fn hand_out(&mut self) {
-        let through = self.commit.min(self.log.durable());
-        let base = self.log.base().index;
-        if self.applied < base && base <= self.log.durable() {
+    /// Returns the entries that are committed and on this disk. Entries that are
+    /// only on other disks wait, so that a restart never recovers a state older
+    /// than the one already delivered.
+    fn deliver_committed(&mut self) {
+        let through = self.commit.min(self.log.durable_index());
+        let base = self.log.base_position().index;
+        if self.applied < base && base <= self.log.durable_index() {
             self.out.installed_snapshot = self.log.snapshot().cloned();
             self.applied = base;
         }
         while self.applied < through
-            && let Some(entry) = self.log.entry(crate::version::next(self.applied))
+            && let Some(entry) = self.log.entry(crate::version::index_after(self.applied))
         {
             self.applied = entry.index;
             self.out.committed_entries.push(entry.clone());
@@ -256,13 +259,13 @@
 
     fn send(&mut self, (to, address): (MemberId, SocketAddr), body: MessageBody) {
         let message = Message {
-            from: self.me.id,
-            from_address: self.me.address,
+            from: self.identity.id,
+            from_address: self.identity.address,
             to,
             term: self.term,
             body,
         };
-        self.disk.hold(Envelope { address, message });
+        self.disk.hold_until_synced(Envelope { address, message });
     }
 
     fn reject(&mut self, token: RequestToken, reason: Rejection) {
--- a/crates/consensus/src/process/replication.rs
+++ b/crates/consensus/src/process/replication.rs
@@ -1,32 +1,32 @@
-//! Sending the log to other members.
+//! Replication of the log to other members.
 
 use super::leader::Peer;
-use super::{AppendOutcome, Consensus, MessageBody, Part};
-use crate::version::{EntryPayload, LogEntry, Snapshot, next};
+use super::{AppendOutcome, Consensus, MessageBody, RoleState};
+use crate::version::{EntryPayload, LogEntry, Snapshot, index_after};
 use std::net::SocketAddr;
 use types::{MemberId, Revision};
 
 impl Consensus {
-    /// Appends an entry of this leader's term.
-    pub(super) fn append_own(&mut self, payload: EntryPayload) -> Revision {
-        let index = next(self.log.last().index);
+    /// Appends an entry in this leader's term and returns its index.
+    pub(super) fn append_as_leader(&mut self, payload: EntryPayload) -> Revision {
+        let index = index_after(self.log.last_position().index);
         self.log.append(LogEntry {
             index,
             term: self.term,
             payload,
         });
-        self.refresh_peers();
+        self.update_peers();
         index
     }
 
-    /// Keeps a [`Peer`] for each other member of the deciding groups.
-    pub(super) fn refresh_peers(&mut self) {
+    /// Adds and removes [`Peer`]s to match the members of the quorum groups.
+    pub(super) fn update_peers(&mut self) {
         let members: Vec<MemberId> = self.peer_addresses().map(|(id, _)| id).collect();
         let now = self.now;
-        // Only entries on this disk are spoken of, not even as the place before
-        // others.
-        let next = next(self.log.durable());
-        if let Part::Leader(leader) = &mut self.part {
+        // Messages refer only to entries on this disk, also as the position
+        // before the sent entries.
+        let next = index_after(self.log.durable_index());
+        if let RoleState::Leader(leader) = &mut self.role_state {
             leader.peers.retain(|id, _| members.contains(id));
             for id in members {
                 leader
@@ -38,29 +38,29 @@
     }
 
     fn peer_addresses(&self) -> impl Iterator<Item = (MemberId, SocketAddr)> {
-        let groups = self.deciding_groups().into_iter();
-        let me = self.me.id;
+        let groups = self.quorum_groups().into_iter();
+        let local_id = self.identity.id;
         groups
             .flat_map(crate::version::Group::members)
-            .filter(move |(id, _)| *id != me)
+            .filter(move |(id, _)| *id != local_id)
     }
 
     /// Sends a heartbeat to every peer.
-    pub(super) fn begin_round(&mut self) {
+    pub(super) fn begin_heartbeat_round(&mut self) {
         self.deadline = self.now + self.settings.heartbeat_interval;
-        if let Part::Leader(leader) = &mut self.part {
+        if let RoleState::Leader(leader) = &mut self.role_state {
             leader.round += 1;
             self.send_to_peers(true);
         }
     }
 
-    /// Sends what peers lack and what is on this disk.
+    /// Sends each peer the entries that it needs and that are on this disk.
     pub(super) fn send_entries(&mut self) {
         self.send_to_peers(false);
     }
 
     fn send_to_peers(&mut self, heartbeat: bool) {
-        let Part::Leader(leader) = &self.part else {
+        let RoleState::Leader(leader) = &self.role_state else {
             return;
         };
         let ids: Vec<MemberId> = leader.peers.keys().copied().collect();
@@ -71,19 +71,22 @@
 
     fn send_to(&mut self, id: MemberId, heartbeat: bool) {
         let address = self.peer_addresses().find(|(peer, _)| *peer == id);
-        let Part::Leader(leader) = &mut self.part else {
+        let RoleState::Leader(leader) = &mut self.role_state else {
             return;
         };
         let round = leader.round;
         let Some((peer, address)) = leader.peers.get_mut(&id).zip(address) else {
             return;
         };
-        let body = if peer.wants_snapshot(self.log.base().index) {
+        let body = if peer.needs_snapshot(self.log.base_position().index) {
             let now = self.now;
-            let due = peer.writable && peer.installing.is_none_or(|(_, again)| now >= again);
+            let due = peer.writable
+                && peer
+                    .snapshot_in_flight
+                    .is_none_or(|(_, again)| now >= again);
             match self.log.snapshot().filter(|_| due) {
                 Some(snapshot) => {
-                    peer.installing = Some((
+                    peer.snapshot_in_flight = Some((
                         snapshot.position.index,
                         now + self.settings.election_timeout_max,
                     ));
@@ -91,7 +94,7 @@
                     MessageBody::InstallSnapshot { snapshot, round }
                 }
                 None if heartbeat => MessageBody::Append {
-                    prev_log_position: self.log.base(),
+                    prev_log_position: self.log.base_position(),
                     entries: Vec::new(),
                     leader_commit: self.commit,
                     round,
@@ -99,22 +102,23 @@
                 None => return,
             }
         } else {
-            let ahead = peer.next.0 - 1 - peer.matched.0;
-            let open = peer.answered && peer.writable && ahead < self.settings.max_inflight_entries;
-            let through = self.log.durable();
+            let ahead = peer.next_index.0 - 1 - peer.match_index.0;
+            let open =
+                peer.has_replied && peer.writable && ahead < self.settings.max_inflight_entries;
+            let through = self.log.durable_index();
             let entries = if open {
                 self.log
-                    .slice(peer.next, through, self.settings.max_append_bytes)
+                    .slice(peer.next_index, through, self.settings.max_append_bytes)
             } else {
                 Vec::new()
             };
             if entries.is_empty() && !heartbeat {
                 return;
             }
-            let Some(prev) = self.log.position(Revision(peer.next.0 - 1)) else {
+            let Some(prev) = self.log.position(Revision(peer.next_index.0 - 1)) else {
                 return;
             };
-            peer.next = Revision(peer.next.0 + entries.len() as u64);
+            peer.next_index = Revision(peer.next_index.0 + entries.len() as u64);
             MessageBody::Append {
                 prev_log_position: prev,
                 entries,
@@ -125,26 +129,26 @@
         self.send(address, body);
     }
 
-    pub(super) fn take_reply(
+    pub(super) fn receive_append_reply(
         &mut self,
         from: MemberId,
         round: u64,
         writable: bool,
         outcome: AppendOutcome,
     ) {
-        let Part::Leader(leader) = &mut self.part else {
+        let RoleState::Leader(leader) = &mut self.role_state else {
             return;
         };
         let Some(peer) = leader.peers.get_mut(&from) else {
             return;
         };
-        peer.heard = self.now;
+        peer.last_heard = self.now;
         peer.round = peer.round.max(round);
         peer.writable = writable;
-        peer.answered = true;
+        peer.has_replied = true;
         match outcome {
-            AppendOutcome::Matched(index) => peer.acknowledge(index),
-            AppendOutcome::Conflict(index) => peer.back_off(next(index)),
+            AppendOutcome::Matched(index) => peer.advance_match(index),
+            AppendOutcome::Conflict(index) => peer.back_off(index_after(index)),
             AppendOutcome::Blank => peer.back_off(Revision(0)),
         }
     }
@@ -153,40 +157,40 @@
 impl Peer {
     fn new(next: Revision, now: std::time::Instant) -> Self {
         Peer {
-            next,
-            matched: Revision(0),
-            heard: now,
-            answered: false,
+            next_index: next,
+            match_index: Revision(0),
+            last_heard: now,
+            has_replied: false,
             round: 0,
             writable: true,
-            installing: None,
+            snapshot_in_flight: None,
         }
     }
 
     /// Whether the next entry is compacted. `next` is 0 for a blank member,
     /// which gets the snapshot at index 0 because that holds the first group.
-    fn wants_snapshot(&self, base: Revision) -> bool {
-        self.installing.is_some() || self.next <= base
+    fn needs_snapshot(&self, base: Revision) -> bool {
+        self.snapshot_in_flight.is_some() || self.next_index <= base
     }
 
-    fn acknowledge(&mut self, index: Revision) {
-        self.matched = self.matched.max(index);
-        self.next = self.next.max(next(self.matched));
+    fn advance_match(&mut self, index: Revision) {
+        self.match_index = self.match_index.max(index);
+        self.next_index = self.next_index.max(index_after(self.match_index));
         let installed = |(snapshot, _): &mut (Revision, _)| *snapshot <= index;
-        if self.installing.take_if(installed).is_some() {
-            self.next = next(index);
+        if self.snapshot_in_flight.take_if(installed).is_some() {
+            self.next_index = index_after(index);
         }
     }
 
-    /// Goes back to `index`, never behind what is acknowledged: a late or
-    /// duplicated refusal may tell of an earlier state.
+    /// Moves `next_index` back to `index`, but never to an acknowledged entry: a
+    /// delayed or duplicated reply may describe an earlier state.
     fn back_off(&mut self, index: Revision) {
-        let floor = match self.matched {
+        let floor = match self.match_index {
             Revision(0) => Revision(0),
-            matched => next(matched),
+            matched => index_after(matched),
         };
-        if self.installing.is_none() {
-            self.next = self.next.min(index).max(floor);
+        if self.snapshot_in_flight.is_none() {
+            self.next_index = self.next_index.min(index).max(floor);
         }
     }
 }
--- a/crates/consensus/src/process/settings.rs
+++ b/crates/consensus/src/process/settings.rs
@@ -4,31 +4,31 @@
 use std::time::Duration;
 use types::MemberId;
 
-/// Who this member is.
+/// Id and address of this member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MemberIdentity {
-    /// The id that was made with the data folder.
+    /// The id that was generated with the data folder.
     pub id: MemberId,
-    /// Where other members reach this one; goes along in each message, so that
-    /// a member that knows no group can answer.
+    /// Address at which other members reach this one. It is sent in each message,
+    /// so that a member without a group can reply.
     pub address: SocketAddr,
 }
 
-/// Times and sizes of the protocol.
+/// Timeouts and limits of the protocol.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Settings {
-    /// Time between two rounds of heartbeats.
+    /// Time between two heartbeat rounds.
     pub heartbeat_interval: Duration,
     /// Shortest time without a leader before an election; at least twice
-    /// `heartbeat_interval`, or one lost message costs an election.
+    /// `heartbeat_interval`, or one lost message starts an election.
     pub election_timeout_min: Duration,
     /// Longest time without a leader before an election; above `election_timeout_min`.
-    /// A leader that hears no majority for this long steps down.
+    /// A leader that gets no replies from a quorum for this long steps down.
     pub election_timeout_max: Duration,
-    /// Bytes of entries after which a message is full; a single larger entry
-    /// is still sent.
+    /// Maximum size of the entries in one message, in bytes; a single larger
+    /// entry is still sent.
     pub max_append_bytes: usize,
-    /// Entries sent to a member ahead of its acknowledgement.
+    /// Maximum number of unacknowledged entries sent to a member.
     pub max_inflight_entries: u64,
 }
 
--- a/crates/consensus/src/process/status.rs
+++ b/crates/consensus/src/process/status.rs
@@ -1,31 +1,32 @@
-//! What a member tells about itself.
+//! Externally visible status of a member.
 
 use crate::version::Group;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use types::{MemberId, Revision, Term};
 
-/// The part a member plays in its term.
+/// The Raft role of a member in its term.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
-    /// Follows a leader or waits for one; also a learner or a blank member.
+    /// Follows a leader or waits for one. Learners and blank members are always
+    /// followers.
     Follower,
-    /// Asks whether it could win an election.
+    /// Collects pre-votes to find out whether it could win an election.
     PreCandidate,
-    /// Asks for votes.
+    /// Collects votes.
     Candidate,
-    /// Leads.
+    /// Replicates its log to the other members.
     Leader,
 }
 
-/// What a member tells about itself.
+/// Externally visible status of a member.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Status {
-    /// This member.
+    /// Id of this member.
     pub id: MemberId,
-    /// Its part.
+    /// Its role.
     pub role: Role,
-    /// Its term.
+    /// Its current term.
     pub term: Term,
     /// The leader of the term and its address, if known.
     pub leader: Option<(MemberId, SocketAddr)>,
@@ -35,25 +36,25 @@
     pub last_index: Revision,
     /// The last index covered by the snapshot.
     pub snapshot_index: Revision,
-    /// The group in force; `None` in a blank member.
+    /// The effective group; `None` in a blank member.
     pub group: Option<Group>,
-    /// Whether the last group change is still uncommitted.
+    /// Whether the last membership change is still uncommitted.
     pub change_pending: bool,
-    /// At the leader: the other members that hold every committed entry and
-    /// were heard within an election timeout.
+    /// On the leader: the other members that hold every committed entry and
+    /// replied within an election timeout.
     pub caught_up: BTreeSet<MemberId>,
     /// Whether the last write failed.
     pub disk_failed: bool,
 }
 
 impl Status {
-    /// Whether this member leads.
+    /// Whether this member is the leader.
     #[must_use]
     pub fn is_leader(&self) -> bool {
         self.role == Role::Leader
     }
 
-    /// Whether this member knows no group.
+    /// Whether this member has no group yet.
     #[must_use]
     pub fn is_blank(&self) -> bool {
         self.group.is_none()
--- a/crates/consensus/src/request/change.rs
+++ b/crates/consensus/src/request/change.rs
@@ -1,16 +1,16 @@
-//! Changes of the group.
+//! Membership changes.
 
 use crate::request::Rejection;
 use crate::version::Group;
 use std::net::SocketAddr;
 use types::MemberId;
 
-/// A change of the group by one member.
+/// A membership change that adds, promotes or removes one member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum GroupChange {
     /// Adds a member that receives the log and does not vote.
     AddLearner(MemberId, SocketAddr),
-    /// Makes a learner that has caught up a voter.
+    /// Promotes a learner that has caught up to a voter.
     Promote(MemberId),
     /// Removes a voter or learner.
     Remove(MemberId),
@@ -21,7 +21,8 @@
     ///
     /// # Errors
     ///
-    /// Returns the reason if the change does not fit the group.
+    /// Returns [`Rejection::AlreadyMember`], [`Rejection::NoSuchMember`] or
+    /// [`Rejection::LastVoter`] if the change is not valid for the group.
     pub fn apply(self, group: &Group) -> Result<Group, Rejection> {
         let mut group = group.clone();
         match self {
--- a/crates/consensus/src/request/event.rs
+++ b/crates/consensus/src/request/completion.rs
@@ -1,10 +1,10 @@
-//! Answers to proposals, group changes and reads.
+//! Results of proposals, group changes and reads.
 
 use std::fmt;
 use std::net::SocketAddr;
 use types::{MemberId, Revision};
 
-/// Names a proposal, group change or read towards the caller, who chooses it.
+/// Identifies a proposal, group change or read; chosen by the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestToken(pub u64);
 
@@ -14,8 +14,8 @@
     }
 }
 
-/// The answer to a proposal, a group change or a read. Each token gets exactly
-/// one, unless the process ends first.
+/// The result of a proposal, group change or read. Exactly one is emitted per
+/// token, unless the process ends first.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Completion {
     /// The entry is committed at `index`; it is in [`committed_entries`] of this output
@@ -25,14 +25,14 @@
     Accepted {
         /// The proposal or group change.
         token: RequestToken,
-        /// Where the log holds it.
+        /// Log index of its entry.
         index: Revision,
     },
-    /// Not accepted and never will be.
+    /// Not accepted; it will never take effect.
     Rejected {
         /// The proposal, group change or read.
         token: RequestToken,
-        /// Why.
+        /// Reason for the rejection.
         reason: Rejection,
     },
     /// Leadership ended before the commit: the outcome is unknown.
@@ -40,8 +40,9 @@
         /// The proposal or group change.
         token: RequestToken,
     },
-    /// This member was the leader after the read was asked for. The state after
-    /// `index` is fresh, and all entries up to it have been handed out.
+    /// A quorum confirmed this leader after the read was requested: reading the
+    /// state at `index` is linearizable. All entries up to `index` have been
+    /// returned as committed.
     ReadConfirmed {
         /// The read.
         token: RequestToken,
@@ -50,16 +51,16 @@
     },
 }
 
-/// Why something was not accepted.
+/// Reason why a proposal, group change or read was rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Rejection {
-    /// Another member leads, or none does.
+    /// Another member is the leader, or there is none.
     #[error("this member is not the leader")]
     NotLeader {
         /// The leader and its address, if known.
         leader: Option<(MemberId, SocketAddr)>,
     },
-    /// The disk refuses writes.
+    /// The last write to the leader's disk failed.
     #[error("the disk of the leader is full, read-only or failing")]
     DiskFailed,
     /// The leader has not yet committed an entry of its own term.
@@ -68,7 +69,8 @@
     /// Another group change is not committed yet.
     #[error("another group change is in progress")]
     ChangePending,
-    /// The learner lacks committed entries or was not heard lately.
+    /// The learner lacks committed entries or has not replied
+    /// within an election timeout.
     #[error("the learner has not caught up")]
     NotCaughtUp,
     /// The member to be added is already in the group.
--- a/crates/consensus/src/request/mod.rs
+++ b/crates/consensus/src/request/mod.rs
@@ -1,9 +1,9 @@
-//! What lasts for one proposal, group change or read.
+//! Types that live for one proposal, group change or read.
 
 mod change;
-mod event;
+mod completion;
 mod read;
 
 pub use change::GroupChange;
-pub use event::{Completion, Rejection, RequestToken};
-pub(crate) use read::Reads;
+pub use completion::{Completion, Rejection, RequestToken};
+pub(crate) use read::PendingReads;
--- a/crates/consensus/src/request/read.rs
+++ b/crates/consensus/src/request/read.rs
@@ -1,15 +1,16 @@
-//! Reads that wait for a round of heartbeats.
+//! Reads that wait for a heartbeat round.
 
 use super::RequestToken;
 
-/// Reads that wait for a round of heartbeats which began after them.
+/// Reads that wait for a heartbeat round which began after they were requested.
 #[derive(Debug, Default)]
-pub(crate) struct Reads {
-    /// Each with the first round that confirms it, in ascending order.
+pub(crate) struct PendingReads {
+    /// Reads and the first round that can confirm each, in ascending order of
+    /// rounds.
     waiting: Vec<(RequestToken, u64)>,
 }
 
-impl Reads {
+impl PendingReads {
     /// Adds a read; `round` is the latest round that has begun.
     pub fn add(&mut self, token: RequestToken, round: u64) {
         self.waiting.push((token, round + 1));
@@ -20,7 +21,8 @@
         self.waiting.iter().any(|(_, needed)| *needed > round)
     }
 
-    /// Takes the reads that a majority's answer to `round` confirms.
+    /// Removes and returns the reads that are confirmed once a quorum has replied
+    /// to `round`.
     pub fn take_confirmed(&mut self, round: u64) -> Vec<RequestToken> {
         let count = self.waiting.partition_point(|(_, needed)| *needed <= round);
         self.waiting
@@ -29,7 +31,7 @@
             .collect()
     }
 
-    /// Takes all reads.
+    /// Removes and returns all reads.
     pub fn take_all(&mut self) -> Vec<RequestToken> {
         self.take_confirmed(u64::MAX)
     }
--- a/crates/consensus/src/version/entry.rs
+++ b/crates/consensus/src/version/entry.rs
@@ -1,18 +1,18 @@
-//! Entries of the log.
+//! Log entries and their positions.
 
 use super::Group;
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 use types::{Revision, Term};
 
-/// What an entry carries.
+/// Payload of a log entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EntryPayload {
     /// Appended by each new leader, so that it commits an entry of its term.
     Noop,
-    /// A change for the state machine.
+    /// A command for the state machine.
     Command(Bytes),
-    /// A new group, in force as soon as it is appended.
+    /// A new group, effective as soon as it is appended.
     Group(Group),
 }
 
@@ -23,7 +23,7 @@
     pub index: Revision,
     /// The term of the leader that appended the entry.
     pub term: Term,
-    /// What the entry carries.
+    /// The content of the entry.
     pub payload: EntryPayload,
 }
 
@@ -37,28 +37,30 @@
         }
     }
 
-    /// Approximate size of the entry in a message, in bytes.
+    /// Approximate encoded size of the entry, in bytes.
     #[must_use]
     pub fn size(&self) -> usize {
-        const FRAME: usize = 24;
-        const MEMBER: usize = 32;
-        FRAME
+        const ENTRY_OVERHEAD_BYTES: usize = 24;
+        const MEMBER_BYTES: usize = 32;
+        ENTRY_OVERHEAD_BYTES
             + match &self.payload {
                 EntryPayload::Noop => 0,
                 EntryPayload::Command(command) => command.len(),
-                EntryPayload::Group(group) => MEMBER * (group.voters.len() + group.learners.len()),
+                EntryPayload::Group(group) => {
+                    MEMBER_BYTES * (group.voters.len() + group.learners.len())
+                }
             }
     }
 }
 
-/// A place in the log. The order tells which of two logs is more up to date:
-/// first by term, then by index.
+/// Term and index of a log entry. Ordered by term, then by index, which is how
+/// Raft compares how up to date two logs are.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
 pub struct LogPosition {
     /// The term of the entry at `index`.
     pub term: Term,
-    /// The log index; 0 is the place before the first entry.
+    /// The log index; 0 is the position before the first entry.
     pub index: Revision,
 }
--- a/crates/consensus/src/version/group.rs
+++ b/crates/consensus/src/version/group.rs
@@ -10,12 +10,13 @@
 pub struct Group {
     /// Members that vote and count towards the majority. Never also a learner.
     pub voters: BTreeMap<MemberId, SocketAddr>,
-    /// Members that receive the log but neither vote nor count.
+    /// Members that receive the log but do not vote or count towards the
+    /// majority.
     pub learners: BTreeMap<MemberId, SocketAddr>,
 }
 
 impl Group {
-    /// A group of these voters and no learners.
+    /// Creates a group of these voters and no learners.
     #[must_use]
     pub fn from_voters(voters: impl IntoIterator<Item = (MemberId, SocketAddr)>) -> Self {
         Group {
@@ -53,9 +54,8 @@
             .map(|(id, address)| (*id, *address))
     }
 
-    /// Whether the voters that `agrees` accepts are more than half of all
-    /// voters. Exactly half is not a majority, so an even split decides
-    /// nothing on either side.
+    /// Whether `agrees` holds for more than half of the voters. Exactly half is
+    /// not a majority, so neither side of an even split can commit.
     #[must_use]
     pub fn has_majority(&self, agrees: impl Fn(MemberId) -> bool) -> bool {
         let count = self.voters.keys().filter(|id| agrees(**id)).count();
--- a/crates/consensus/src/version/log.rs
+++ b/crates/consensus/src/version/log.rs
@@ -1,33 +1,35 @@
-//! The log in memory, and what of it is on disk.
+//! The in-memory log and its persistence state.
 
 use super::{EntryPayload, Group, LogEntry, LogPosition, Snapshot};
 use bytes::Bytes;
 use std::collections::BTreeMap;
 use types::Revision;
 
-/// The log in memory, and what of it is on disk.
+/// The in-memory log, and which part of it is on disk.
 #[derive(Debug)]
 pub(crate) struct Log {
-    /// `None` in a blank member, which then has no entries either.
+    /// The snapshot before `entries`; `None` in a blank member, which then has
+    /// no entries either.
     base: Option<Snapshot>,
-    /// Consecutive, the first one right after `base`.
+    /// Consecutive entries, starting right after `base`.
     entries: Vec<LogEntry>,
     /// The group entries among `entries`.
     groups: BTreeMap<Revision, Group>,
-    /// All entries up to here are on disk as they are here.
-    durable: Revision,
-    /// Entries from here on have not been handed to the disk.
-    unwritten: Revision,
-    /// The disk may hold entries from `unwritten` on that must be dropped.
-    truncated: bool,
-    /// `base` has not been handed to the disk.
-    base_unwritten: bool,
-    in_flight: Option<InFlight>,
+    /// All entries up to this index are on disk with the same content.
+    durable_index: Revision,
+    /// First index that was not yet part of a write.
+    first_unwritten: Revision,
+    /// The disk may hold stale entries from `first_unwritten` on, which the next
+    /// write must truncate.
+    truncate_pending: bool,
+    /// `base` was not yet part of a write.
+    base_write_pending: bool,
+    in_flight: Option<WriteInFlight>,
 }
 
-/// The outstanding write, as far as it still agrees with the log.
+/// The part of the outstanding write that still matches the log.
 #[derive(Debug)]
-struct InFlight {
+struct WriteInFlight {
     from: Option<Revision>,
     through: Revision,
     snapshot: bool,
@@ -47,17 +49,17 @@
             base,
             entries: Vec::new(),
             groups: BTreeMap::new(),
-            durable: Revision(0),
-            unwritten: Revision(0),
-            truncated: false,
-            base_unwritten: false,
+            durable_index: Revision(0),
+            first_unwritten: Revision(0),
+            truncate_pending: false,
+            base_write_pending: false,
             in_flight: None,
         };
         for entry in entries {
             log.append(entry);
         }
-        log.durable = log.last().index;
-        log.unwritten = next(log.durable);
+        log.durable_index = log.last_position().index;
+        log.first_unwritten = index_after(log.durable_index);
         log
     }
 
@@ -65,31 +67,31 @@
         self.base.as_ref()
     }
 
-    pub fn base(&self) -> LogPosition {
+    pub fn base_position(&self) -> LogPosition {
         self.base
             .as_ref()
             .map_or_else(LogPosition::default, |base| base.position)
     }
 
-    pub fn last(&self) -> LogPosition {
+    pub fn last_position(&self) -> LogPosition {
         self.entries
             .last()
-            .map_or_else(|| self.base(), LogEntry::position)
+            .map_or_else(|| self.base_position(), LogEntry::position)
     }
 
-    pub fn durable(&self) -> Revision {
-        self.durable
+    pub fn durable_index(&self) -> Revision {
+        self.durable_index
     }
 
-    /// The end of the part on disk; the place before the first entry while a
-    /// received snapshot is not synced.
+    /// The position of the last entry on disk; the position before the first
+    /// entry while a received snapshot is not synced.
     pub fn durable_position(&self) -> LogPosition {
-        self.position(self.durable).unwrap_or_default()
+        self.position(self.durable_index).unwrap_or_default()
     }
 
-    /// The place at `index`, if the log still has it.
+    /// The position at `index`, unless it is compacted or past the end.
     pub fn position(&self, index: Revision) -> Option<LogPosition> {
-        let base = self.base();
+        let base = self.base_position();
         if index == base.index {
             return Some(base);
         }
@@ -97,7 +99,7 @@
     }
 
     pub fn entry(&self, index: Revision) -> Option<&LogEntry> {
-        let offset = index.0.checked_sub(self.base().index.0 + 1)?;
+        let offset = index.0.checked_sub(self.base_position().index.0 + 1)?;
         self.entries.get(usize::try_from(offset).ok()?)
     }
 
@@ -122,7 +124,7 @@
         self.entries.get(before).map(|entry| entry.index)
     }
 
-    /// The group in force: the last one appended, committed or not.
+    /// The effective group: the last one appended, committed or not.
     pub fn group(&self) -> Option<&Group> {
         self.groups
             .values()
@@ -130,7 +132,7 @@
             .or(self.base.as_ref().map(|base| &base.group))
     }
 
-    /// The group in force at `index`.
+    /// The effective group at `index`.
     pub fn group_at(&self, index: Revision) -> Option<&Group> {
         self.groups
             .range(..=index)
@@ -139,37 +141,37 @@
             .or(self.base.as_ref().map(|base| &base.group))
     }
 
-    /// Where the group in force was appended.
+    /// The index at which the effective group was appended.
     pub fn group_index(&self) -> Revision {
         let last = self.groups.keys().next_back();
-        last.copied().unwrap_or(self.base().index)
+        last.copied().unwrap_or(self.base_position().index)
     }
 
     pub fn append(&mut self, entry: LogEntry) {
-        debug_assert_eq!(entry.index, next(self.last().index));
+        debug_assert_eq!(entry.index, index_after(self.last_position().index));
         if let EntryPayload::Group(group) = &entry.payload {
             self.groups.insert(entry.index, group.clone());
         }
         self.entries.push(entry);
     }
 
-    /// Drops the entries from `from` on, and with them the groups they hold.
+    /// Removes the entries from `from` on, including their groups.
     pub fn truncate(&mut self, from: Revision) {
-        let keep = from.0.saturating_sub(self.base().index.0 + 1);
+        let keep = from.0.saturating_sub(self.base_position().index.0 + 1);
         self.entries
             .truncate(usize::try_from(keep).unwrap_or(usize::MAX));
         self.groups.split_off(&from);
         let before = Revision(from.0.saturating_sub(1));
-        self.durable = self.durable.min(before);
-        self.unwritten = self.unwritten.min(from);
-        self.truncated = true;
+        self.durable_index = self.durable_index.min(before);
+        self.first_unwritten = self.first_unwritten.min(from);
+        self.truncate_pending = true;
         if let Some(write) = &mut self.in_flight {
             write.through = write.through.min(before);
         }
     }
 
-    /// Puts a snapshot in place of the whole log, or of the prefix it covers if
-    /// the log agrees with it.
+    /// Replaces the whole log by a snapshot, or only the covered prefix if the
+    /// log contains the snapshot's position.
     pub fn install(&mut self, snapshot: Snapshot) {
         if self.position(snapshot.position.index) == Some(snapshot.position) && self.base.is_some()
         {
@@ -177,13 +179,13 @@
         }
         self.entries.clear();
         self.groups.clear();
-        self.durable = Revision(0);
-        self.unwritten = next(snapshot.position.index);
-        self.truncated = true;
-        self.base_unwritten = true;
+        self.durable_index = Revision(0);
+        self.first_unwritten = index_after(snapshot.position.index);
+        self.truncate_pending = true;
+        self.base_write_pending = true;
         self.base = Some(snapshot);
         if let Some(write) = &mut self.in_flight {
-            *write = InFlight {
+            *write = WriteInFlight {
                 from: None,
                 through: Revision(0),
                 snapshot: false,
@@ -205,34 +207,34 @@
 
     fn replace_prefix(&mut self, snapshot: Snapshot) {
         let through = snapshot.position.index;
-        let count = through.0.saturating_sub(self.base().index.0);
+        let count = through.0.saturating_sub(self.base_position().index.0);
         let count = usize::try_from(count).unwrap_or(usize::MAX);
         self.entries.drain(..count.min(self.entries.len()));
-        self.groups = self.groups.split_off(&next(through));
-        self.unwritten = self.unwritten.max(next(through));
+        self.groups = self.groups.split_off(&index_after(through));
+        self.first_unwritten = self.first_unwritten.max(index_after(through));
         self.base = Some(snapshot);
-        self.base_unwritten = true;
+        self.base_write_pending = true;
     }
 
-    /// What the disk lacks, if anything. Must not be called while a write is
-    /// outstanding.
+    /// Starts a write of everything that is not on disk. Must not be called while
+    /// a write is outstanding.
     pub fn begin_write(&mut self) -> LogWrite {
-        let entries: Vec<LogEntry> = (self.unwritten.0..)
+        let entries: Vec<LogEntry> = (self.first_unwritten.0..)
             .map_while(|index| self.entry(Revision(index)).cloned())
             .collect();
-        let from = (self.truncated || !entries.is_empty()).then_some(self.unwritten);
-        let snapshot = self.base.clone().filter(|_| self.base_unwritten);
-        let covered = snapshot.as_ref().map_or(self.durable, |snapshot| {
-            self.durable.max(snapshot.position.index)
+        let from = (self.truncate_pending || !entries.is_empty()).then_some(self.first_unwritten);
+        let snapshot = self.base.clone().filter(|_| self.base_write_pending);
+        let covered = snapshot.as_ref().map_or(self.durable_index, |snapshot| {
+            self.durable_index.max(snapshot.position.index)
         });
-        self.in_flight = Some(InFlight {
+        self.in_flight = Some(WriteInFlight {
             from,
             through: entries.last().map_or(covered, |entry| entry.index),
             snapshot: snapshot.is_some(),
         });
-        self.unwritten = next(self.last().index);
-        self.truncated = false;
-        self.base_unwritten = false;
+        self.first_unwritten = index_after(self.last_position().index);
+        self.truncate_pending = false;
+        self.base_write_pending = false;
         LogWrite {
             truncate_from: from,
             snapshot,
@@ -240,30 +242,36 @@
         }
     }
 
-    /// Whether the disk lacks anything that it was not handed yet.
+    /// Whether there are changes that were not yet part of a write.
     pub fn needs_write(&self) -> bool {
-        self.truncated || self.base_unwritten || self.unwritten <= self.last().index
+        self.truncate_pending
+            || self.base_write_pending
+            || self.first_unwritten <= self.last_position().index
     }
 
-    pub fn written(&mut self) {
+    pub fn complete_write(&mut self) {
         if let Some(write) = self.in_flight.take() {
-            self.durable = self.durable.max(write.through);
+            self.durable_index = self.durable_index.max(write.through);
         }
     }
 
-    /// Takes back what the failed write held, so that the next one has it.
-    pub fn write_failed(&mut self) {
+    /// Marks the content of the failed write as unwritten, so that the next write
+    /// includes it again.
+    pub fn fail_write(&mut self) {
         if let Some(write) = self.in_flight.take() {
             if let Some(from) = write.from {
-                self.unwritten = self.unwritten.min(from).max(next(self.base().index));
-                self.truncated = true;
+                self.first_unwritten = self
+                    .first_unwritten
+                    .min(from)
+                    .max(index_after(self.base_position().index));
+                self.truncate_pending = true;
             }
-            self.base_unwritten |= write.snapshot;
+            self.base_write_pending |= write.snapshot;
         }
     }
 }
 
-/// The index after this one.
-pub(crate) fn next(index: Revision) -> Revision {
+/// The next log index.
+pub(crate) fn index_after(index: Revision) -> Revision {
     Revision(index.0 + 1)
 }
--- a/crates/consensus/src/version/mod.rs
+++ b/crates/consensus/src/version/mod.rs
@@ -1,4 +1,4 @@
-//! What changes with a version of the log: entries, groups and snapshots.
+//! The log and its versioned contents: entries, groups and snapshots.
 
 mod entry;
 mod group;
@@ -7,5 +7,5 @@
 
 pub use entry::{EntryPayload, LogEntry, LogPosition};
 pub use group::Group;
-pub(crate) use log::{Log, next};
+pub(crate) use log::{Log, index_after};
 pub use snapshot::Snapshot;
--- a/crates/consensus/src/version/snapshot.rs
+++ b/crates/consensus/src/version/snapshot.rs
@@ -1,13 +1,12 @@
-//! The state that replaces a prefix of the log.
+//! Snapshots, which replace a prefix of the log.
 
 use super::{Group, LogPosition};
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-/// The state of the state machine after a prefix of the log.
+/// The state machine's state after a prefix of the log.
 ///
-/// The snapshot at index 0 holds the first group and an empty state: it is
-/// what [`Input::Bootstrap`](crate::Input::Bootstrap) writes, and the state machine
+/// The snapshot at index 0 holds the first group and an empty state: it is what [`Input::Bootstrap`](crate::Input::Bootstrap) writes, and the state machine
 /// starts empty from it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
--- a/crates/consensus/tests/faults.rs
+++ b/crates/consensus/tests/faults.rs
@@ -1,52 +1,53 @@
-//! Every fault at every step of the replicated log.
+//! Injects every fault, and every pair of faults, during every operation of the
+//! replicated log.
 
 mod harness;
 
 use consensus::GroupChange;
-use harness::{Cluster, Noise, address};
+use harness::{Cluster, MessageFaults, address};
 use types::MemberId;
 
 #[derive(Debug, Clone, Copy)]
-enum Step {
+enum Operation {
     Propose,
     Replicate,
     Commit,
     Snapshot,
-    Join,
+    AddLearner,
     Promote,
 }
 
 #[derive(Debug, Clone, Copy)]
 enum Fault {
-    Kill,
+    Crash,
     Restart,
     LostDisk,
     FullDisk,
-    CutOneWay,
-    CutBothWays,
-    Freeze,
+    PartitionOneWay,
+    PartitionBothWays,
+    Suspend,
     Duplicate,
     Delay,
     Drop,
 }
 
-const STEPS: [Step; 6] = [
-    Step::Propose,
-    Step::Replicate,
-    Step::Commit,
-    Step::Snapshot,
-    Step::Join,
-    Step::Promote,
+const OPERATIONS: [Operation; 6] = [
+    Operation::Propose,
+    Operation::Replicate,
+    Operation::Commit,
+    Operation::Snapshot,
+    Operation::AddLearner,
+    Operation::Promote,
 ];
 
 const FAULTS: [Fault; 10] = [
-    Fault::Kill,
+    Fault::Crash,
     Fault::Restart,
     Fault::LostDisk,
     Fault::FullDisk,
-    Fault::CutOneWay,
-    Fault::CutBothWays,
-    Fault::Freeze,
+    Fault::PartitionOneWay,
+    Fault::PartitionBothWays,
+    Fault::Suspend,
     Fault::Duplicate,
     Fault::Delay,
     Fault::Drop,
@@ -54,111 +55,111 @@
 
 const JOINER: MemberId = MemberId(9);
 
-/// Goes up to the middle of a step.
-fn begin(cluster: &mut Cluster, step: Step) {
-    let leader = cluster.elect();
-    match step {
-        Step::Propose => {
+/// Starts the operation and stops before it is complete.
+fn begin(cluster: &mut Cluster, operation: Operation) {
+    let leader = cluster.elect_leader();
+    match operation {
+        Operation::Propose => {
             cluster.propose(leader);
         }
-        Step::Replicate | Step::Commit => {
+        Operation::Replicate | Operation::Commit => {
             cluster.propose(leader);
-            cluster.turns(if matches!(step, Step::Replicate) {
+            cluster.run_steps(if matches!(operation, Operation::Replicate) {
                 1
             } else {
                 3
             });
         }
-        Step::Snapshot => {
-            cluster.accept();
+        Operation::Snapshot => {
+            cluster.propose_until_accepted();
             cluster.compact(leader);
         }
-        Step::Join => {
+        Operation::AddLearner => {
             cluster.compact(leader);
-            cluster.join(JOINER);
-            cluster.change(leader, GroupChange::AddLearner(JOINER, address(JOINER)));
-            cluster.turns(1);
+            cluster.add_process(JOINER);
+            cluster.propose_change(leader, GroupChange::AddLearner(JOINER, address(JOINER)));
+            cluster.run_steps(1);
         }
-        Step::Promote => {
-            cluster.join(JOINER);
-            cluster.changed(GroupChange::AddLearner(JOINER, address(JOINER)));
-            let leader = cluster.elect();
-            cluster.change(leader, GroupChange::Promote(JOINER));
-            cluster.turns(1);
+        Operation::Promote => {
+            cluster.add_process(JOINER);
+            cluster.change_until_accepted(GroupChange::AddLearner(JOINER, address(JOINER)));
+            let leader = cluster.elect_leader();
+            cluster.propose_change(leader, GroupChange::Promote(JOINER));
+            cluster.run_steps(1);
         }
     }
 }
 
-fn strike(cluster: &mut Cluster, fault: Fault, victim: MemberId) {
+fn inject(cluster: &mut Cluster, fault: Fault, victim: MemberId) {
     let other = MemberId(victim.0 % 3 + 1);
     match fault {
-        Fault::Kill => cluster.kill(victim),
+        Fault::Crash => cluster.crash(victim),
         Fault::Restart => {
-            cluster.kill(victim);
+            cluster.crash(victim);
             cluster.restart(victim);
         }
-        // A host that lost its disk never comes back under its id.
+        // A host that lost its disk never returns under the same id.
         Fault::LostDisk => {
-            cluster.kill(victim);
-            cluster.nodes.remove(&victim);
+            cluster.crash(victim);
+            cluster.processes.remove(&victim);
         }
-        Fault::FullDisk => cluster.nodes.get_mut(&victim).unwrap().full = true,
-        Fault::CutOneWay => cluster.cut(victim, other),
-        Fault::CutBothWays => cluster.isolate(victim),
-        Fault::Freeze => cluster.nodes.get_mut(&victim).unwrap().frozen = true,
+        Fault::FullDisk => cluster.processes.get_mut(&victim).unwrap().disk_full = true,
+        Fault::PartitionOneWay => cluster.block_link(victim, other),
+        Fault::PartitionBothWays => cluster.isolate(victim),
+        Fault::Suspend => cluster.processes.get_mut(&victim).unwrap().suspended = true,
         Fault::Duplicate => {
-            cluster.noise = Noise {
+            cluster.message_faults = MessageFaults {
                 duplicate: true,
-                ..cluster.noise
+                ..cluster.message_faults
             }
         }
         Fault::Delay => {
-            cluster.noise = Noise {
+            cluster.message_faults = MessageFaults {
                 delay: true,
-                ..cluster.noise
+                ..cluster.message_faults
             }
         }
         Fault::Drop => {
-            cluster.noise = Noise {
+            cluster.message_faults = MessageFaults {
                 drop: true,
-                ..cluster.noise
+                ..cluster.message_faults
             }
         }
     }
 }
 
-fn run(step: Step, first: Fault, second: Option<Fault>, seed: u64) {
+fn run(operation: Operation, first: Fault, second: Option<Fault>, seed: u64) {
     let mut cluster = Cluster::new(3, seed);
-    cluster.accept();
-    begin(&mut cluster, step);
-    let victim = MemberId(cluster.pick(3) + 1);
-    strike(&mut cluster, first, victim);
-    cluster.turns(5);
+    cluster.propose_until_accepted();
+    begin(&mut cluster, operation);
+    let victim = MemberId(cluster.random_below(3) + 1);
+    inject(&mut cluster, first, victim);
+    cluster.run_steps(5);
     if let Some(second) = second {
-        // Two lost disks of three are beyond what a group survives.
+        // A group of three does not survive the loss of two disks.
         let lost = matches!(first, Fault::LostDisk) && matches!(second, Fault::LostDisk);
         let next = MemberId(victim.0 % 3 + 1);
         if !lost {
-            strike(&mut cluster, second, next);
+            inject(&mut cluster, second, next);
         }
     }
-    cluster.turns(60);
-    for id in cluster.nodes.keys().copied().collect::<Vec<_>>() {
+    cluster.run_steps(60);
+    for id in cluster.processes.keys().copied().collect::<Vec<_>>() {
         cluster.propose(id);
     }
-    cluster.turns(40);
-    cluster.heal();
+    cluster.run_steps(40);
+    cluster.heal_and_converge();
 }
 
-/// Guards against a fault that loses, changes or doubles what was committed.
+/// Guards against a fault that loses, changes or duplicates committed entries.
 #[test]
-fn one_fault_at_every_step() {
-    for (i, step) in STEPS.into_iter().enumerate() {
+fn one_fault_during_every_operation() {
+    for (i, operation) in OPERATIONS.into_iter().enumerate() {
         for (j, fault) in FAULTS.into_iter().enumerate() {
             for seed in 0..8 {
-                println!("{step:?} {fault:?} seed {seed}");
+                println!("{operation:?} {fault:?} seed {seed}");
                 run(
-                    step,
+                    operation,
                     fault,
                     None,
                     (i * 1000 + j * 100 + seed + 1) as u64 * 7919,
@@ -168,15 +169,15 @@
     }
 }
 
-/// Guards against two faults in a row that together lose what one would not.
+/// Guards against two successive faults that together lose committed entries.
 #[test]
-fn two_faults_at_every_step() {
-    for (i, step) in STEPS.into_iter().enumerate() {
+fn two_faults_during_every_operation() {
+    for (i, operation) in OPERATIONS.into_iter().enumerate() {
         for (j, first) in FAULTS.into_iter().enumerate() {
             for (k, second) in FAULTS.into_iter().enumerate() {
-                println!("{step:?} {first:?} then {second:?}");
+                println!("{operation:?} {first:?} then {second:?}");
                 run(
-                    step,
+                    operation,
                     first,
                     Some(second),
                     (i * 10000 + j * 100 + k + 1) as u64 * 104_729,
--- a/crates/consensus/tests/harness/mod.rs
+++ b/crates/consensus/tests/harness/mod.rs
@@ -1,5 +1,5 @@
-//! Members in memory with fake disks and a message queue, and the checks that
-//! must hold after every step.
+//! In-memory cluster with simulated disks and a message queue, and the
+//! invariants that are checked after every step.
 
 use consensus::{
     Completion, Consensus, DiskWrite, EntryPayload, Envelope, Group, GroupChange, Input, LogEntry,
@@ -10,28 +10,28 @@
 use std::time::{Duration, Instant};
 use types::{MemberId, Revision, Term};
 
-pub const TICK: Duration = Duration::from_millis(20);
+pub const STEP_DURATION: Duration = Duration::from_millis(20);
 
 pub fn address(id: MemberId) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 1000 + u16::try_from(id.0).unwrap()))
 }
 
-pub struct Node {
+pub struct SimulatedProcess {
     pub member: Option<Consensus>,
     pub disk: RestoredState,
-    pending: Option<DiskWrite>,
-    /// Inputs that wait while the process is frozen.
-    waiting: Vec<Input>,
-    pub frozen: bool,
-    pub full: bool,
-    applied: Revision,
-    /// In force after the last step.
+    pending_write: Option<DiskWrite>,
+    /// Inputs that are queued while the process is suspended.
+    queued_inputs: Vec<Input>,
+    pub suspended: bool,
+    pub disk_full: bool,
+    applied_index: Revision,
+    /// The effective group after the last step.
     group: Option<Group>,
 }
 
-/// How the network treats a message.
+/// Random faults of the network.
 #[derive(Default, Clone, Copy)]
-pub struct Noise {
+pub struct MessageFaults {
     pub drop: bool,
     pub duplicate: bool,
     pub delay: bool,
@@ -39,20 +39,20 @@
 
 pub struct Cluster {
     pub now: Instant,
-    pub nodes: BTreeMap<MemberId, Node>,
+    pub processes: BTreeMap<MemberId, SimulatedProcess>,
     pub queue: Vec<Envelope>,
     /// Pairs (from, to) whose messages are lost.
-    pub cut: BTreeSet<(MemberId, MemberId)>,
-    pub noise: Noise,
+    pub blocked_links: BTreeSet<(MemberId, MemberId)>,
+    pub message_faults: MessageFaults,
     pub events: Vec<(MemberId, Completion)>,
-    /// All that was ever committed, with its group.
+    /// Every entry that was committed on any member.
     pub committed: BTreeMap<Revision, LogEntry>,
     pub accepted: BTreeMap<RequestToken, Revision>,
-    /// The last index accepted when each open read was asked for.
-    reads: BTreeMap<RequestToken, Revision>,
-    leaders: BTreeMap<Term, MemberId>,
-    random: u64,
-    token: u64,
+    /// For each pending read, the highest accepted index when it was requested.
+    accepted_before_read: BTreeMap<RequestToken, Revision>,
+    leader_by_term: BTreeMap<Term, MemberId>,
+    rng_state: u64,
+    last_token: u64,
 }
 
 impl Cluster {
@@ -68,69 +68,69 @@
     fn blank(count: u64, seed: u64) -> Self {
         let mut cluster = Cluster {
             now: Instant::now(),
-            nodes: BTreeMap::new(),
+            processes: BTreeMap::new(),
             queue: Vec::new(),
-            cut: BTreeSet::new(),
-            noise: Noise::default(),
+            blocked_links: BTreeSet::new(),
+            message_faults: MessageFaults::default(),
             events: Vec::new(),
             committed: BTreeMap::new(),
             accepted: BTreeMap::new(),
-            reads: BTreeMap::new(),
-            leaders: BTreeMap::new(),
-            random: seed | 1,
-            token: 0,
+            accepted_before_read: BTreeMap::new(),
+            leader_by_term: BTreeMap::new(),
+            rng_state: seed | 1,
+            last_token: 0,
         };
         for id in 1..=count {
-            cluster.join(MemberId(id));
+            cluster.add_process(MemberId(id));
         }
         cluster
     }
 
-    /// A number below `bound` from the seed.
-    pub fn pick(&mut self, bound: u64) -> u64 {
-        self.random ^= self.random << 13;
-        self.random ^= self.random >> 7;
-        self.random ^= self.random << 17;
-        (self.random >> 20) % bound
+    /// A pseudo-random number below `bound`, determined by the seed.
+    pub fn random_below(&mut self, bound: u64) -> u64 {
+        self.rng_state ^= self.rng_state << 13;
+        self.rng_state ^= self.rng_state >> 7;
+        self.rng_state ^= self.rng_state << 17;
+        (self.rng_state >> 20) % bound
     }
 
     /// Adds a process with an empty disk.
-    pub fn join(&mut self, id: MemberId) {
-        let node = Node {
+    pub fn add_process(&mut self, id: MemberId) {
+        let node = SimulatedProcess {
             member: None,
             disk: RestoredState::default(),
-            pending: None,
-            waiting: Vec::new(),
-            frozen: false,
-            full: false,
-            applied: Revision(0),
+            pending_write: None,
+            queued_inputs: Vec::new(),
+            suspended: false,
+            disk_full: false,
+            applied_index: Revision(0),
             group: None,
         };
-        self.nodes.insert(id, node);
+        self.processes.insert(id, node);
         self.restart(id);
     }
 
-    /// Ends a process; its unsynced write is lost or not, by the seed.
-    pub fn kill(&mut self, id: MemberId) {
-        let survives = self.pick(2) == 0;
-        let node = self.nodes.get_mut(&id).unwrap();
+    /// Ends a process. The seed decides whether its unsynced write is lost.
+    pub fn crash(&mut self, id: MemberId) {
+        let survives = self.random_below(2) == 0;
+        let node = self.processes.get_mut(&id).unwrap();
         node.member = None;
-        node.waiting.clear();
-        if let Some(write) = node.pending.take().filter(|_| survives) {
+        node.queued_inputs.clear();
+        if let Some(write) = node.pending_write.take().filter(|_| survives) {
             write_to(&mut node.disk, &write);
         }
     }
 
     pub fn restart(&mut self, id: MemberId) {
-        let seed = self.pick(1 << 40);
+        let seed = self.random_below(1 << 40);
         let me = MemberIdentity {
             id,
             address: address(id),
         };
-        let node = self.nodes.get_mut(&id).unwrap();
+        let node = self.processes.get_mut(&id).unwrap();
         let restored = node.disk.clone();
-        node.frozen = false;
-        node.applied = restored
+        node.suspended = false;
+        node.applied_index = restored
             .snapshot
             .as_ref()
             .map_or(Revision(0), |s| s.position.index);
@@ -143,50 +143,57 @@
         ));
     }
 
-    pub fn cut(&mut self, from: MemberId, to: MemberId) {
-        self.cut.insert((from, to));
+    pub fn block_link(&mut self, from: MemberId, to: MemberId) {
+        self.blocked_links.insert((from, to));
     }
 
     pub fn isolate(&mut self, id: MemberId) {
-        for other in self.nodes.keys().copied().filter(|other| *other != id) {
-            self.cut.extend([(id, other), (other, id)]);
+        for other in self.processes.keys().copied().filter(|other| *other != id) {
+            self.blocked_links.extend([(id, other), (other, id)]);
         }
     }
 
     pub fn input(&mut self, id: MemberId, input: Input) {
         let now = self.now;
-        let node = self.nodes.get_mut(&id).unwrap();
+        let node = self.processes.get_mut(&id).unwrap();
         let Some(member) = &mut node.member else {
             return;
         };
-        if node.frozen {
-            node.waiting.push(input);
+        if node.suspended {
+            node.queued_inputs.push(input);
             return;
         }
         let out = member.step(now, input);
-        self.take(id, out);
+        self.apply_output(id, out);
     }
 
-    pub fn wake(&mut self, id: MemberId) {
-        let node = self.nodes.get_mut(&id).unwrap();
-        node.frozen = false;
-        for input in std::mem::take(&mut node.waiting) {
+    pub fn resume(&mut self, id: MemberId) {
+        let node = self.processes.get_mut(&id).unwrap();
+        node.suspended = false;
+        for input in std::mem::take(&mut node.queued_inputs) {
             self.input(id, input);
         }
     }
 
-    fn take(&mut self, id: MemberId, out: Output) {
-        let node = self.nodes.get_mut(&id).unwrap();
+    fn apply_output(&mut self, id: MemberId, out: Output) {
+        let node = self.processes.get_mut(&id).unwrap();
         if let Some(write) = out.write {
-            assert!(node.pending.is_none(), "{id} has two writes outstanding");
-            node.pending = Some(write);
+            assert!(
+                node.pending_write.is_none(),
+                "{id} has two writes outstanding"
+            );
+            node.pending_write = Some(write);
         }
         if let Some(snapshot) = out.installed_snapshot {
-            node.applied = snapshot.position.index;
+            node.applied_index = snapshot.position.index;
         }
         for entry in out.committed_entries {
-            assert_eq!(entry.index.0, node.applied.0 + 1, "{id} skips an entry");
-            node.applied = entry.index;
+            assert_eq!(
+                entry.index.0,
+                node.applied_index.0 + 1,
+                "{id} skips an entry"
+            );
+            node.applied_index = entry.index;
             let first = self.committed.entry(entry.index).or_insert(entry.clone());
             assert_eq!(*first, entry, "a committed entry changed at {id}");
         }
@@ -203,32 +210,36 @@
                 self.assert_on_majority(id, index);
             }
             if let Completion::ReadConfirmed { token, index } = event {
-                let asked = self.reads.remove(&token).expect("one answer");
+                let asked = self
+                    .accepted_before_read
+                    .remove(&token)
+                    .expect("one answer");
                 assert!(index >= asked, "a stale read at {id}");
                 assert!(
-                    self.nodes[&id].applied >= index,
-                    "{index} is not handed out"
+                    self.processes[&id].applied_index >= index,
+                    "{index} is not delivered"
                 );
             }
             self.events.push((id, event));
         }
         self.queue.extend(out.messages);
         let status = self.status(id);
-        let node = self.nodes.get_mut(&id).unwrap();
+        let node = self.processes.get_mut(&id).unwrap();
         node.group.clone_from(&status.group);
         if status.is_leader() {
-            let leader = *self.leaders.entry(status.term).or_insert(id);
+            let leader = *self.leader_by_term.entry(status.term).or_insert(id);
             assert_eq!(leader, id, "two leaders in term {}", status.term);
         }
     }
 
-    /// What was accepted is on the disks of more than half of the voters that
-    /// decided: a change appended later in the same step does not count yet.
+    /// Asserts that an accepted entry is on the disks of more than half of the
+    /// voters of the group before this step: a group change appended later in the
+    /// same step does not apply yet.
     fn assert_on_majority(&self, id: MemberId, index: Revision) {
-        let group = self.nodes[&id].group.as_ref().unwrap();
+        let group = self.processes[&id].group.as_ref().unwrap();
         let entry = &self.committed[&index];
         let holds = |id: MemberId| {
-            let Some(disk) = self.nodes.get(&id).map(|node| &node.disk) else {
+            let Some(disk) = self.processes.get(&id).map(|node| &node.disk) else {
                 return false;
             };
             let covered = disk
@@ -244,16 +255,16 @@
         );
     }
 
-    /// Finishes pending writes, delivers the queued messages and ticks.
-    pub fn turn(&mut self) {
-        let ids: Vec<MemberId> = self.nodes.keys().copied().collect();
-        self.now += TICK;
+    /// Advances the clock, completes pending writes and delivers queued messages.
+    pub fn run_step(&mut self) {
+        let ids: Vec<MemberId> = self.processes.keys().copied().collect();
+        self.now += STEP_DURATION;
         for id in &ids {
             self.input(*id, Input::Tick);
         }
-        // A disk syncs in two turns of three.
+        // A disk syncs in two steps of three.
         for id in ids {
-            if self.pick(3) > 0 {
+            if self.random_below(3) > 0 {
                 self.sync(id);
             }
         }
@@ -263,14 +274,14 @@
     }
 
     pub fn sync(&mut self, id: MemberId) {
-        let node = self.nodes.get_mut(&id).unwrap();
-        if node.frozen {
+        let node = self.processes.get_mut(&id).unwrap();
+        if node.suspended {
             return;
         }
-        let Some(write) = node.pending.take() else {
+        let Some(write) = node.pending_write.take() else {
             return;
         };
-        if node.full {
+        if node.disk_full {
             return self.input(id, Input::WriteFailed(write.id));
         }
         write_to(&mut node.disk, &write);
@@ -281,26 +292,26 @@
         let message = &envelope.message;
         let (from, to) = (message.from, message.to);
         assert_eq!(envelope.address, address(to));
-        let lost = self.noise.drop && self.pick(5) == 0;
-        if lost || self.cut.contains(&(from, to)) {
+        let lost = self.message_faults.drop && self.random_below(5) == 0;
+        if lost || self.blocked_links.contains(&(from, to)) {
             return;
         }
-        if self.noise.delay && self.pick(3) == 0 {
-            let place = self.pick(self.queue.len() as u64 + 1);
+        if self.message_faults.delay && self.random_below(3) == 0 {
+            let place = self.random_below(self.queue.len() as u64 + 1);
             self.queue.insert(usize::try_from(place).unwrap(), envelope);
             return;
         }
-        if self.noise.duplicate && self.pick(3) == 0 {
+        if self.message_faults.duplicate && self.random_below(3) == 0 {
             self.queue.push(envelope.clone());
         }
-        if self.nodes.contains_key(&to) {
+        if self.processes.contains_key(&to) {
             self.input(to, Input::Message(envelope.message));
         }
     }
 
-    pub fn turns(&mut self, count: u64) {
+    pub fn run_steps(&mut self, count: u64) {
         for _ in 0..count {
-            self.turn();
+            self.run_step();
         }
     }
 
@@ -309,12 +320,15 @@
     }
 
     pub fn status_of(&self, id: MemberId) -> Option<Status> {
-        self.nodes[&id].member.as_ref().map(Consensus::status)
+        self.processes[&id].member.as_ref().map(Consensus::status)
     }
 
     /// The running leader of the latest term.
     pub fn leader(&self) -> Option<MemberId> {
-        let running = self.nodes.iter().filter(|(_, node)| node.member.is_some());
+        let running = self
+            .processes
+            .iter()
+            .filter(|(_, node)| node.member.is_some());
         running
             .map(|(id, _)| self.status(*id))
             .filter(Status::is_leader)
@@ -322,42 +336,42 @@
             .map(|status| status.id)
     }
 
-    pub fn elect(&mut self) -> MemberId {
+    pub fn elect_leader(&mut self) -> MemberId {
         for _ in 0..500 {
             if let Some(leader) = self.leader()
-                && self.read(leader)
+                && self.confirm_read(leader)
             {
                 return leader;
             }
-            self.turn();
+            self.run_step();
         }
         panic!("no leader was elected");
     }
 
-    fn token(&mut self) -> RequestToken {
-        self.token += 1;
-        RequestToken(self.token)
+    fn next_token(&mut self) -> RequestToken {
+        self.last_token += 1;
+        RequestToken(self.last_token)
     }
 
     pub fn propose(&mut self, id: MemberId) -> RequestToken {
-        let token = self.token();
+        let token = self.next_token();
         let command = token.0.to_be_bytes().to_vec().into();
         self.input(id, Input::Propose { token, command });
         token
     }
 
-    pub fn change(&mut self, id: MemberId, change: GroupChange) -> RequestToken {
-        let token = self.token();
+    pub fn propose_change(&mut self, id: MemberId, change: GroupChange) -> RequestToken {
+        let token = self.next_token();
         self.input(id, Input::ChangeGroup { token, change });
         token
     }
 
     /// Proposes until a proposal is accepted.
-    pub fn accept(&mut self) -> RequestToken {
+    pub fn propose_until_accepted(&mut self) -> RequestToken {
         for _ in 0..20 {
-            let leader = self.elect();
+            let leader = self.elect_leader();
             let token = self.propose(leader);
-            self.turns(20);
+            self.run_steps(20);
             if self.accepted.contains_key(&token) {
                 return token;
             }
@@ -365,12 +379,12 @@
         panic!("no proposal was accepted");
     }
 
-    /// Asks for the change until it is accepted.
-    pub fn changed(&mut self, change: GroupChange) {
+    /// Proposes the change until it is accepted.
+    pub fn change_until_accepted(&mut self, change: GroupChange) {
         for _ in 0..40 {
-            let leader = self.elect();
-            let token = self.change(leader, change);
-            self.turns(20);
+            let leader = self.elect_leader();
+            let token = self.propose_change(leader, change);
+            self.run_steps(20);
             if self.accepted.contains_key(&token) {
                 return;
             }
@@ -378,27 +392,28 @@
         panic!("{change:?} was not accepted");
     }
 
-    pub fn ask_read(&mut self, id: MemberId) -> RequestToken {
-        let token = self.token();
+    pub fn request_read(&mut self, id: MemberId) -> RequestToken {
+        let token = self.next_token();
         let accepted = self.accepted.values().max().copied();
-        self.reads.insert(token, accepted.unwrap_or_default());
+        self.accepted_before_read
+            .insert(token, accepted.unwrap_or_default());
         self.input(id, Input::ConfirmRead { token });
         token
     }
 
-    pub fn confirmed(&self, token: RequestToken) -> bool {
+    pub fn is_confirmed(&self, token: RequestToken) -> bool {
         let confirmed = |event: &Completion| matches!(event, Completion::ReadConfirmed { token: t, .. } if *t == token);
         self.events.iter().any(|(_, event)| confirmed(event))
     }
 
-    pub fn read(&mut self, id: MemberId) -> bool {
-        let token = self.ask_read(id);
-        self.turns(8);
-        self.confirmed(token)
+    pub fn confirm_read(&mut self, id: MemberId) -> bool {
+        let token = self.request_read(id);
+        self.run_steps(8);
+        self.is_confirmed(token)
     }
 
     pub fn compact(&mut self, id: MemberId) {
-        let through = self.nodes[&id].applied;
+        let through = self.processes[&id].applied_index;
         self.input(
             id,
             Input::Compact {
@@ -408,32 +423,32 @@
         );
     }
 
-    /// Ends every fault but lost disks, and waits until all members of the
-    /// group agree.
-    pub fn heal(&mut self) {
-        self.cut.clear();
-        self.noise = Noise::default();
-        for id in self.nodes.keys().copied().collect::<Vec<_>>() {
-            self.nodes.get_mut(&id).unwrap().full = false;
-            self.wake(id);
-            if self.nodes[&id].member.is_none() {
+    /// Ends all faults except lost disks, and asserts that all members of the
+    /// group reach the same commit index.
+    pub fn heal_and_converge(&mut self) {
+        self.blocked_links.clear();
+        self.message_faults = MessageFaults::default();
+        for id in self.processes.keys().copied().collect::<Vec<_>>() {
+            self.processes.get_mut(&id).unwrap().disk_full = false;
+            self.resume(id);
+            if self.processes[&id].member.is_none() {
                 self.restart(id);
             }
         }
-        self.accept();
-        self.turns(200);
-        let leader = self.elect();
+        self.propose_until_accepted();
+        self.run_steps(200);
+        let leader = self.elect_leader();
         let status = self.status(leader);
         for (id, _) in status.group.unwrap().members().collect::<Vec<_>>() {
-            if self.nodes.contains_key(&id) {
+            if self.processes.contains_key(&id) {
                 assert_eq!(
                     self.status(id).commit_index,
                     status.commit_index,
-                    "{id} lags"
+                    "{id} has not reached the commit index"
                 );
             }
         }
-        // Nothing that was accepted vanished.
+        // No accepted entry was lost.
         assert!(
             self.accepted
                 .values()
--- a/crates/consensus/tests/rules.rs
+++ b/crates/consensus/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The rules that single situations put to the test.
+//! Tests of single protocol rules, and a randomized test of all of them.
 
 mod harness;
 
@@ -7,7 +7,7 @@
     AppendOutcome, Completion, EntryPayload, GroupChange, Input, LogEntry, LogPosition, Message,
     MessageBody, Rejection, Role,
 };
-use harness::{Cluster, Noise, address};
+use harness::{Cluster, MessageFaults, address};
 use types::{MemberId, Revision, Term};
 
 /// Number of random cases; the case number is the seed.
@@ -36,7 +36,7 @@
     }
 }
 
-/// A heartbeat if empty; commits nothing.
+/// An append request, or a heartbeat if `entries` is empty; commits nothing.
 fn append(prev: LogPosition, entries: Vec<LogEntry>) -> MessageBody {
     MessageBody::Append {
         prev_log_position: prev,
@@ -46,7 +46,7 @@
     }
 }
 
-fn answer(round: u64, matched: u64) -> MessageBody {
+fn append_reply(round: u64, matched: u64) -> MessageBody {
     let outcome = AppendOutcome::Matched(Revision(matched));
     MessageBody::AppendReply {
         round,
@@ -55,9 +55,9 @@
     }
 }
 
-/// Makes member 1 ask for votes in the term after `term`, with member 3's
-/// consent and without a sync.
-fn candidate(cluster: &mut Cluster, term: u64) {
+/// Makes member 1 a candidate in the term after `term` with the vote of
+/// member 3, before its own vote is synced.
+fn start_candidacy(cluster: &mut Cluster, term: u64) {
     cluster.now += std::time::Duration::from_secs(2);
     cluster.input(IDS[0], Input::Tick);
     let granted = MessageBody::PreVoteReply {
@@ -69,46 +69,46 @@
     cluster.input(IDS[0], message(IDS[2], IDS[0], Term(term + 1), granted));
 }
 
-fn rejected(cluster: &Cluster, token: consensus::RequestToken) -> Option<Rejection> {
+fn rejection_of(cluster: &Cluster, token: consensus::RequestToken) -> Option<Rejection> {
     cluster.events.iter().find_map(|(_, event)| match event {
         Completion::Rejected { token: t, reason } if *t == token => Some(*reason),
         _ => None,
     })
 }
 
-/// Guards against a cut-off leader that answers reads as fresh or commits.
+/// Guards against a partitioned leader that confirms reads or commits entries.
 #[test]
-fn an_isolated_leader_confirms_and_commits_nothing() {
+fn isolated_leader_neither_confirms_reads_nor_commits() {
     for seed in 1..20 {
         let count = 2 + seed % 2;
         let mut cluster = Cluster::new(count, seed);
-        cluster.accept();
-        let old = cluster.elect();
+        cluster.propose_until_accepted();
+        let old = cluster.elect_leader();
         cluster.isolate(old);
         let proposal = cluster.propose(old);
-        let read = cluster.ask_read(old);
+        let read = cluster.request_read(old);
         let victim = IDS.into_iter().find(|id| *id != old).unwrap();
-        let removal = cluster.change(old, GroupChange::Remove(victim));
-        cluster.turns(100);
+        let removal = cluster.propose_change(old, GroupChange::Remove(victim));
+        cluster.run_steps(100);
         assert!(!cluster.status(old).is_leader(), "no majority was heard");
-        assert!(!cluster.confirmed(read));
+        assert!(!cluster.is_confirmed(read));
         assert!(!cluster.accepted.contains_key(&proposal));
         assert!(!cluster.accepted.contains_key(&removal));
         if count > 2 {
-            assert_ne!(cluster.elect(), old);
+            assert_ne!(cluster.elect_leader(), old);
         }
-        cluster.heal();
+        cluster.heal_and_converge();
     }
 }
 
-/// Guards against a read that is confirmed by answers to a round which began
-/// before it.
+/// Guards against a read that is confirmed by replies to a heartbeat round which
+/// began before the read was requested.
 #[test]
-fn a_late_answer_confirms_no_later_read() {
+fn reply_to_an_earlier_round_does_not_confirm_a_later_read() {
     let mut cluster = Cluster::new(3, 5);
-    let leader = cluster.elect();
-    // The answer to the round of an earlier read is under way.
-    cluster.ask_read(leader);
+    let leader = cluster.elect_leader();
+    // The reply to the round of an earlier read is in transit.
+    cluster.request_read(leader);
     let sent = cluster
         .queue
         .drain(..)
@@ -119,88 +119,92 @@
     });
     let round = rounds.max().unwrap();
     let term = cluster.status(leader).term;
-    let read = cluster.ask_read(leader);
+    let read = cluster.request_read(leader);
     let other = IDS.into_iter().find(|id| *id != leader).unwrap();
-    cluster.input(leader, message(other, leader, term, answer(round, 0)));
-    assert!(!cluster.confirmed(read));
-    cluster.input(leader, message(other, leader, term, answer(round + 1, 0)));
-    assert!(cluster.confirmed(read));
+    cluster.input(leader, message(other, leader, term, append_reply(round, 0)));
+    assert!(!cluster.is_confirmed(read));
+    cluster.input(
+        leader,
+        message(other, leader, term, append_reply(round + 1, 0)),
+    );
+    assert!(cluster.is_confirmed(read));
 }
 
-/// Guards against a process that wakes after a freeze and acts on what it knew
-/// before it.
+/// Guards against a leader that is resumed after a suspension and acts on its
+/// expired leadership.
 #[test]
-fn a_frozen_leader_wakes_as_a_follower() {
+fn suspended_leader_resumes_as_a_follower() {
     for seed in 1..20 {
         let mut cluster = Cluster::new(3, seed);
-        cluster.accept();
-        let old = cluster.elect();
-        let read = cluster.ask_read(old);
-        cluster.nodes.get_mut(&old).unwrap().frozen = true;
-        let late = cluster.ask_read(old);
-        cluster.turns(100);
-        let new = cluster.elect();
+        cluster.propose_until_accepted();
+        let old = cluster.elect_leader();
+        let read = cluster.request_read(old);
+        cluster.processes.get_mut(&old).unwrap().suspended = true;
+        let late = cluster.request_read(old);
+        cluster.run_steps(100);
+        let new = cluster.elect_leader();
         assert_ne!(new, old);
-        cluster.accept();
-        cluster.wake(old);
-        assert!(!cluster.confirmed(read) && !cluster.confirmed(late));
+        cluster.propose_until_accepted();
+        cluster.resume(old);
+        assert!(!cluster.is_confirmed(read) && !cluster.is_confirmed(late));
         assert!(!cluster.status(old).is_leader());
-        cluster.heal();
+        cluster.heal_and_converge();
     }
 }
 
-/// Guards against an even split in which both sides or one side goes on.
+/// Guards against an even partition in which either side commits or confirms
+/// reads.
 #[test]
-fn an_even_split_commits_on_neither_side() {
+fn even_split_commits_on_neither_side() {
     for seed in 1..10 {
         let mut cluster = Cluster::new(4, seed);
-        cluster.accept();
-        cluster.elect();
+        cluster.propose_until_accepted();
+        cluster.elect_leader();
         for (a, b) in [(1, 3), (1, 4), (2, 3), (2, 4)] {
             let (a, b) = (MemberId(a), MemberId(b));
-            cluster.cut(a, b);
-            cluster.cut(b, a);
+            cluster.block_link(a, b);
+            cluster.block_link(b, a);
         }
         cluster.queue.clear();
         let accepted = cluster.accepted.len();
         let tokens = IDS.map(|id| cluster.propose(id));
-        cluster.turns(100);
+        cluster.run_steps(100);
         let again = IDS.map(|id| cluster.propose(id));
-        let reads = IDS.map(|id| cluster.ask_read(id));
-        cluster.turns(100);
+        let reads = IDS.map(|id| cluster.request_read(id));
+        cluster.run_steps(100);
         assert_eq!(cluster.accepted.len(), accepted, "{tokens:?} {again:?}");
-        assert!(reads.iter().all(|read| !cluster.confirmed(*read)));
-        cluster.heal();
+        assert!(reads.iter().all(|read| !cluster.is_confirmed(*read)));
+        cluster.heal_and_converge();
     }
 }
 
-/// Guards against a repair after which a second lost host takes accepted
-/// entries with it.
+/// Guards against the loss of accepted entries when a second host is lost after
+/// the first one was replaced.
 #[test]
-fn a_repaired_group_survives_a_second_loss() {
+fn repaired_group_survives_a_second_lost_host() {
     for seed in 1..20 {
         let mut cluster = Cluster::new(3, seed);
-        cluster.accept();
-        let leader = cluster.elect();
+        cluster.propose_until_accepted();
+        let leader = cluster.elect_leader();
         cluster.compact(leader);
-        let first = MemberId(cluster.pick(3) + 1);
-        cluster.kill(first);
-        cluster.nodes.remove(&first);
+        let first = MemberId(cluster.random_below(3) + 1);
+        cluster.crash(first);
+        cluster.processes.remove(&first);
         let joiner = MemberId(9);
-        cluster.join(joiner);
-        cluster.changed(GroupChange::AddLearner(joiner, address(joiner)));
-        cluster.changed(GroupChange::Promote(joiner));
-        cluster.changed(GroupChange::Remove(first));
-        cluster.accept();
-        // No member knows any more that the removal is committed.
-        for id in cluster.nodes.keys().copied().collect::<Vec<_>>() {
-            cluster.kill(id);
+        cluster.add_process(joiner);
+        cluster.change_until_accepted(GroupChange::AddLearner(joiner, address(joiner)));
+        cluster.change_until_accepted(GroupChange::Promote(joiner));
+        cluster.change_until_accepted(GroupChange::Remove(first));
+        cluster.propose_until_accepted();
+        // After the restart no member has the commit index of the removal.
+        for id in cluster.processes.keys().copied().collect::<Vec<_>>() {
+            cluster.crash(id);
             cluster.restart(id);
         }
         let second = MemberId(first.0 % 3 + 1);
-        cluster.kill(second);
-        cluster.nodes.remove(&second);
-        cluster.heal();
+        cluster.crash(second);
+        cluster.processes.remove(&second);
+        cluster.heal_and_converge();
         assert_eq!(
             cluster
                 .status(cluster.leader().unwrap())
@@ -213,101 +217,112 @@
     }
 }
 
-/// Guards against a voter that holds nothing, which lets a later loss of one
-/// host stop the group.
+/// Guards against the promotion of a learner with an incomplete log, after which
+/// the loss of one more host stops the group.
 #[test]
 fn a_learner_is_promoted_only_once_it_has_caught_up() {
     let mut cluster = Cluster::new(3, 11);
-    cluster.accept();
-    let leader = cluster.elect();
+    cluster.propose_until_accepted();
+    let leader = cluster.elect_leader();
     let (joiner, other) = (MemberId(9), MemberId(8));
-    // The joiner's process is not started yet.
-    cluster.changed(GroupChange::AddLearner(joiner, address(joiner)));
+    // The learner's process is not started yet.
+    cluster.change_until_accepted(GroupChange::AddLearner(joiner, address(joiner)));
     assert!(!cluster.status(leader).caught_up.contains(&joiner));
-    let early = cluster.change(leader, GroupChange::Promote(joiner));
-    assert_eq!(rejected(&cluster, early), Some(Rejection::NotCaughtUp));
-    cluster.join(joiner);
-    cluster.turns(60);
+    let early = cluster.propose_change(leader, GroupChange::Promote(joiner));
+    assert_eq!(rejection_of(&cluster, early), Some(Rejection::NotCaughtUp));
+    cluster.add_process(joiner);
+    cluster.run_steps(60);
     assert!(cluster.status(leader).caught_up.contains(&joiner));
-    let promotion = cluster.change(leader, GroupChange::Promote(joiner));
-    // Both while the change waits for its round and while it is uncommitted.
-    let soon = cluster.change(leader, GroupChange::Remove(joiner));
-    assert_eq!(rejected(&cluster, soon), Some(Rejection::ChangePending));
+    let promotion = cluster.propose_change(leader, GroupChange::Promote(joiner));
+    // Rejected both while the first change waits for its heartbeat round and
+    // while it is uncommitted.
+    let soon = cluster.propose_change(leader, GroupChange::Remove(joiner));
+    assert_eq!(rejection_of(&cluster, soon), Some(Rejection::ChangePending));
     while !cluster.status(leader).change_pending {
-        cluster.turn();
+        cluster.run_step();
     }
-    let second = cluster.change(leader, GroupChange::AddLearner(other, address(other)));
-    assert_eq!(rejected(&cluster, second), Some(Rejection::ChangePending));
-    cluster.turns(40);
+    let second = cluster.propose_change(leader, GroupChange::AddLearner(other, address(other)));
+    assert_eq!(
+        rejection_of(&cluster, second),
+        Some(Rejection::ChangePending)
+    );
+    cluster.run_steps(40);
     assert!(cluster.accepted.contains_key(&promotion));
-    let unknown = cluster.change(leader, GroupChange::Promote(other));
-    assert_eq!(rejected(&cluster, unknown), Some(Rejection::NoSuchMember));
-    let known = cluster.change(leader, GroupChange::AddLearner(joiner, address(joiner)));
-    assert_eq!(rejected(&cluster, known), Some(Rejection::AlreadyMember));
+    let unknown = cluster.propose_change(leader, GroupChange::Promote(other));
+    assert_eq!(
+        rejection_of(&cluster, unknown),
+        Some(Rejection::NoSuchMember)
+    );
+    let known = cluster.propose_change(leader, GroupChange::AddLearner(joiner, address(joiner)));
+    assert_eq!(
+        rejection_of(&cluster, known),
+        Some(Rejection::AlreadyMember)
+    );
 }
 
-/// Cuts the leader off once the change is in its log and nowhere else.
+/// Isolates the leader once the change is in its log and in no other.
 fn isolate_with_change(cluster: &mut Cluster, leader: MemberId) {
     while !cluster.status(leader).change_pending {
-        cluster.turn();
+        cluster.run_step();
     }
     cluster.isolate(leader);
     cluster.queue.clear();
 }
 
-/// Guards against a leader that is cut off right after it appended a removal,
-/// and decides alone before it steps down.
+/// Guards against a leader that is partitioned right after it appended a removal
+/// and commits it alone before it steps down.
 #[test]
-fn a_removal_needs_the_group_before_it_as_well() {
+fn removal_requires_a_majority_of_the_previous_group() {
     let mut cluster = Cluster::new(2, 8);
-    cluster.accept();
-    let leader = cluster.elect();
+    cluster.propose_until_accepted();
+    let leader = cluster.elect_leader();
     let victim = IDS.into_iter().find(|id| *id != leader).unwrap();
-    let removal = cluster.change(leader, GroupChange::Remove(victim));
+    let removal = cluster.propose_change(leader, GroupChange::Remove(victim));
     isolate_with_change(&mut cluster, leader);
-    cluster.turns(30);
+    cluster.run_steps(30);
     assert!(!cluster.accepted.contains_key(&removal));
 }
 
-/// Guards against a group in which nobody can win: the leader that removed
-/// itself is ahead of the others, which need its vote.
+/// Guards against a group that cannot elect a leader: the log of the leader that
+/// removed itself is ahead of the others, which need its vote.
 #[test]
 fn a_leader_that_removed_itself_can_finish_the_removal() {
     let mut cluster = Cluster::new(2, 12);
-    cluster.accept();
-    let leader = cluster.elect();
-    cluster.change(leader, GroupChange::Remove(leader));
+    cluster.propose_until_accepted();
+    let leader = cluster.elect_leader();
+    cluster.propose_change(leader, GroupChange::Remove(leader));
     isolate_with_change(&mut cluster, leader);
     cluster.sync(leader);
     // The entry that goes out after the sync is lost.
     cluster.queue.clear();
-    cluster.kill(leader);
+    cluster.crash(leader);
     cluster.restart(leader);
-    cluster.heal();
-    assert_ne!(cluster.elect(), leader);
+    cluster.heal_and_converge();
+    assert_ne!(cluster.elect_leader(), leader);
 }
 
-/// Guards against a group change that stays in force after its entry is gone.
+/// Guards against a group change that stays effective after its entry was
+/// overwritten.
 #[test]
 fn an_overwritten_group_change_is_rolled_back() {
     for seed in 1..10 {
         let mut cluster = Cluster::new(3, seed);
-        cluster.accept();
-        let old = cluster.elect();
+        cluster.propose_until_accepted();
+        let old = cluster.elect_leader();
         let joiner = MemberId(9);
-        cluster.change(old, GroupChange::AddLearner(joiner, address(joiner)));
+        cluster.propose_change(old, GroupChange::AddLearner(joiner, address(joiner)));
         isolate_with_change(&mut cluster, old);
-        cluster.turns(100);
-        cluster.accept();
-        cluster.heal();
+        cluster.run_steps(100);
+        cluster.propose_until_accepted();
+        cluster.heal_and_converge();
         assert!(!cluster.status(old).group.unwrap().contains(joiner));
     }
 }
 
-/// Guards against a message that speaks of a vote or an entry which a crash can
-/// still take away.
+/// Guards against a message that depends on a vote or an entry which a crash can
+/// still lose.
 #[test]
-fn nothing_is_spoken_of_before_it_is_synced() {
+fn votes_and_acknowledgements_wait_for_the_sync() {
     let mut cluster = Cluster::new(3, 3);
     for id in IDS.into_iter().take(3) {
         cluster.sync(id);
@@ -328,7 +343,7 @@
     assert!(cluster.queue.is_empty(), "the vote is not synced");
     cluster.sync(voter);
     assert_eq!(cluster.queue.len(), 1);
-    assert_eq!(cluster.nodes[&voter].disk.vote, Some(candidate));
+    assert_eq!(cluster.processes[&voter].disk.vote, Some(candidate));
     cluster.queue.clear();
     let append = append(last, vec![entry(1, 1)]);
     cluster.input(voter, message(candidate, voter, term, append));
@@ -338,8 +353,8 @@
         panic!("not an acknowledgement");
     };
     assert_eq!(outcome, AppendOutcome::Matched(Revision(1)));
-    // One vote in a term, also after a restart.
-    cluster.kill(voter);
+    // Only one vote per term, also after a restart.
+    cluster.crash(voter);
     cluster.restart(voter);
     cluster.queue.clear();
     let rival = MemberId(3);
@@ -360,7 +375,7 @@
     );
     let refused = MessageBody::VoteReply { granted: false };
     assert_eq!(cluster.queue[0].message.body, refused);
-    // Nor a vote for a candidate that lacks the entry.
+    // No vote for a candidate without the entry.
     let last = LogPosition::default();
     cluster.input(
         voter,
@@ -377,14 +392,14 @@
     assert_eq!(cluster.queue[1].message.body, refused);
 }
 
-/// Guards against a sync of an earlier write that is taken for the sync of a
-/// vote, or of entries that have since been replaced.
+/// Guards against attributing the sync of an earlier write to a later vote, or to
+/// entries that have replaced the written ones.
 #[test]
-fn a_sync_stands_only_for_what_it_wrote() {
+fn sync_covers_only_the_content_of_its_write() {
     let mut cluster = Cluster::new(3, 6);
     let [id, a, b, _] = IDS;
     // The write of the first group is still outstanding.
-    candidate(&mut cluster, 0);
+    start_candidacy(&mut cluster, 0);
     cluster.sync(id);
     assert_eq!(cluster.status(id).role, Role::Candidate);
     cluster.sync(id);
@@ -404,17 +419,17 @@
     cluster.sync(id);
     let acknowledged = |cluster: &Cluster| {
         let mut sent = cluster.queue.iter().map(|envelope| &envelope.message.body);
-        sent.any(|body| *body == answer(1, 2))
+        sent.any(|body| *body == append_reply(1, 2))
     };
     assert!(!acknowledged(&cluster));
     cluster.sync(id);
     assert!(acknowledged(&cluster));
 }
 
-/// Guards against counting an entry of an earlier term by its copies: a later
-/// leader that lacks it could still overwrite it.
+/// Guards against committing an entry of an earlier term by counting replicas: a
+/// later leader without it could still overwrite it.
 #[test]
-fn an_entry_of_an_earlier_term_is_not_committed_by_count() {
+fn entry_of_an_earlier_term_is_not_committed_by_counting_replicas() {
     let mut cluster = Cluster::new(3, 9);
     let [leader, a, b, _] = IDS;
     for id in [leader, a, b] {
@@ -423,58 +438,61 @@
     let append = append(LogPosition::default(), vec![entry(1, 1)]);
     cluster.input(leader, message(a, leader, Term(1), append));
     cluster.sync(leader);
-    candidate(&mut cluster, 1);
+    start_candidacy(&mut cluster, 1);
     cluster.sync(leader);
     assert_eq!(cluster.status(leader).role, Role::Leader);
-    let change = cluster.change(leader, GroupChange::Remove(a));
-    assert_eq!(rejected(&cluster, change), Some(Rejection::LeaderNotReady));
-    let read = cluster.ask_read(leader);
-    cluster.input(leader, message(b, leader, Term(2), answer(1, 1)));
-    cluster.input(leader, message(b, leader, Term(2), answer(2, 1)));
+    let change = cluster.propose_change(leader, GroupChange::Remove(a));
+    assert_eq!(
+        rejection_of(&cluster, change),
+        Some(Rejection::LeaderNotReady)
+    );
+    let read = cluster.request_read(leader);
+    cluster.input(leader, message(b, leader, Term(2), append_reply(1, 1)));
+    cluster.input(leader, message(b, leader, Term(2), append_reply(2, 1)));
     cluster.sync(leader);
     assert_eq!(cluster.status(leader).commit_index, Revision(0));
-    // What an earlier leader committed is not known here yet.
-    assert!(!cluster.confirmed(read));
-    cluster.input(leader, message(b, leader, Term(2), answer(2, 2)));
+    // The commit index of the earlier leader is not known here yet.
+    assert!(!cluster.is_confirmed(read));
+    cluster.input(leader, message(b, leader, Term(2), append_reply(2, 2)));
     assert_eq!(cluster.status(leader).commit_index, Revision(2));
-    assert!(cluster.confirmed(read));
+    assert!(cluster.is_confirmed(read));
 }
 
-/// Guards against a host with a full disk that holds up the group, and against
-/// a group with no working disk that stops its reads.
+/// Guards against a leader with a full disk that blocks the group, and against a
+/// group without a writable disk that stops serving reads.
 #[test]
-fn a_full_disk_refuses_changes_and_reads_go_on() {
+fn full_disk_rejects_changes_but_not_reads() {
     let mut cluster = Cluster::new(3, 21);
-    cluster.accept();
-    let old = cluster.elect();
-    cluster.nodes.get_mut(&old).unwrap().full = true;
+    cluster.propose_until_accepted();
+    let old = cluster.elect_leader();
+    cluster.processes.get_mut(&old).unwrap().disk_full = true;
     cluster.propose(old);
-    cluster.turns(100);
-    assert_ne!(cluster.elect(), old, "the others go on");
-    cluster.accept();
-    for node in cluster.nodes.values_mut() {
-        node.full = true;
+    cluster.run_steps(100);
+    assert_ne!(cluster.elect_leader(), old, "the others go on");
+    cluster.propose_until_accepted();
+    for node in cluster.processes.values_mut() {
+        node.disk_full = true;
     }
-    let leader = cluster.elect();
+    let leader = cluster.elect_leader();
     cluster.propose(leader);
-    cluster.turns(30);
+    cluster.run_steps(30);
     let refused = cluster.propose(leader);
-    assert_eq!(rejected(&cluster, refused), Some(Rejection::DiskFailed));
-    assert!(cluster.read(leader));
-    cluster.turns(100);
-    assert!(cluster.read(leader));
-    cluster.heal();
+    assert_eq!(rejection_of(&cluster, refused), Some(Rejection::DiskFailed));
+    assert!(cluster.confirm_read(leader));
+    cluster.run_steps(100);
+    assert!(cluster.confirm_read(leader));
+    cluster.heal_and_converge();
 }
 
-/// Guards against messages for an earlier id of the host, and against a blank
-/// member that takes part unasked.
+/// Guards against processing messages for a previous id of the host, and against
+/// a blank member that starts elections.
 #[test]
-fn other_ids_and_blank_members_are_left_alone() {
+fn messages_for_another_id_are_ignored_and_blank_members_stay_passive() {
     let mut cluster = Cluster::new(3, 2);
-    cluster.accept();
+    cluster.propose_until_accepted();
     let blank = MemberId(9);
-    cluster.join(blank);
-    cluster.turns(200);
+    cluster.add_process(blank);
+    cluster.run_steps(200);
     assert!(cluster.status(blank).is_blank());
     assert_eq!(cluster.status(blank).term, Term(0));
     let body = MessageBody::Vote {
@@ -490,49 +508,51 @@
     assert_eq!(cluster.status(blank).term, Term(7));
 }
 
-/// Guards against a restarted or long cut-off member that deposes the leader.
+/// Guards against a leader that is deposed by a member which returns from a
+/// partition or does not receive its heartbeats.
 #[test]
 fn a_returning_member_does_not_depose_the_leader() {
     let mut cluster = Cluster::new(3, 4);
-    cluster.accept();
-    let leader = cluster.elect();
+    cluster.propose_until_accepted();
+    let leader = cluster.elect_leader();
     let other = IDS.into_iter().find(|id| *id != leader).unwrap();
     cluster.isolate(other);
-    cluster.turns(300);
+    cluster.run_steps(300);
     let term = cluster.status(leader).term;
-    cluster.cut.clear();
-    cluster.turns(100);
-    // It does not hear the leader, and the others hear it.
-    cluster.cut(leader, other);
-    cluster.turns(200);
+    cluster.blocked_links.clear();
+    cluster.run_steps(100);
+    // Its messages reach the others, but the leader's do not reach it.
+    cluster.block_link(leader, other);
+    cluster.run_steps(200);
     assert_eq!(cluster.status(leader).term, term);
     assert!(cluster.status(leader).is_leader());
 }
 
-/// Guards against any order of faults that breaks a rule.
+/// Guards against any sequence of faults that violates an invariant of the
+/// harness.
 #[test]
-fn random_faults_break_no_rule() {
+fn random_faults_violate_no_invariant() {
     for case in 0..CASES {
         arbtest(|u| {
             let count = u.int_in_range(2..=4)?;
             let mut cluster = Cluster::new(count, u.arbitrary()?);
-            // If all members lose the write of the first group, all are blank
-            // again and nothing can go on until it is formed once more.
+            // If every member lost the write of the first group, all would be
+            // blank and could not continue until the group is formed again.
             cluster.sync(IDS[0]);
             let mut joined = count;
             while !u.is_empty() {
                 let id = MemberId(u.int_in_range(1..=count)?);
-                let running = cluster.nodes[&id].member.is_some();
+                let running = cluster.processes[&id].member.is_some();
                 match u.int_in_range(0..=11u8)? {
-                    0 if running => cluster.kill(id),
+                    0 if running => cluster.crash(id),
                     1 if !running => cluster.restart(id),
                     2 => cluster.isolate(id),
-                    3 => cluster.cut.clear(),
-                    4 => cluster.nodes.get_mut(&id).unwrap().frozen ^= true,
-                    5 => cluster.nodes.get_mut(&id).unwrap().full ^= true,
+                    3 => cluster.blocked_links.clear(),
+                    4 => cluster.processes.get_mut(&id).unwrap().suspended ^= true,
+                    5 => cluster.processes.get_mut(&id).unwrap().disk_full ^= true,
                     6 => {
                         let (drop, duplicate, delay) = u.arbitrary()?;
-                        cluster.noise = Noise {
+                        cluster.message_faults = MessageFaults {
                             drop,
                             duplicate,
                             delay,
@@ -542,25 +562,25 @@
                     8 if joined < 7 => {
                         joined += 1;
                         let new = MemberId(joined);
-                        cluster.join(new);
-                        cluster.change(id, GroupChange::AddLearner(new, address(new)));
+                        cluster.add_process(new);
+                        cluster.propose_change(id, GroupChange::AddLearner(new, address(new)));
                     }
                     9 => {
                         let other = MemberId(u.int_in_range(1..=joined)?);
-                        cluster.change(id, GroupChange::Promote(other));
+                        cluster.propose_change(id, GroupChange::Promote(other));
                     }
                     10 if cluster.status_of(id).is_some_and(|s| s.is_leader()) => {
-                        cluster.change(id, GroupChange::Remove(id));
+                        cluster.propose_change(id, GroupChange::Remove(id));
                     }
                     _ => {
                         cluster.propose(id);
-                        cluster.ask_read(id);
+                        cluster.request_read(id);
                     }
                 }
                 let turns = u.int_in_range(0..=12)?;
-                cluster.turns(turns);
+                cluster.run_steps(turns);
             }
-            cluster.heal();
+            cluster.heal_and_converge();
             Ok(())
         })
         .seed(case << 32 | INPUT_BYTES);
