--- a/crates/replica/src/error.rs
+++ b/crates/replica/src/error.rs
@@ -5,7 +5,7 @@
 /// A [`std::result::Result`] with this crate's [`Error`].
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// The control host cannot start or go on.
+/// Reason why the control host cannot start or continue.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// A socket cannot be opened.
@@ -17,10 +17,10 @@
     /// The thread that writes to the disk has ended.
     #[error("the thread that writes to the data folder has ended")]
     DiskThreadEnded,
-    /// The state cannot be read or written.
+    /// A snapshot of the state cannot be encoded or decoded.
     #[error("cannot read or write a snapshot: {0}")]
     Snapshot(#[from] config::Error),
-    /// A log entry cannot be read.
+    /// A log entry cannot be decoded.
     #[error("cannot read log entry {0}: {1}; a newer version may have written it")]
     DecodeEntry(types::Revision, wire::Error),
     /// A metric cannot be registered.
--- a/crates/replica/src/lib.rs
+++ b/crates/replica/src/lib.rs
@@ -1,21 +1,22 @@
-//! A control host for nodes that must stay small.
+//! A control host for resource-constrained nodes.
 //!
-//! It is a member of the replicated log of crate `consensus`, whose state is
-//! the configuration of crate `config`; it keeps the group complete without an
-//! operator; and it is the meeting place of the nodes (crate `directory`).
+//! It is a member of the replicated log of crate `consensus`, whose state machine
+//! is the configuration of crate `config`. It replaces lost members of the group
+//! without an operator, and it serves node discovery (crate `directory`).
 //!
 //! | Task | Owns |
 //! |---|---|
-//! | group | the consensus, the configuration, the way to the disk |
-//! | nodes | the socket of the nodes, the directory |
-//! | transport | the sockets between members |
+//! | group | the consensus, the configuration, the channel to the disk thread |
+//! | nodes | the socket for node discovery, the directory |
+//! | transport | the sockets for messages between members |
 //!
-//! The tasks talk by messages. A front end for operators uses a [`Replica`]:
-//! it answers on any member, by way of the leader.
+//! The tasks communicate by messages. A front end for operators uses a
+//! [`ReplicaHandle`], which works on any member and forwards requests to the
+//! leader.
 //!
-//! Compared with crate `control`, the membership needs no leader and no disk:
-//! each member serves its directory and the last configuration that it knows to
-//! be accepted, also while the group cannot elect a leader.
+//! Unlike in crate `control`, node discovery needs neither a leader nor a disk:
+//! each member serves its directory and its last accepted configuration, also
+//! while the group cannot elect a leader.
 
 pub mod error;
 pub mod process;
--- a/crates/replica/src/process/group.rs
+++ b/crates/replica/src/process/group.rs
@@ -23,12 +23,12 @@
 use super::{Settings, metrics::Metrics};
 use crate::{
     Error, Result,
-    request::{Command, Pending},
+    request::{Command, PendingRequest},
     version::{ControlHostContact, MembershipPolicy},
 };
 
-/// Pause between two looks at the group by its leader.
-const REVIEW: Duration = Duration::from_millis(100);
+/// Interval at which the leader checks whether a membership change is needed.
+const REVIEW_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A message to the task.
 #[derive(Debug)]
@@ -39,59 +39,59 @@
     Change(Box<ChangeRequest>, oneshot::Sender<ChangeReply>),
     /// A read of the routing set.
     Read(oneshot::Sender<QueryReply>),
-    /// The control hosts that were heard.
-    Heard(BTreeMap<MemberId, ControlHostContact>),
-    /// The first group.
-    Form(Group),
+    /// The known control hosts and the last contact with each.
+    ControlHosts(BTreeMap<MemberId, ControlHostContact>),
+    /// Forms the first group.
+    Bootstrap(Group),
 }
 
 /// The task that owns the consensus and the configuration.
 pub(crate) struct GroupTask {
     cfg: Settings,
-    steward: MembershipPolicy,
+    membership_policy: MembershipPolicy,
     consensus: Consensus,
     state: State,
-    pending: BTreeMap<RequestToken, Pending>,
+    pending: BTreeMap<RequestToken, PendingRequest>,
     next_token: u64,
-    /// Answers to entries, until their proposals are reported as accepted.
+    /// Answers to applied entries, until their proposals are reported as accepted.
     answers: BTreeMap<Revision, Answer>,
-    heard: BTreeMap<MemberId, ControlHostContact>,
+    control_hosts: BTreeMap<MemberId, ControlHostContact>,
     review_at: Instant,
-    /// When the log is to be replaced by a snapshot, if it has grown.
+    /// When the log is compacted next; `None` if it has not grown.
     compact_at: Option<Instant>,
-    /// What the last log line said of the group.
-    told: Option<(bool, Option<Group>)>,
+    /// Whether this member led, and the group, at the last `group` log line.
+    last_logged: Option<(bool, Option<Group>)>,
     disk: store::Handle,
     outgoing: mpsc::Sender<Envelope>,
     routes: watch::Sender<Option<Arc<RoutingSet>>>,
-    standing: watch::Sender<Standing>,
+    membership_status: watch::Sender<MembershipStatus>,
     metrics: Metrics,
     commands: mpsc::Receiver<GroupCommand>,
 }
 
-/// How a member stands to its group.
+/// A member's view of its group.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub(crate) struct Standing {
-    /// It knows its group.
+pub(crate) struct MembershipStatus {
+    /// Whether the member has a group.
     pub formed: bool,
-    /// It hears the leader, or leads.
+    /// Whether the member is the leader or has a known leader.
     pub current: bool,
     /// The other members of the group.
-    pub others: Vec<SocketAddr>,
+    pub other_members: Vec<SocketAddr>,
 }
 
-/// What a [`GroupTask`] talks to.
+/// Channels of a [`GroupTask`].
 pub(crate) struct Channels {
     pub disk: store::Handle,
     pub outgoing: mpsc::Sender<Envelope>,
     pub routes: watch::Sender<Option<Arc<RoutingSet>>>,
-    pub standing: watch::Sender<Standing>,
+    pub membership_status: watch::Sender<MembershipStatus>,
     pub commands: mpsc::Receiver<GroupCommand>,
 }
 
 impl GroupTask {
-    /// Creates the task with the state in `snapshot`, if there is one, which
-    /// is published at once: it was accepted before the process started.
+    /// Creates the task with the state in `snapshot`, if there is one. The state is
+    /// published at once, since it was accepted before the process started.
     pub fn new(
         cfg: Settings,
         consensus: Consensus,
@@ -100,26 +100,26 @@
         metrics: Metrics,
     ) -> Result<Self> {
         let mut task = GroupTask {
-            steward: MembershipPolicy::new(cfg.membership),
+            membership_policy: MembershipPolicy::new(cfg.membership),
             cfg,
             consensus,
             state: State::default(),
             pending: BTreeMap::new(),
             next_token: 0,
             answers: BTreeMap::new(),
-            heard: BTreeMap::new(),
+            control_hosts: BTreeMap::new(),
             review_at: Instant::now(),
             compact_at: None,
-            told: None,
+            last_logged: None,
             disk: channels.disk,
             outgoing: channels.outgoing,
             routes: channels.routes,
-            standing: channels.standing,
+            membership_status: channels.membership_status,
             metrics,
             commands: channels.commands,
         };
         if let Some(snapshot) = snapshot {
-            task.load(snapshot)?;
+            task.load_snapshot(snapshot)?;
         }
         Ok(task)
     }
@@ -140,7 +140,7 @@
                 },
                 () = sleep_until(deadline.into()) => self.step(Input::Tick)?,
             }
-            self.review(Instant::now())?;
+            self.run_due_tasks(Instant::now())?;
         }
     }
 
@@ -157,18 +157,18 @@
             GroupCommand::Message(message) => self.step(Input::Message(message)),
             GroupCommand::Change(req, tx) => self.propose(*req, tx),
             GroupCommand::Read(tx) => {
-                let token = self.expect(Pending::Read(tx));
+                let token = self.register_pending(PendingRequest::Read(tx));
                 self.step(Input::ConfirmRead { token })
             }
-            GroupCommand::Form(group) => self.step(Input::Bootstrap(group)),
-            GroupCommand::Heard(heard) => {
-                self.heard = heard;
+            GroupCommand::Bootstrap(group) => self.step(Input::Bootstrap(group)),
+            GroupCommand::ControlHosts(control_hosts) => {
+                self.control_hosts = control_hosts;
                 Ok(())
             }
         }
     }
 
-    fn expect(&mut self, pending: Pending) -> RequestToken {
+    fn register_pending(&mut self, pending: PendingRequest) -> RequestToken {
         let token = RequestToken(self.next_token);
         self.next_token += 1;
         self.pending.insert(token, pending);
@@ -177,50 +177,50 @@
 
     fn propose(&mut self, req: ChangeRequest, tx: oneshot::Sender<ChangeReply>) -> Result<()> {
         let command = Command {
-            at: unix_now(),
+            proposed_at: unix_now(),
             req,
         };
         let Ok(command) = wire::encode(&command) else {
-            // A change that came in by the same encoding can be encoded.
+            // Not expected: the change was decoded from the same encoding.
             let _ = tx.send(ChangeReply::Unavailable);
             return Ok(());
         };
-        let token = self.expect(Pending::Change(tx));
+        let token = self.register_pending(PendingRequest::Change(tx));
         let command = Bytes::from(command);
         self.step(Input::Propose { token, command })
     }
 
-    /// Gives the consensus an input and carries out what it decides.
+    /// Passes an input to the consensus and executes its output.
     fn step(&mut self, input: Input) -> Result<()> {
         let output = self.consensus.step(Instant::now(), input);
-        self.carry_out(output)?;
-        self.note_status();
+        self.execute_output(output)?;
+        self.publish_status();
         Ok(())
     }
 
-    fn carry_out(&mut self, output: Output) -> Result<()> {
+    fn execute_output(&mut self, output: Output) -> Result<()> {
         if let Some(write) = output.write {
             // At most one write is outstanding, so the queue has room.
             let sent = self.disk.writes.try_send(write);
             sent.map_err(|_| Error::DiskThreadEnded)?;
         }
         for envelope in output.messages {
-            // A full queue loses the message; the consensus repeats it.
+            // Dropped if the queue is full; the consensus sends it again.
             let _ = self.outgoing.try_send(envelope);
         }
         if let Some(snapshot) = &output.installed_snapshot {
-            self.load(snapshot)?;
+            self.load_snapshot(snapshot)?;
         }
         for entry in output.committed_entries {
             self.apply(&entry)?;
         }
         for event in output.completions {
-            self.resolve(&event);
+            self.complete_request(&event);
         }
         Ok(())
     }
 
-    fn note_status(&mut self) {
+    fn publish_status(&mut self) {
         let status = self.consensus.status();
         self.metrics.leader.set(i64::from(status.is_leader()));
         self.metrics.term.set(gauge(status.term.0));
@@ -229,18 +229,18 @@
         self.metrics.voters.set(gauge(voters as u64));
         let members = status.group.iter().flat_map(Group::members);
         let others = members.filter(|(id, _)| *id != status.id);
-        let standing = Standing {
+        let membership_status = MembershipStatus {
             formed: !status.is_blank(),
             current: status.leader.is_some(),
-            others: others.map(|(_, address)| address).collect(),
+            other_members: others.map(|(_, address)| address).collect(),
         };
-        self.standing.send_if_modified(|known| {
-            let changed = *known != standing;
-            *known = standing;
+        self.membership_status.send_if_modified(|known| {
+            let changed = *known != membership_status;
+            *known = membership_status;
             changed
         });
         let told = (status.is_leader(), status.group.clone());
-        if self.told.as_ref() == Some(&told) {
+        if self.last_logged.as_ref() == Some(&told) {
             return;
         }
         log::info!(
@@ -251,10 +251,10 @@
         if !status.is_leader() {
             self.answers.clear();
         }
-        self.told = Some(told);
+        self.last_logged = Some(told);
     }
 
-    fn load(&mut self, snapshot: &Snapshot) -> Result<()> {
+    fn load_snapshot(&mut self, snapshot: &Snapshot) -> Result<()> {
         if !snapshot.state.is_empty() {
             self.state = State::decode(&snapshot.state[..])?;
         }
@@ -262,18 +262,19 @@
         Ok(())
     }
 
-    /// Tells the other tasks the routing set in force. It never goes back.
+    /// Publishes the current routing set to the other tasks. Its number never
+    /// decreases.
     fn publish(&mut self) {
         let Some(set) = self.state.routes() else {
             return;
         };
-        self.metrics.set.set(gauge(set.number.0));
+        self.metrics.routing_set.set(gauge(set.number.0));
         self.routes.send_if_modified(|published| {
             let newer = published.as_ref().is_none_or(|p| p.number < set.number);
             if newer {
                 log::info!(
                     event = "routes", set:% = set.number, rules = set.rules.len();
-                    "routing set is in force"
+                    "applied a newer routing set"
                 );
                 *published = Some(set.clone());
             }
@@ -281,14 +282,16 @@
         });
     }
 
-    /// Applies an entry. One that cannot be read ends the process: to skip it
-    /// would make this host's configuration differ from the others'.
+    /// Applies an entry. One that cannot be decoded ends the process: skipping it
+    /// would make this host's configuration diverge from the other members'.
     fn apply(&mut self, entry: &LogEntry) -> Result<()> {
         let EntryPayload::Command(command) = &entry.payload else {
             return Ok(());
         };
-        let Command { at, req } =
-            wire::decode(command).map_err(|e| Error::DecodeEntry(entry.index, e))?;
+        let Command {
+            proposed_at: at,
+            req,
+        } = wire::decode(command).map_err(|e| Error::DecodeEntry(entry.index, e))?;
         let answer = self.state.apply(entry.index, at, &req);
         let label = match answer {
             Answer::Accepted(_) => "accepted",
@@ -308,26 +311,26 @@
         Ok(())
     }
 
-    fn resolve(&mut self, event: &Completion) {
+    fn complete_request(&mut self, event: &Completion) {
         match *event {
             Completion::Accepted { token, index } => {
                 let answer = self.answers.remove(&index);
-                if let Some(Pending::Change(tx)) = self.pending.remove(&token) {
+                if let Some(PendingRequest::Change(tx)) = self.pending.remove(&token) {
                     let reply = answer.map_or(ChangeReply::Unknown, ChangeReply::Final);
-                    // Whoever asked may be gone.
+                    // The requester may have disconnected.
                     let _ = tx.send(reply);
                 }
             }
             Completion::Rejected { token, reason } => self.reject(token, reason),
             Completion::OutcomeUnknown { token } => match self.pending.remove(&token) {
-                Some(Pending::Change(tx)) => drop(tx.send(ChangeReply::Unknown)),
-                Some(Pending::Read(tx)) => {
+                Some(PendingRequest::Change(tx)) => drop(tx.send(ChangeReply::Unknown)),
+                Some(PendingRequest::Read(tx)) => {
                     drop(tx.send(QueryReply::NotLeader { leader: None }));
                 }
-                Some(Pending::Group) | None => {}
+                Some(PendingRequest::Group) | None => {}
             },
             Completion::ReadConfirmed { token, .. } => {
-                if let Some(Pending::Read(tx)) = self.pending.remove(&token) {
+                if let Some(PendingRequest::Read(tx)) = self.pending.remove(&token) {
                     let _ = tx.send(QueryReply::Routes(self.state.routes().cloned()));
                 }
             }
@@ -339,9 +342,9 @@
             Rejection::NotLeader { leader } => leader.map(|(_, address)| address),
             _ => None,
         };
-        // Whoever asked may be gone.
+        // The requester may have disconnected.
         match self.pending.remove(&token) {
-            Some(Pending::Change(tx)) => {
+            Some(PendingRequest::Change(tx)) => {
                 let not_leader = matches!(reason, Rejection::NotLeader { .. });
                 drop(tx.send(if not_leader {
                     ChangeReply::NotLeader { leader }
@@ -349,16 +352,16 @@
                     ChangeReply::Unavailable
                 }));
             }
-            Some(Pending::Read(tx)) => drop(tx.send(QueryReply::NotLeader { leader })),
-            Some(Pending::Group) => {
-                log::info!(event = "group_change_rejected", reason:% = reason; "group not changed");
+            Some(PendingRequest::Read(tx)) => drop(tx.send(QueryReply::NotLeader { leader })),
+            Some(PendingRequest::Group) => {
+                log::info!(event = "group_change_rejected", reason:% = reason; "membership change rejected");
             }
             None => {}
         }
     }
 
-    /// Does what is due: keeps the group complete, and the log short.
-    fn review(&mut self, now: Instant) -> Result<()> {
+    /// Compacts the log and proposes membership changes when they are due.
+    fn run_due_tasks(&mut self, now: Instant) -> Result<()> {
         if self.compact_at.is_some_and(|at| now >= at) {
             self.compact_at = None;
             self.compact()?;
@@ -366,27 +369,35 @@
         if now < self.review_at {
             return Ok(());
         }
-        self.review_at = now + REVIEW;
+        self.review_at = now + REVIEW_INTERVAL;
         let status = self.consensus.status();
-        match self.group_change(&status, now) {
+        match self.next_group_change(&status, now) {
             Some(change) => self.change_group(change),
             None => Ok(()),
         }
     }
 
-    fn group_change(&self, status: &Status, now: Instant) -> Option<GroupChange> {
-        let changing = self.pending.values().any(|p| matches!(p, Pending::Group));
+    fn next_group_change(&self, status: &Status, now: Instant) -> Option<GroupChange> {
+        let changing = self
+            .pending
+            .values()
+            .any(|p| matches!(p, PendingRequest::Group));
         if !status.is_leader() || status.change_pending || changing {
             return None;
         }
         let group = status.group.as_ref()?;
-        self.steward
-            .next_change(status.id, group, &status.caught_up, &self.heard, now)
+        self.membership_policy.next_change(
+            status.id,
+            group,
+            &status.caught_up,
+            &self.control_hosts,
+            now,
+        )
     }
 
     fn change_group(&mut self, change: GroupChange) -> Result<()> {
-        log::info!(event = "group_change", change:? = change; "changing the control group");
-        let token = self.expect(Pending::Group);
+        log::info!(event = "group_change", change:? = change; "proposing a membership change");
+        let token = self.register_pending(PendingRequest::Group);
         self.step(Input::ChangeGroup { token, change })
     }
 
@@ -405,7 +416,7 @@
     UnixMillis(u64::try_from(millis).unwrap_or(u64::MAX))
 }
 
-/// A gauge's value; gauges are signed.
+/// Converts to the signed value of a gauge, saturating.
 pub(crate) fn gauge(value: u64) -> i64 {
     i64::try_from(value).unwrap_or(i64::MAX)
 }
--- a/crates/replica/src/process/http.rs
+++ b/crates/replica/src/process/http.rs
@@ -14,46 +14,46 @@
 use super::group::GroupCommand;
 use crate::version::RouteHistory;
 
-/// Takes a message of a member.
+/// Accepts a message of a member.
 pub(crate) const CONSENSUS_PATH: &str = "/v1/consensus";
-/// Takes a change; only the leader does.
+/// Proposes a change; served by the leader only.
 pub(crate) const CHANGE_PATH: &str = "/v1/change";
-/// Reads the routing set; only the leader does.
+/// Reads the routing set; served by the leader only.
 pub(crate) const READ_PATH: &str = "/v1/routing-set";
-/// Gives a node what it lacks of the routing set.
+/// Returns the delta from a node's routing set to the current one.
 pub(crate) const DELTA_PATH: &str = directory::ROUTES_PATH;
 
-/// Answers other processes.
+/// Serves requests of other processes.
 #[derive(Clone)]
-pub(crate) struct Interface {
+pub(crate) struct HttpInterface {
     pub group: mpsc::Sender<GroupCommand>,
-    /// Written by the task of the nodes, which shares the thread.
+    /// Updated by the node task, which runs on the same thread.
     pub history: Rc<RefCell<RouteHistory>>,
 }
 
-impl Handler for Interface {
+impl Handler for HttpInterface {
     async fn handle(&self, req: BufferedRequest) -> BufferedResponse {
         match (&req.method, req.path.as_str()) {
-            (&Method::POST, CONSENSUS_PATH) => self.message(&req.body),
-            (&Method::POST, CHANGE_PATH) => self.change(&req.body).await,
-            (&Method::POST, READ_PATH) => self.read().await,
-            (&Method::POST, DELTA_PATH) => self.delta(&req.body),
+            (&Method::POST, CONSENSUS_PATH) => self.receive_message(&req.body),
+            (&Method::POST, CHANGE_PATH) => self.propose_change(&req.body).await,
+            (&Method::POST, READ_PATH) => self.read_routes().await,
+            (&Method::POST, DELTA_PATH) => self.routing_delta(&req.body),
             _ => BufferedResponse::empty(StatusCode::NOT_FOUND),
         }
     }
 }
 
-impl Interface {
-    fn message(&self, body: &Bytes) -> BufferedResponse {
+impl HttpInterface {
+    fn receive_message(&self, body: &Bytes) -> BufferedResponse {
         let Ok(message) = wire::decode(body) else {
             return BufferedResponse::empty(StatusCode::BAD_REQUEST);
         };
-        // A full queue loses the message; the consensus repeats it.
+        // Dropped if the queue is full; the consensus sends it again.
         let _ = self.group.try_send(GroupCommand::Message(message));
         BufferedResponse::empty(StatusCode::NO_CONTENT)
     }
 
-    async fn change(&self, body: &Bytes) -> BufferedResponse {
+    async fn propose_change(&self, body: &Bytes) -> BufferedResponse {
         let Ok(req) = wire::decode(body) else {
             return BufferedResponse::empty(StatusCode::BAD_REQUEST);
         };
@@ -62,30 +62,30 @@
         if self.group.send(command).await.is_err() {
             return BufferedResponse::empty(StatusCode::SERVICE_UNAVAILABLE);
         }
-        encoded(&rx.await.unwrap_or(ChangeReply::Unknown))
+        encode_response(&rx.await.unwrap_or(ChangeReply::Unknown))
     }
 
-    async fn read(&self) -> BufferedResponse {
+    async fn read_routes(&self) -> BufferedResponse {
         let (tx, rx) = oneshot::channel();
         if self.group.send(GroupCommand::Read(tx)).await.is_err() {
             return BufferedResponse::empty(StatusCode::SERVICE_UNAVAILABLE);
         }
         let none = QueryReply::NotLeader { leader: None };
-        encoded(&rx.await.unwrap_or(none))
+        encode_response(&rx.await.unwrap_or(none))
     }
 
-    fn delta(&self, body: &Bytes) -> BufferedResponse {
+    fn routing_delta(&self, body: &Bytes) -> BufferedResponse {
         let Ok(have) = wire::decode::<SetNumber>(body) else {
             return BufferedResponse::empty(StatusCode::BAD_REQUEST);
         };
         match self.history.borrow().delta(have) {
-            Some(delta) => encoded(&delta),
+            Some(delta) => encode_response(&delta),
             None => BufferedResponse::empty(StatusCode::NO_CONTENT),
         }
     }
 }
 
-fn encoded<T: Serialize>(value: &T) -> BufferedResponse {
+fn encode_response<T: Serialize>(value: &T) -> BufferedResponse {
     match wire::encode(value) {
         Ok(body) => BufferedResponse::ok(CONTENT_TYPE, body),
         Err(e) => {
--- a/crates/replica/src/process/metrics.rs
+++ b/crates/replica/src/process/metrics.rs
@@ -7,21 +7,21 @@
 /// Metrics of a control host. Clones share the values.
 #[derive(Debug, Clone)]
 pub struct Metrics {
-    /// Whether this host leads.
+    /// Whether this host is the leader.
     pub leader: IntGauge,
     /// Term of the group.
     pub term: IntGauge,
-    /// Last entry that is known to be committed.
+    /// Last known committed log index.
     pub commit: IntGauge,
-    /// Voters of the group.
+    /// Number of voters of the group.
     pub voters: IntGauge,
-    /// Number of the routing set in force.
-    pub set: IntGauge,
-    /// Known processes.
+    /// Number of the current routing set.
+    pub routing_set: IntGauge,
+    /// Number of known processes.
     pub nodes: IntGauge,
     /// Changes, by answer.
     pub changes: IntCounterVec,
-    /// Time from a proposal here to its answer.
+    /// Time from a proposal at this host to its answer.
     pub change_seconds: Histogram,
 }
 
@@ -51,7 +51,7 @@
             term: gauge("limpet_replica_term", "Term of the control group.")?,
             commit: gauge("limpet_replica_commit", "Last committed log entry.")?,
             voters: gauge("limpet_replica_voters", "Voters of the control group.")?,
-            set: gauge("limpet_replica_routing_set", "Number of the routing set.")?,
+            routing_set: gauge("limpet_replica_routing_set", "Number of the routing set.")?,
             nodes: gauge("limpet_replica_nodes", "Known processes.")?,
             changes,
             change_seconds,
--- a/crates/replica/src/process/mod.rs
+++ b/crates/replica/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! What lasts as long as the process: tasks, settings, the handle.
+//! Types that live as long as the process: tasks, settings and the handle.
 
 mod group;
 mod http;
--- a/crates/replica/src/process/nodes/form.rs
+++ b/crates/replica/src/process/nodes/form.rs
@@ -13,13 +13,15 @@
 use crate::process::group::GroupCommand;
 
 impl NodeTask {
-    /// Hands the first group to the member beside this task; one that knows a
-    /// group already ignores it.
-    pub(super) fn form(&self, members: &[(MemberId, Ipv4Addr)]) {
+    /// Passes the first group to the local member, which ignores it if it already
+    /// has a group.
+    pub(super) fn bootstrap_group(&self, members: &[(MemberId, Ipv4Addr)]) {
         let Some(member) = &self.member else {
             return;
         };
-        if members.iter().all(|(id, _)| *id != member.id) || member.standing.borrow().formed {
+        if members.iter().all(|(id, _)| *id != member.id)
+            || member.membership_status.borrow().formed
+        {
             return;
         }
         log::info!(event = "forming", voters = members.len(); "joining the first group");
@@ -29,13 +31,14 @@
                 .iter()
                 .map(|(id, ip)| (*id, SocketAddrV4::new(*ip, port).into())),
         );
-        // A full queue is made up for by the next call to form.
-        let _ = member.group.try_send(GroupCommand::Form(group));
+        // Dropped if the queue is full; the group is sent again until it is
+        // formed.
+        let _ = member.group.try_send(GroupCommand::Bootstrap(group));
     }
 
-    /// Forms the first group of the blank hosts that have said hello, unless
-    /// there is one already. It is told again until all its members know it.
-    pub(super) async fn form_first(&mut self, now: Instant) {
+    /// Forms the first group from the blank hosts in the directory, unless a group
+    /// exists. The group is sent repeatedly until all its members have formed it.
+    pub(super) async fn form_first_group(&mut self, now: Instant) {
         if self.form_at.is_none_or(|at| now < at) {
             return;
         }
@@ -62,13 +65,13 @@
                 .iter()
                 .any(|(other, _, formed)| other == id && !formed)
         };
-        let late: Vec<Ipv4Addr> = group.iter().filter(waiting).map(|(_, ip)| *ip).collect();
-        if late.is_empty() {
+        let uninformed: Vec<Ipv4Addr> = group.iter().filter(waiting).map(|(_, ip)| *ip).collect();
+        if uninformed.is_empty() {
             self.form_at = None;
         }
-        self.form(&group);
+        self.bootstrap_group(&group);
         let message = ControlMessage::FormGroup(group.clone());
-        for ip in late {
+        for ip in uninformed {
             self.send(SocketAddrV4::new(ip, port), &message).await;
         }
         self.first_group = Some(group);
--- a/crates/replica/src/process/nodes/mod.rs
+++ b/crates/replica/src/process/nodes/mod.rs
@@ -1,4 +1,4 @@
-//! The task that owns the socket of the nodes and the directory.
+//! The task that owns the node discovery socket and the directory.
 
 mod form;
 
@@ -24,170 +24,171 @@
 
 use super::{
     Settings,
-    group::{GroupCommand, Standing, gauge},
+    group::{GroupCommand, MembershipStatus, gauge},
     metrics::Metrics,
 };
 use crate::version::{ControlHostContact, RouteHistory};
 
-/// Pause between two messages to the other control hosts.
-const GOSSIP: Duration = Duration::from_millis(250);
+/// Interval between gossip messages to the other control hosts.
+const GOSSIP_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Pause between two messages to the other control hosts during [`EAGER`].
-const EAGER_GOSSIP: Duration = Duration::from_millis(60);
+/// Gossip interval during [`STARTUP_PHASE`].
+const STARTUP_GOSSIP_INTERVAL: Duration = Duration::from_millis(60);
 
-/// After a start messages to the other control hosts are frequent for this
-/// long: after a loss of all power, nodes learn of one another by these alone.
-const EAGER: Duration = Duration::from_secs(3);
+/// How long after a start gossip is frequent: after a complete power loss, gossip
+/// is the only way in which nodes discover each other.
+const STARTUP_PHASE: Duration = Duration::from_secs(3);
 
-/// What was heard is repeated to the other control hosts after this time, even
-/// if it did not change. A third of a lease.
-const REPEAT: Duration = Duration::from_secs(1);
+/// Interval at which records heard here are relayed to the other control hosts,
+/// even if they did not change. A third of a lease.
+const RELAY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Changes of the directory within this time are told together: when all nodes
-/// start, each would otherwise be told of each.
-const TOGETHER: Duration = Duration::from_millis(5);
+/// Delay that batches directory changes into one notification: without it, when
+/// all nodes start at once, every node would be notified of every other one
+/// separately.
+const NOTIFY_DELAY: Duration = Duration::from_millis(5);
 
-/// Control hosts that a node is told of while it looks for one.
-const INTRODUCED: usize = 9;
+/// Maximum number of control hosts listed in a reply to a node that looks for one.
+const MAX_LISTED_CONTROL_HOSTS: usize = 9;
 
-/// Records in one message to another control host, so that it fits a datagram.
-const PIECE: usize = 12;
+/// Maximum number of records in one message, so that it fits a datagram.
+const MAX_RECORDS_PER_DATAGRAM: usize = 12;
 
-/// A node that said hello here within this time is told of changes at once.
-const SUBSCRIBED: Duration = Duration::from_millis(1500);
+/// A node whose last hello is more recent than this is notified of changes.
+const SUBSCRIPTION_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Time for the hosts of a first start to say hello before the group is formed.
-/// Those that are later join the group by themselves.
-const GATHER: Duration = Duration::from_millis(1200);
+/// Delay after a first start before the group is formed, so that all hosts can be
+/// discovered. Hosts that appear later are added to the group.
+const BOOTSTRAP_DELAY: Duration = Duration::from_millis(1200);
 
-/// Bytes of a datagram at most.
-const DATAGRAM: usize = 64 * 1024;
+/// Maximum size of a datagram, in bytes.
+const MAX_DATAGRAM_BYTES: usize = 64 * 1024;
 
 #[derive(Debug)]
 struct Subscriber {
     reply_to: SocketAddrV4,
-    mark: DirectoryVersion,
-    at: Instant,
+    version: DirectoryVersion,
+    last_hello: Instant,
 }
 
 /// The task that owns the socket of the nodes and the directory.
 pub(crate) struct NodeTask {
     cfg: Settings,
-    me: Node,
+    local_node: Node,
     socket: UdpSocket,
     directory: Directory,
     coverage: Coverage,
     subscribers: BTreeMap<SocketAddrV4, Subscriber>,
     history: Rc<RefCell<RouteHistory>>,
-    /// The member beside it; none without a disk.
-    member: Option<Member>,
-    /// Hosts of the members, for those who have none beside them.
-    members: watch::Sender<Vec<Ipv4Addr>>,
-    /// The first group that this host forms, once it is chosen.
+    /// The local member; `None` on a host without a disk.
+    member: Option<LocalMember>,
+    /// Addresses of the known control hosts, for observers.
+    control_hosts: watch::Sender<Vec<Ipv4Addr>>,
+    /// The members of the first group, once this host has chosen them.
     first_group: Option<Vec<(MemberId, Ipv4Addr)>>,
-    /// When the first group is formed, if this host does that.
+    /// When to form the first group, if this host is responsible for that.
     form_at: Option<Instant>,
-    /// Set once the process is to end.
+    /// Set when the process is asked to stop.
     stop: watch::Receiver<bool>,
     metrics: Metrics,
     gossip_at: Instant,
-    /// When subscribers are told of changes, if there are any.
-    tell_at: Option<Instant>,
-    /// Messages to the other control hosts are frequent until then.
-    eager_until: Instant,
-    /// When the unchanged records were last repeated.
-    repeated_at: Instant,
-    /// Addresses of voters and learners from the disk, to be found again after
-    /// a restart when the seeds are stale.
-    remembered: Vec<SocketAddrV4>,
+    /// When subscribers are notified of changes; `None` if there are none.
+    notify_at: Option<Instant>,
+    /// End of the startup phase, in which gossip is frequent.
+    startup_until: Instant,
+    /// When records heard here were last relayed.
+    last_relay: Instant,
+    /// Addresses of voters and learners restored from disk, which allow discovery
+    /// after a restart when the seeds are stale.
+    restored_addresses: Vec<SocketAddrV4>,
 }
 
-/// The member beside a [`NodeTask`].
-pub(crate) struct Member {
+/// The local member of the consensus group, as seen by a [`NodeTask`].
+pub(crate) struct LocalMember {
     pub id: MemberId,
     pub routes: watch::Receiver<Option<Arc<RoutingSet>>>,
-    pub standing: watch::Receiver<Standing>,
+    pub membership_status: watch::Receiver<MembershipStatus>,
     pub group: mpsc::Sender<GroupCommand>,
 }
 
-impl Member {
-    fn part(&self) -> NodeRole {
+impl LocalMember {
+    fn role(&self) -> NodeRole {
         NodeRole::Control {
             member: self.id,
-            formed: self.standing.borrow().formed,
-            current: self.standing.borrow().current,
+            formed: self.membership_status.borrow().formed,
+            current: self.membership_status.borrow().current,
         }
     }
 }
 
-/// What a [`NodeTask`] talks to.
+/// Channels of a [`NodeTask`].
 pub(crate) struct Channels {
     pub socket: UdpSocket,
     pub history: Rc<RefCell<RouteHistory>>,
-    pub member: Option<Member>,
-    pub members: watch::Sender<Vec<Ipv4Addr>>,
+    pub member: Option<LocalMember>,
+    pub control_hosts: watch::Sender<Vec<Ipv4Addr>>,
     pub stop: watch::Receiver<bool>,
 }
 
 impl NodeTask {
     pub fn new(
         cfg: Settings,
-        run: u64,
+        incarnation: u64,
         restored: Option<&Group>,
         channels: Channels,
         metrics: Metrics,
     ) -> Self {
         let now = Instant::now();
-        let me = Node {
+        let local_node = Node {
             address: cfg.node_address(),
-            incarnation: run,
+            incarnation,
             seq: 0,
             data_centre: cfg.data_centre.clone(),
             role: channels
                 .member
                 .as_ref()
-                .map_or(NodeRole::Observer, Member::part),
+                .map_or(NodeRole::Observer, LocalMember::role),
             leaving: false,
         };
         let port = cfg.node_port;
         let members = restored.into_iter().flat_map(Group::members);
-        let remembered = members.filter_map(|(_, address)| match address {
+        let restored_addresses = members.filter_map(|(_, address)| match address {
             SocketAddr::V4(address) => Some(SocketAddrV4::new(*address.ip(), port)),
             SocketAddr::V6(_) => None,
         });
-        let remembered = remembered.collect();
-        // One host forms the first group: if each did, two could form different ones.
+        let restored_addresses = restored_addresses.collect();
+        // Only one host forms the first group; several could form different groups.
         let forms = cfg.bootstrap && cfg.seeds.borrow().iter().min() == Some(&cfg.ip);
-        let form_at = forms.then(|| now + GATHER);
+        let form_at = forms.then(|| now + BOOTSTRAP_DELAY);
         NodeTask {
             cfg,
-            me,
+            local_node,
             socket: channels.socket,
-            directory: Directory::new(run),
+            directory: Directory::new(incarnation),
             coverage: Coverage::new(now),
             subscribers: BTreeMap::new(),
             history: channels.history,
             member: channels.member,
-            members: channels.members,
+            control_hosts: channels.control_hosts,
             first_group: None,
             form_at,
             stop: channels.stop,
             metrics,
             gossip_at: now,
-            tell_at: None,
-            eager_until: now + EAGER,
-            repeated_at: now,
-            remembered,
+            notify_at: None,
+            startup_until: now + STARTUP_PHASE,
+            last_relay: now,
+            restored_addresses,
         }
     }
 
     /// Runs until the group task ends.
     pub async fn run(mut self) {
-        let mut buf = vec![0; DATAGRAM];
-        self.take_member();
+        let mut buf = vec![0; MAX_DATAGRAM_BYTES];
+        self.apply_member_updates();
         loop {
             let gossip_at = self.gossip_at;
-            let tell_at = self.tell_at;
+            let notify_at = self.notify_at;
             tokio::select! {
                 received = self.socket.recv_from(&mut buf) => {
                     if let Ok((len, from)) = received {
@@ -198,130 +199,134 @@
                     if !changed {
                         return;
                     }
-                    self.take_member();
-                    self.tell_subscribers(true).await;
+                    self.apply_member_updates();
+                    self.notify_subscribers(true).await;
                 }
-                _ = self.stop.changed(), if !self.me.leaving => {
-                    self.me.leaving = true;
-                    self.me.seq += 1;
+                _ = self.stop.changed(), if !self.local_node.leaving => {
+                    self.local_node.leaving = true;
+                    self.local_node.seq += 1;
                     self.gossip(Instant::now()).await;
                 }
                 () = sleep_until(gossip_at.into()) => self.gossip(Instant::now()).await,
-                () = sleep_until(tell_at.unwrap_or(gossip_at).into()), if tell_at.is_some() => {
-                    self.tell_subscribers(false).await;
+                () = sleep_until(notify_at.unwrap_or(gossip_at).into()), if notify_at.is_some() => {
+                    self.notify_subscribers(false).await;
                 }
             }
         }
     }
 
-    /// Takes over what the member beside this task has published.
-    fn take_member(&mut self) {
+    /// Applies the routing set and status published by the local member.
+    fn apply_member_updates(&mut self) {
         let Some(member) = &mut self.member else {
             return;
         };
         if let Some(set) = member.routes.borrow_and_update().clone() {
             self.history.borrow_mut().push(set);
         }
-        member.standing.mark_unchanged();
-        let part = member.part();
-        if self.me.role != part {
-            self.me.role = part;
-            self.me.seq += 1;
+        member.membership_status.mark_unchanged();
+        let role = member.role();
+        if self.local_node.role != role {
+            self.local_node.role = role;
+            self.local_node.seq += 1;
         }
     }
 
     async fn receive(&mut self, datagram: &[u8], from: SocketAddr) {
         let now = Instant::now();
         match wire::decode(datagram) {
-            Ok(ControlMessage::Hello(hello)) => self.hello(hello, now).await,
+            Ok(ControlMessage::Hello(hello)) => self.handle_hello(hello, now).await,
             Ok(ControlMessage::Relayed(heard)) => {
                 if let SocketAddr::V4(from) = from {
                     self.coverage.record_contact(*from.ip(), now);
                 }
-                let mut new = false;
+                let mut changed = false;
                 for (node, age) in heard {
                     let age = Duration::from_millis(age);
-                    // Each host speaks for itself.
-                    if node.address != self.me.address {
-                        new |= self.directory.record_relayed(node, age, now);
+                    // A host's own record is authoritative: copies of it that
+                    // other hosts relay are ignored.
+                    if node.address != self.local_node.address {
+                        changed |= self.directory.record_relayed(node, age, now);
                     }
                 }
-                if new {
-                    self.tell_soon(now);
+                if changed {
+                    self.schedule_notification(now);
                 }
             }
-            Ok(ControlMessage::FormGroup(members)) => self.form(&members),
+            Ok(ControlMessage::FormGroup(members)) => self.bootstrap_group(&members),
             Err(e) => {
-                log::debug!(event = "bad_hello", error:% = e; "datagram is no message of a node");
+                log::debug!(event = "bad_hello", error:% = e; "cannot decode datagram as a discovery message");
             }
         }
     }
 
-    async fn hello(&mut self, hello: Hello, now: Instant) {
+    async fn handle_hello(&mut self, hello: Hello, now: Instant) {
         let address = hello.node.address;
-        let new = self.directory.record_hello(hello.node.clone(), now);
-        if let Some(mark) = hello.version {
+        let changed = self.directory.record_hello(hello.node.clone(), now);
+        if let Some(version) = hello.version {
             let subscriber = Subscriber {
                 reply_to: hello.reply_to,
-                mark,
-                at: now,
+                version,
+                last_hello: now,
             };
             self.subscribers.insert(address, subscriber);
-            self.reply(address, true).await;
+            self.send_deltas(address, true).await;
         } else {
-            let reply = self.introduction();
+            let reply = self.control_host_list();
             self.send(hello.reply_to, &reply).await;
         }
-        if new {
+        if changed {
             log::info!(
                 event = "node", address:% = address, run = hello.node.incarnation,
                 part:? = hello.node.role, leaving = u64::from(hello.node.leaving);
-                "a node is new or has changed"
+                "added or updated a node"
             );
-            self.spread(vec![(hello.node, 0)]).await;
-            self.tell_soon(now);
+            self.relay_records(vec![(hello.node, 0)]).await;
+            self.schedule_notification(now);
         }
     }
 
-    /// Answers a node that asks several control hosts for one to use. To send
-    /// it all nodes would cost the square of their number at a start.
-    fn introduction(&self) -> HelloReply {
+    /// The reply to a node that is choosing a control host. It lists no nodes:
+    /// sending all of them would cost the square of their number when all start.
+    fn control_host_list(&self) -> HelloReply {
         let nodes = self.directory.nodes().map(|(node, _)| node);
         let hosts = nodes.filter(|node| node.is_control() && !node.leaving);
         HelloReply {
             routing_set: self.history.borrow().number(),
-            current: self.me.is_current(),
+            current: self.local_node.is_current(),
             delta: None,
-            control_hosts: hosts.map(|node| node.address).take(INTRODUCED).collect(),
+            control_hosts: hosts
+                .map(|node| node.address)
+                .take(MAX_LISTED_CONTROL_HOSTS)
+                .collect(),
             version: self.directory.version(),
             complete: false,
         }
     }
 
-    /// Has the subscribers told of changes, together with those that follow.
-    fn tell_soon(&mut self, now: Instant) {
-        self.tell_at.get_or_insert(now + TOGETHER);
+    /// Schedules a notification of the subscribers, batched with later changes.
+    fn schedule_notification(&mut self, now: Instant) {
+        self.notify_at.get_or_insert(now + NOTIFY_DELAY);
     }
 
-    /// Sends a subscriber what it lacks. Each gets it once; what is lost is
-    /// sent again after its next hello.
-    async fn reply(&mut self, to: SocketAddrV4, always: bool) {
+    /// Sends a subscriber the deltas since its version. Each delta is sent once; a
+    /// lost one is sent again after the subscriber's next hello.
+    async fn send_deltas(&mut self, to: SocketAddrV4, always: bool) {
         let routes = self.history.borrow().number();
-        let current = self.me.is_current();
-        let mark = self.directory.version();
-        let whole = self.coverage.is_complete(Instant::now());
+        let current = self.local_node.is_current();
+        let version = self.directory.version();
+        let complete = self.coverage.is_complete(Instant::now());
         let Some(subscriber) = self.subscribers.get_mut(&to) else {
             return;
         };
-        let mut news = self.directory.deltas_since(subscriber.mark);
-        if let Some(last) = news.last() {
-            subscriber.mark = last.to;
+        let mut deltas = self.directory.deltas_since(subscriber.version);
+        if let Some(last) = deltas.last() {
+            subscriber.version = last.to;
         }
         let to = subscriber.reply_to;
-        let first = if news.is_empty() {
+        let first = if deltas.is_empty() {
             None
         } else {
-            Some(news.remove(0))
+            Some(deltas.remove(0))
         };
         if first.is_none() && !always {
             return;
@@ -333,77 +338,84 @@
                 current,
                 delta: first,
                 control_hosts: Vec::new(),
-                version: mark,
-                complete: whole,
+                version: version,
+                complete: complete,
             },
         )
         .await;
-        for piece in news {
+        for chunk in deltas {
             let reply = HelloReply {
                 routing_set: routes,
                 current,
-                delta: Some(piece),
+                delta: Some(chunk),
                 control_hosts: Vec::new(),
-                version: mark,
-                complete: whole,
+                version: version,
+                complete: complete,
             };
             self.send(to, &reply).await;
         }
     }
 
-    async fn tell_subscribers(&mut self, routes: bool) {
+    async fn notify_subscribers(&mut self, routes: bool) {
         let now = Instant::now();
-        self.tell_at = None;
+        self.notify_at = None;
         self.subscribers
-            .retain(|_, subscriber| now < subscriber.at + SUBSCRIBED);
+            .retain(|_, subscriber| now < subscriber.last_hello + SUBSCRIPTION_TIMEOUT);
         let addresses: Vec<SocketAddrV4> = self.subscribers.keys().copied().collect();
         for address in addresses {
-            self.reply(address, routes).await;
+            self.send_deltas(address, routes).await;
         }
     }
 
     async fn send<T: serde::Serialize>(&self, to: SocketAddrV4, message: &T) {
         match wire::encode(message) {
-            // A datagram may be lost anyway.
+            // Errors are ignored: the network may lose datagrams as well.
             Ok(datagram) => drop(self.socket.send_to(&datagram, to).await),
-            Err(e) => log::error!(event = "unencodable_message", error:% = e; "cannot encode"),
+            Err(e) => {
+                log::error!(event = "unencodable_message", error:% = e; "cannot encode discovery message")
+            }
         }
     }
 
-    /// Tells the other control hosts what was heard here, and the group task
-    /// which control hosts were heard.
+    /// Sends this host's record, and periodically the records heard here, to the
+    /// other control hosts, and reports the known control hosts to the group task.
     async fn gossip(&mut self, now: Instant) {
-        let eager = now < self.eager_until;
-        self.gossip_at = now + if eager { EAGER_GOSSIP } else { GOSSIP };
-        self.directory.record_hello(self.me.clone(), now);
-        let mut told: Vec<(Node, u64)> = vec![(self.me.clone(), 0)];
-        if now >= self.repeated_at + REPEAT {
-            let since = self.repeated_at;
-            self.repeated_at = now;
+        let starting = now < self.startup_until;
+        self.gossip_at = now
+            + if starting {
+                STARTUP_GOSSIP_INTERVAL
+            } else {
+                GOSSIP_INTERVAL
+            };
+        self.directory.record_hello(self.local_node.clone(), now);
+        let mut records: Vec<(Node, u64)> = vec![(self.local_node.clone(), 0)];
+        if now >= self.last_relay + RELAY_INTERVAL {
+            let since = self.last_relay;
+            self.last_relay = now;
             let others = self.directory.heard_since(since, now);
-            let others = others.filter(|(node, _)| node.address != self.me.address);
-            told.extend(others.map(|(node, age)| (node, millis(age))));
+            let others = others.filter(|(node, _)| node.address != self.local_node.address);
+            records.extend(others.map(|(node, age)| (node, millis(age))));
         }
-        self.spread(told).await;
-        self.form_first(now).await;
+        self.relay_records(records).await;
+        self.form_first_group(now).await;
         let gone = self.directory.expire(now);
         for node in &gone {
-            log::info!(event = "node_gone", address:% = node.address; "a node was not heard for a lease");
+            log::info!(event = "node_gone", address:% = node.address; "removed a node whose lease expired");
         }
         if !gone.is_empty() {
-            self.tell_soon(now);
+            self.schedule_notification(now);
         }
-        self.review_coverage(now);
-        self.report(now);
+        self.update_coverage(now);
+        self.report_control_hosts(now);
     }
 
-    /// Looks whether this host hears of all processes; one without a disk never
-    /// says so, since it does not know the members of the group.
-    fn review_coverage(&mut self, now: Instant) {
+    /// Updates whether this host's directory covers all processes. An observer's
+    /// never does, since it has no list of the members of the group.
+    fn update_coverage(&mut self, now: Instant) {
         let Some(member) = &self.member else {
             return;
         };
-        let others = member.standing.borrow().others.clone();
+        let others = member.membership_status.borrow().other_members.clone();
         let others: Vec<Ipv4Addr> = others
             .into_iter()
             .filter_map(|address| match address {
@@ -411,10 +423,11 @@
                 SocketAddr::V6(_) => None,
             })
             .collect();
-        self.coverage.update(&others, self.me.is_current(), now);
+        self.coverage
+            .update(&others, self.local_node.is_current(), now);
     }
 
-    fn report(&mut self, now: Instant) {
+    fn report_control_hosts(&mut self, now: Instant) {
         let port = self.cfg.member_port;
         let mut heard = BTreeMap::new();
         let mut count = 0;
@@ -436,19 +449,20 @@
         self.metrics.nodes.set(gauge(count));
         let hosts = self.directory.nodes().map(|(node, _)| node);
         let hosts = hosts.filter(|node| node.is_control() && !node.leaving);
-        self.members.send_replace(hosts.map(Node::ip).collect());
+        self.control_hosts
+            .send_replace(hosts.map(Node::ip).collect());
         if let Some(member) = &self.member {
             heard
                 .entry(member.id)
                 .and_modify(|host| host.last_heard = now);
-            // A full queue is brought up to date by the next report.
-            let _ = member.group.try_send(GroupCommand::Heard(heard));
+            // Dropped if the queue is full; the next report supersedes it.
+            let _ = member.group.try_send(GroupCommand::ControlHosts(heard));
         }
     }
 
-    /// Sends records to the other control hosts: those that were heard, and
-    /// the seeds and former members, which may be there unheard.
-    async fn spread(&self, told: Vec<(Node, u64)>) {
+    /// Sends records to the other control hosts: the known ones, the seeds, and the
+    /// members restored from disk, which may be alive but not yet discovered.
+    async fn relay_records(&self, records: Vec<(Node, u64)>) {
         let port = self.cfg.node_port;
         let seeds = self.cfg.seeds.borrow().clone();
         let seeds = seeds.into_iter().map(|ip| SocketAddrV4::new(ip, port));
@@ -456,13 +470,13 @@
         let known = known.filter(|node| node.gossips()).map(|node| node.address);
         let mut hosts: Vec<SocketAddrV4> = seeds
             .chain(known)
-            .chain(self.remembered.iter().copied())
-            .filter(|address| *address != self.me.address)
+            .chain(self.restored_addresses.iter().copied())
+            .filter(|address| *address != self.local_node.address)
             .collect();
         hosts.sort_unstable();
         hosts.dedup();
-        for piece in told.chunks(PIECE) {
-            let message = ControlMessage::Relayed(piece.to_vec());
+        for chunk in records.chunks(MAX_RECORDS_PER_DATAGRAM) {
+            let message = ControlMessage::Relayed(chunk.to_vec());
             for host in &hosts {
                 self.send(*host, &message).await;
             }
@@ -470,18 +484,20 @@
     }
 }
 
-/// Waits until the member has published something. Returns whether it lives;
-/// waits for ever without one.
-async fn member_changed(member: &mut Option<Member>) -> bool {
+/// Waits until the member publishes an update. Returns `false` once its task has
+/// ended; never returns on a host without a member.
+async fn member_changed(member: &mut Option<LocalMember>) -> bool {
     let Some(member) = member else {
         return std::future::pending().await;
     };
-    let Member {
-        routes, standing, ..
+    let LocalMember {
+        routes,
+        membership_status,
+        ..
     } = member;
     tokio::select! {
         changed = routes.changed() => changed.is_ok(),
-        changed = standing.changed() => changed.is_ok(),
+        changed = membership_status.changed() => changed.is_ok(),
     }
 }
 
--- a/crates/replica/src/process/replica.rs
+++ b/crates/replica/src/process/replica.rs
@@ -1,4 +1,4 @@
-//! The handle by which a front end uses a control host.
+//! The handle for front ends of a control host.
 
 use std::{
     net::SocketAddr,
@@ -19,17 +19,18 @@
 };
 use crate::request::{ChangeOutcome, ReadOutcome};
 
-/// Pause before a change is tried again while no leader is known.
-const RETRY: Duration = Duration::from_millis(50);
+/// Delay before a change or read is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Time for a leader to answer, after which another may have taken its place.
-/// Above the time that a commit takes with a slow disk in most cases.
-const ANSWER: Duration = Duration::from_millis(700);
+/// Timeout of one attempt, after which there may be another leader. Above the
+/// usual duration of a commit on a slow disk.
+const LEADER_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Bytes of an answer between members at most.
-const MAX_ANSWER: usize = 16 << 20;
+/// Maximum size of a reply between members, in bytes.
+const MAX_REPLY_BYTES: usize = 16 << 20;
 
-/// A control host as a front end for operators sees it. Clones share the host.
+/// A handle to a control host for operators' front ends. Clones refer to the same
+/// host.
 #[derive(Debug, Clone)]
 pub struct ReplicaHandle {
     pub(crate) group: mpsc::Sender<GroupCommand>,
@@ -37,9 +38,9 @@
 }
 
 impl ReplicaHandle {
-    /// Replaces the routing set. Any member can be asked; it goes by way of the
-    /// leader. The same set may be given again after a lost answer: sets are
-    /// ordered by their numbers.
+    /// Replaces the routing set. Works on any member; the request is forwarded to
+    /// the leader. Idempotent: sets are ordered by their numbers, so the same set
+    /// may be sent again after a lost reply.
     pub async fn replace_routes(
         &self,
         author: OperatorName,
@@ -48,42 +49,44 @@
     ) -> ChangeOutcome {
         let timer = self.metrics.change_seconds.start_timer();
         let change = Change::ReplaceRoutes(Box::new(set));
-        let mut tried = false;
+        let mut outcome_unknown = false;
         let outcome = loop {
             let req = ChangeRequest {
-                // Each try is a change of its own; the number makes them one.
+                // Each attempt has its own id; the set number makes retries
+                // idempotent.
                 id: ChangeId::generate(),
                 author: author.clone(),
                 base: Revision(0),
                 change: change.clone(),
             };
             match self
-                .try_change(req, deadline.min(Instant::now() + ANSWER))
+                .try_change(req, deadline.min(Instant::now() + LEADER_TIMEOUT))
                 .await
             {
                 ChangeReply::Final(Answer::Accepted(_)) => break ChangeOutcome::Accepted,
                 ChangeReply::Final(Answer::Refused(refusal)) => {
                     break ChangeOutcome::Refused(refusal);
                 }
-                // Sets are not based on a revision.
+                // Routing sets have no base revision, so a conflict is not
+                // expected.
                 ChangeReply::Final(Answer::Conflict(_)) => break ChangeOutcome::Unknown,
-                ChangeReply::Unknown => tried = true,
+                ChangeReply::Unknown => outcome_unknown = true,
                 ChangeReply::NotLeader { .. } | ChangeReply::Unavailable => {}
             }
-            if Instant::now() + RETRY >= deadline {
-                break if tried {
+            if Instant::now() + RETRY_DELAY >= deadline {
+                break if outcome_unknown {
                     ChangeOutcome::Unknown
                 } else {
                     ChangeOutcome::Unavailable
                 };
             }
-            actix_rt::time::sleep(RETRY).await;
+            actix_rt::time::sleep(RETRY_DELAY).await;
         };
         timer.observe_duration();
         outcome
     }
 
-    /// Voters of the group, as far as this member knows.
+    /// Number of voters in this member's view of the group.
     #[must_use]
     pub fn voter_count(&self) -> i64 {
         self.metrics.voters.get()
@@ -100,7 +103,7 @@
             Ok(ChangeReply::NotLeader {
                 leader: Some(leader),
             }) => {
-                let reply = ask(leader, CHANGE_PATH, &req, deadline).await;
+                let reply = call_member(leader, CHANGE_PATH, &req, deadline).await;
                 reply.unwrap_or(ChangeReply::Unknown)
             }
             Ok(reply) => reply,
@@ -108,13 +111,16 @@
         }
     }
 
-    /// The newest routing set, confirmed by a majority after this call began.
+    /// Reads the current routing set, confirmed by a quorum after this call began.
     pub async fn read_routes(&self, deadline: Instant) -> ReadOutcome {
         loop {
-            match self.try_read(deadline.min(Instant::now() + ANSWER)).await {
+            match self
+                .try_read(deadline.min(Instant::now() + LEADER_TIMEOUT))
+                .await
+            {
                 Some(QueryReply::Routes(set)) => return ReadOutcome::Confirmed(set),
-                _ if Instant::now() + RETRY >= deadline => return ReadOutcome::Unavailable,
-                _ => actix_rt::time::sleep(RETRY).await,
+                _ if Instant::now() + RETRY_DELAY >= deadline => return ReadOutcome::Unavailable,
+                _ => actix_rt::time::sleep(RETRY_DELAY).await,
             }
         }
     }
@@ -123,21 +129,24 @@
         let (tx, rx) = oneshot::channel();
         self.group.send(GroupCommand::Read(tx)).await.ok()?;
         match timeout_at(deadline.into(), rx).await.ok()?.ok()? {
-            QueryReply::NotLeader { leader } => ask(leader?, READ_PATH, &(), deadline).await,
+            QueryReply::NotLeader { leader } => {
+                call_member(leader?, READ_PATH, &(), deadline).await
+            }
             reply => Some(reply),
         }
     }
 }
 
-/// Asks another member.
-async fn ask<Q: Serialize, A: DeserializeOwned>(
+/// Sends a request to another member. Returns `None` if it fails.
+async fn call_member<Q: Serialize, A: DeserializeOwned>(
     member: SocketAddr,
     path: &str,
-    question: &Q,
+    request: &Q,
     deadline: Instant,
 ) -> Option<A> {
-    let body = Bytes::from(wire::encode(question).ok()?);
-    let answer = net::send_request(member, Method::POST, path, body, MAX_ANSWER, deadline).await;
+    let body = Bytes::from(wire::encode(request).ok()?);
+    let answer =
+        net::send_request(member, Method::POST, path, body, MAX_REPLY_BYTES, deadline).await;
     let failed = match answer {
         Ok((StatusCode::OK, body)) => match wire::decode(&body) {
             Ok(answer) => return Some(answer),
--- a/crates/replica/src/process/run.rs
+++ b/crates/replica/src/process/run.rs
@@ -13,16 +13,17 @@
 };
 
 use super::{
-    ReplicaHandle, Settings, group, group::Standing, http::Interface, metrics::Metrics, nodes,
-    nodes::NodeTask, transport,
+    ReplicaHandle, Settings, group, group::MembershipStatus, http::HttpInterface, metrics::Metrics,
+    nodes, nodes::NodeTask, transport,
 };
 use crate::{Error, Result, version::RouteHistory};
 
-/// Commands that may wait for the group task.
-const COMMANDS: usize = 1024;
+/// Capacity of the command queue of the group task, and of the queue of outgoing
+/// messages.
+const COMMAND_QUEUE_CAPACITY: usize = 1024;
 
-/// Starts a control host. Returns the handle, and what to run until the process
-/// is to end: it ends by itself only when the disk thread does.
+/// Starts a control host. Returns the handle, and a future to poll until the
+/// process stops: it completes by itself only when the disk thread ends.
 ///
 /// # Errors
 ///
@@ -49,22 +50,22 @@
     let seed = rand::rng().random();
     let consensus = Consensus::new(cfg.consensus, me, found.restored, seed, Instant::now());
 
-    let member_address = cfg.local(cfg.member_address());
+    let member_address = cfg.listen_address(cfg.member_address());
     let bind = |e| Error::Bind(member_address, e);
     let listener = TcpListener::bind(member_address).await.map_err(bind)?;
     let member_socket = net::bind_udp(member_address).map_err(bind)?;
-    let node_address = cfg.local(cfg.node_address());
+    let node_address = cfg.listen_address(cfg.node_address());
     let node_socket = net::bind_udp(node_address).map_err(|e| Error::Bind(node_address, e))?;
 
-    let (commands_tx, commands_rx) = mpsc::channel(COMMANDS);
-    let (outgoing_tx, outgoing_rx) = mpsc::channel(COMMANDS);
+    let (commands_tx, commands_rx) = mpsc::channel(COMMAND_QUEUE_CAPACITY);
+    let (outgoing_tx, outgoing_rx) = mpsc::channel(COMMAND_QUEUE_CAPACITY);
     let (routes_tx, routes_rx) = watch::channel(None);
-    let (standing_tx, standing_rx) = watch::channel(Standing::default());
+    let (membership_status_tx, membership_status_rx) = watch::channel(MembershipStatus::default());
     let channels = group::Channels {
         disk,
         outgoing: outgoing_tx,
         routes: routes_tx,
-        standing: standing_tx,
+        membership_status: membership_status_tx,
         commands: commands_rx,
     };
     let group_task = group::GroupTask::new(
@@ -78,13 +79,13 @@
     let channels = nodes::Channels {
         socket: node_socket,
         history: history.clone(),
-        member: Some(nodes::Member {
+        member: Some(nodes::LocalMember {
             id: member,
             routes: routes_rx,
-            standing: standing_rx,
+            membership_status: membership_status_rx,
             group: commands_tx.clone(),
         }),
-        members: watch::channel(Vec::new()).0,
+        control_hosts: watch::channel(Vec::new()).0,
         stop,
     };
     let node_task = NodeTask::new(
@@ -94,7 +95,7 @@
         channels,
         metrics.clone(),
     );
-    let interface = Interface {
+    let interface = HttpInterface {
         group: commands_tx.clone(),
         history,
     };
@@ -112,8 +113,8 @@
     Ok((replica, group_task.run()))
 }
 
-/// Starts a control host without a disk. Returns the hosts of the others, as
-/// far as they are known.
+/// Starts an observer: a control host without a disk that only serves node
+/// discovery. Returns the addresses of the known control hosts.
 ///
 /// # Errors
 ///
@@ -124,7 +125,7 @@
     stop: watch::Receiver<bool>,
 ) -> Result<watch::Receiver<Vec<Ipv4Addr>>> {
     let metrics = Metrics::new(registry)?;
-    let address = cfg.local(cfg.node_address());
+    let address = cfg.listen_address(cfg.node_address());
     let socket = net::bind_udp(address).map_err(|e| Error::Bind(address, e))?;
     log::info!(event = "observer_started", address:% = address; "control host without a disk started");
     let (members_tx, members) = watch::channel(Vec::new());
@@ -132,7 +133,7 @@
         socket,
         history: Rc::default(),
         member: None,
-        members: members_tx,
+        control_hosts: members_tx,
         stop,
     };
     let run = rand::rng().random_range(1..=u64::MAX);
--- a/crates/replica/src/process/settings.rs
+++ b/crates/replica/src/process/settings.rs
@@ -14,32 +14,33 @@
 /// Settings of a control host.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// Address by which others reach the host.
+    /// Address at which other processes reach the host.
     pub ip: Ipv4Addr,
-    /// Local address for it.
+    /// Local address to listen on.
     pub listen_ip: Ipv4Addr,
-    /// Where the host is.
+    /// Data centre of the host.
     pub data_centre: DataCentre,
     /// Folder of the durable state.
     pub data_dir: PathBuf,
-    /// Port for messages between members, the same on all of them, UDP and TCP.
+    /// UDP and TCP port for messages between members, the same on all members.
     pub member_port: u16,
-    /// UDP port to which nodes say hello, the same on all members.
+    /// UDP port for node discovery, the same on all members.
     pub node_port: u16,
-    /// Hosts where control hosts may be found; they may change.
+    /// Addresses of possible control hosts; may change at run time.
     pub seeds: watch::Receiver<Vec<Ipv4Addr>>,
-    /// The deployment starts for the first time: the seeds form the group.
+    /// Whether this is the first start of the deployment, in which the seeds form
+    /// the group.
     pub bootstrap: bool,
-    /// Times of the consensus.
+    /// Timeouts and limits of the consensus.
     pub consensus: consensus::Settings,
-    /// How the group is kept complete.
+    /// Limits and timeouts for membership changes.
     pub membership: MembershipSettings,
-    /// Pause after a change before the log is replaced by a snapshot.
+    /// Delay after a change before the log is compacted into a snapshot.
     pub compaction_delay: Duration,
 }
 
 impl Settings {
-    /// Settings of a host, with the usual values for everything else.
+    /// Settings of a host, with default values for everything else.
     #[must_use]
     pub fn new(
         ip: Ipv4Addr,
@@ -62,18 +63,18 @@
         }
     }
 
-    /// Where members reach this host.
+    /// Address at which members reach this host.
     #[must_use]
     pub fn member_address(&self) -> SocketAddrV4 {
         SocketAddrV4::new(self.ip, self.member_port)
     }
 
-    /// A local address for one by which this host is reached.
-    pub(crate) fn local(&self, address: SocketAddrV4) -> SocketAddr {
+    /// The local address to listen on for a public address of this host.
+    pub(crate) fn listen_address(&self, address: SocketAddrV4) -> SocketAddr {
         SocketAddrV4::new(self.listen_ip, address.port()).into()
     }
 
-    /// Where nodes reach this host.
+    /// Address at which nodes reach this host.
     #[must_use]
     pub fn node_address(&self) -> SocketAddrV4 {
         SocketAddrV4::new(self.ip, self.node_port)
--- a/crates/replica/src/request/mod.rs
+++ b/crates/replica/src/request/mod.rs
@@ -1,4 +1,4 @@
-//! What lasts for one change or read.
+//! Types that live for one change or read.
 
 use std::sync::Arc;
 
@@ -7,41 +7,41 @@
 use types::{ChangeRequest, RoutingSet, UnixMillis};
 use wire::request::{ChangeReply, QueryReply};
 
-/// What became of a change.
+/// The outcome of a change.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ChangeOutcome {
-    /// On disk on a majority.
+    /// Committed: on the disks of a majority.
     Accepted,
-    /// Not made, and never will be.
+    /// Refused; it will never take effect.
     Refused(types::Refusal),
-    /// Not made: no leader can be reached, or it cannot take changes now.
+    /// Not made: no leader is reachable, or it cannot accept changes now.
     Unavailable,
     /// It may or may not take effect.
     Unknown,
 }
 
-/// What a read brought.
+/// The outcome of a read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ReadOutcome {
-    /// The newest set, confirmed by a majority; `None` before the first one.
+    /// The current set, confirmed by a quorum; `None` before the first one.
     Confirmed(Option<Arc<RoutingSet>>),
-    /// No majority can confirm it now.
+    /// No quorum confirmed the read before the deadline.
     Unavailable,
 }
 
-/// A change in the log.
+/// The command in a log entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Command {
     /// The leader's clock when it proposed the change.
-    pub at: UnixMillis,
+    pub proposed_at: UnixMillis,
     pub req: ChangeRequest,
 }
 
 /// A request that waits for a commit or a confirmed read.
 #[derive(Debug)]
-pub(crate) enum Pending {
+pub(crate) enum PendingRequest {
     Change(oneshot::Sender<ChangeReply>),
     Read(oneshot::Sender<QueryReply>),
-    /// A change of the group by the member itself.
+    /// A membership change that the leader proposed itself.
     Group,
 }
--- a/crates/replica/src/version/membership.rs
+++ b/crates/replica/src/version/membership.rs
@@ -1,4 +1,4 @@
-//! The changes by which the leader keeps its group complete.
+//! The policy by which the leader adds and removes members.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -9,19 +9,20 @@
 use consensus::{Group, GroupChange};
 use types::MemberId;
 
-/// Rules of a [`Steward`].
+/// Limits and timeouts of a [`MembershipPolicy`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MembershipSettings {
-    /// Voters that must remain when one that is silent is removed. Twice the
-    /// losses to be borne and one more: with fewer, an accepted change could be
+    /// Minimum number of voters that remain when a silent one is removed: twice the
+    /// number of tolerated losses plus one. With fewer, an accepted change could be
     /// on too few disks.
     pub min_voters: usize,
-    /// Voters at most. More make each change slower and nothing safer.
+    /// Maximum number of voters. More voters slow down each change without adding
+    /// safety.
     pub max_voters: usize,
-    /// A voter that was not heard for this long may be removed. Short, because
-    /// a voter that comes back is taken in again without loss.
+    /// A member that was not heard for this long may be removed. Short, because a
+    /// voter that returns is added again without data loss.
     pub removal_timeout: Duration,
-    /// A host that is to be added was heard within this time.
+    /// A host is added only if it was heard within this time.
     pub admission_timeout: Duration,
 }
 
@@ -36,118 +37,123 @@
     }
 }
 
-/// A control host that was heard.
+/// The last contact with a control host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ControlHostContact {
-    /// Where members reach it.
+    /// Its address for messages between members.
     pub address: SocketAddr,
-    /// When it was last heard, by whatever way.
+    /// When it was last heard, directly or through another control host.
     pub last_heard: Instant,
-    /// It has said that it ends.
+    /// Whether it has announced that it is stopping.
     pub leaving: bool,
 }
 
-/// Decides how the leader changes its group.
+/// Decides which membership change the leader proposes next.
 #[derive(Debug, Clone, Copy)]
 pub struct MembershipPolicy {
     settings: MembershipSettings,
 }
 
 impl MembershipPolicy {
-    /// A steward with these rules.
+    /// Creates a policy with these limits.
     #[must_use]
     pub fn new(settings: MembershipSettings) -> Self {
         MembershipPolicy { settings }
     }
 
-    /// The next change of the group, one at a time:
+    /// The next membership change, if any. In order of precedence:
     ///
     /// 1. a learner that has caught up becomes a voter;
-    /// 2. a member whose address another member has taken is removed: its disk
-    ///    is lost, so it can never come back;
+    /// 2. a member whose address is now used by another member is removed: its
+    ///    disk is lost, so it can never return;
     /// 3. a host that is not in the group becomes a learner;
     /// 4. a silent member is removed, as long as enough voters remain.
     #[must_use]
     pub fn next_change(
         &self,
-        me: MemberId,
+        local_id: MemberId,
         group: &Group,
         caught_up: &BTreeSet<MemberId>,
-        heard: &BTreeMap<MemberId, ControlHostContact>,
+        contacts: &BTreeMap<MemberId, ControlHostContact>,
         now: Instant,
     ) -> Option<GroupChange> {
-        self.promotion(group, caught_up)
-            .or_else(|| self.replaced(me, group, heard, now))
-            .or_else(|| self.addition(group, heard, now))
-            .or_else(|| self.removal(me, group, caught_up, heard, now))
+        self.caught_up_learner(group, caught_up)
+            .or_else(|| self.replaced_member(local_id, group, contacts, now))
+            .or_else(|| self.new_host(group, contacts, now))
+            .or_else(|| self.silent_member(local_id, group, caught_up, contacts, now))
     }
 
-    fn promotion(&self, group: &Group, caught_up: &BTreeSet<MemberId>) -> Option<GroupChange> {
-        let ready = |id: &&MemberId| caught_up.contains(id);
-        let learner = group.learners.keys().find(ready)?;
-        let room = group.voters.len() < self.settings.max_voters;
-        room.then_some(GroupChange::Promote(*learner))
+    fn caught_up_learner(
+        &self,
+        group: &Group,
+        caught_up: &BTreeSet<MemberId>,
+    ) -> Option<GroupChange> {
+        let is_caught_up = |id: &&MemberId| caught_up.contains(id);
+        let learner = group.learners.keys().find(is_caught_up)?;
+        let has_room = group.voters.len() < self.settings.max_voters;
+        has_room.then_some(GroupChange::Promote(*learner))
     }
 
     fn is_present(&self, host: &ControlHostContact, now: Instant) -> bool {
         !host.leaving && now < host.last_heard + self.settings.admission_timeout
     }
 
-    fn replaced(
+    fn replaced_member(
         &self,
-        me: MemberId,
+        local_id: MemberId,
         group: &Group,
-        heard: &BTreeMap<MemberId, ControlHostContact>,
+        contacts: &BTreeMap<MemberId, ControlHostContact>,
         now: Instant,
     ) -> Option<GroupChange> {
-        let successor = |id: MemberId, address: SocketAddr| {
-            heard.iter().any(|(other, host)| {
+        let is_replaced = |id: MemberId, address: SocketAddr| {
+            contacts.iter().any(|(other, host)| {
                 *other != id && host.address == address && self.is_present(host, now)
             })
         };
         let (id, _) = group
             .members()
-            .find(|(id, address)| *id != me && successor(*id, *address))?;
+            .find(|(id, address)| *id != local_id && is_replaced(*id, *address))?;
         let last_voter = group.is_voter(id) && group.voters.len() == 1;
         (!last_voter).then_some(GroupChange::Remove(id))
     }
 
-    fn addition(
+    fn new_host(
         &self,
         group: &Group,
-        heard: &BTreeMap<MemberId, ControlHostContact>,
+        contacts: &BTreeMap<MemberId, ControlHostContact>,
         now: Instant,
     ) -> Option<GroupChange> {
-        let room = group.voters.len() + group.learners.len() < self.settings.max_voters;
-        let (id, host) = heard
+        let has_room = group.voters.len() + group.learners.len() < self.settings.max_voters;
+        let (id, host) = contacts
             .iter()
             .find(|(id, host)| !group.contains(**id) && self.is_present(host, now))?;
-        room.then_some(GroupChange::AddLearner(*id, host.address))
+        has_room.then_some(GroupChange::AddLearner(*id, host.address))
     }
 
-    fn removal(
+    fn silent_member(
         &self,
-        me: MemberId,
+        local_id: MemberId,
         group: &Group,
         caught_up: &BTreeSet<MemberId>,
-        heard: &BTreeMap<MemberId, ControlHostContact>,
+        contacts: &BTreeMap<MemberId, ControlHostContact>,
         now: Instant,
     ) -> Option<GroupChange> {
-        // A member that answers the leader is there, whatever else was heard.
-        let silent = |id: MemberId| {
-            id != me
+        // A member that replies to the leader is alive, even if the directory has
+        // no recent contact with it.
+        let is_silent = |id: MemberId| {
+            id != local_id
                 && !caught_up.contains(&id)
-                && heard
+                && contacts
                     .get(&id)
                     .is_none_or(|host| now >= host.last_heard + self.settings.removal_timeout)
         };
-        if let Some(id) = group.learners.keys().find(|id| silent(**id)) {
+        if let Some(id) = group.learners.keys().find(|id| is_silent(**id)) {
             return Some(GroupChange::Remove(*id));
         }
         if group.voters.len() <= self.settings.min_voters {
             return None;
         }
-        let id = group.voters.keys().find(|id| silent(**id))?;
+        let id = group.voters.keys().find(|id| is_silent(**id))?;
         Some(GroupChange::Remove(*id))
     }
 }
--- a/crates/replica/src/version/mod.rs
+++ b/crates/replica/src/version/mod.rs
@@ -1,4 +1,4 @@
-//! What lasts for a version of the configuration or of the group.
+//! Types that live for a version of the configuration or of the group.
 
 mod history;
 mod membership;
--- a/crates/replica/tests/group.rs
+++ b/crates/replica/tests/group.rs
@@ -1,4 +1,4 @@
-//! A group of control hosts on the loopback.
+//! A group of control hosts on the loopback interface.
 
 use std::{
     net::Ipv4Addr,
@@ -14,8 +14,8 @@
 use tokio::sync::watch;
 use types::{Part, RoutingSet, Rule, SetNumber};
 
-/// Longest time for anything here: several elections.
-const LIMIT: Duration = Duration::from_secs(15);
+/// Timeout of each wait: several elections.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(15);
 
 struct Host {
     replica: ReplicaHandle,
@@ -23,20 +23,21 @@
     _stop: watch::Sender<bool>,
 }
 
-struct Site {
-    /// Differs for each test and process, so that runs do not collide.
+struct TestGroup {
+    /// Second and third byte of the addresses: they differ by process and test, so
+    /// that concurrent runs do not collide.
     net: (u8, u8),
     dirs: Vec<TempDir>,
     seeds: watch::Sender<Vec<Ipv4Addr>>,
 }
 
-impl Site {
+impl TestGroup {
     fn new(test: u8, hosts: u8) -> Self {
         let net = (u8::try_from(std::process::id() % 120).unwrap() + 100, test);
         let seeds = (1..=hosts)
             .map(|n| Ipv4Addr::new(127, net.0, net.1, n))
             .collect();
-        Site {
+        TestGroup {
             net,
             dirs: (0..hosts + 2)
                 .map(|_| tempfile::tempdir().unwrap())
@@ -86,63 +87,68 @@
     }
 }
 
-async fn accept(host: &Host, number: u64) {
+async fn replace_routes(host: &Host, number: u64) {
     let author = "mira".parse().unwrap();
     let outcome = host
         .replica
-        .replace_routes(author, set(number), Instant::now() + LIMIT);
+        .replace_routes(author, set(number), Instant::now() + WAIT_TIMEOUT);
     assert_eq!(outcome.await, ChangeOutcome::Accepted, "set {number}");
 }
 
-async fn read(host: &Host) -> Option<SetNumber> {
-    match host.replica.read_routes(Instant::now() + LIMIT).await {
+async fn read_number(host: &Host) -> Option<SetNumber> {
+    match host
+        .replica
+        .read_routes(Instant::now() + WAIT_TIMEOUT)
+        .await
+    {
         ReadOutcome::Confirmed(set) => set.map(|set| set.number),
         ReadOutcome::Unavailable => panic!("no majority confirms a read"),
     }
 }
 
-/// Guards against hosts that form no group or several, against a host that
-/// answers a read with an older set, and against a resend that is refused.
+/// Guards against hosts that form no group or several, against a stale read, and
+/// against a resent set that is refused.
 #[test]
 fn three_hosts_form_a_group_and_agree() {
     System::new().block_on(async {
-        let site = Site::new(1, 3);
+        let group = TestGroup::new(1, 3);
         let mut hosts = Vec::new();
         for n in 1..=3 {
-            hosts.push(site.host(n, site.dirs[usize::from(n)].path(), true).await);
+            hosts.push(group.host(n, group.dirs[usize::from(n)].path(), true).await);
         }
         for (number, at) in [(4, 0), (7, 1), (9, 2)] {
-            accept(&hosts[at], number).await;
+            replace_routes(&hosts[at], number).await;
             for host in &hosts {
-                assert_eq!(read(host).await, Some(SetNumber(number)));
+                assert_eq!(read_number(host).await, Some(SetNumber(number)));
             }
         }
-        accept(&hosts[0], 9).await;
-        accept(&hosts[1], 4).await;
-        assert_eq!(read(&hosts[2]).await, Some(SetNumber(9)));
+        replace_routes(&hosts[0], 9).await;
+        replace_routes(&hosts[1], 4).await;
+        assert_eq!(read_number(&hosts[2]).await, Some(SetNumber(9)));
     });
 }
 
-/// Guards against a host on an empty disk, and one at a new address, that do
-/// not come in by themselves, and against an accepted set that is lost with the
-/// disks that are replaced one after the other.
+/// Guards against hosts with an empty disk or a new address that are not added
+/// automatically, and against the loss of an accepted set when disks are replaced
+/// one after the other.
 #[test]
-fn hosts_are_replaced_one_after_the_other() {
+fn lost_hosts_are_replaced_one_after_the_other() {
     System::new().block_on(async {
-        let site = Site::new(2, 3);
+        let group = TestGroup::new(2, 3);
         let mut hosts = Vec::new();
         for n in 1..=3 {
-            hosts.push(site.host(n, site.dirs[usize::from(n)].path(), true).await);
+            hosts.push(group.host(n, group.dirs[usize::from(n)].path(), true).await);
         }
-        accept(&hosts[0], 5).await;
-        // The third host is gone for good; another comes at a new address.
+        replace_routes(&hosts[0], 5).await;
+        // The third host is lost permanently; a new one starts at another address.
         hosts.pop().unwrap().task.abort();
         let fresh = tempfile::tempdir().unwrap();
-        hosts.push(site.host(9, fresh.path(), false).await);
-        // It becomes the fourth voter; then the one that is gone goes out. A
-        // learner already sees three voters.
+        hosts.push(group.host(9, fresh.path(), false).await);
+        // The new host becomes the fourth voter, then the lost one is removed.
+        // Waiting only for three voters would succeed early, because a learner
+        // already reports three.
         for expected in [4, 3] {
-            let until = Instant::now() + LIMIT;
+            let until = Instant::now() + WAIT_TIMEOUT;
             while hosts[2].replica.voter_count() != expected {
                 assert!(
                     Instant::now() < until,
@@ -151,9 +157,9 @@
                 sleep(Duration::from_millis(5)).await;
             }
         }
-        // Only hosts that came in later, and the second, are left.
+        // Only the second host and the one added later are left.
         hosts.remove(0).task.abort();
-        accept(&hosts[1], 6).await;
-        assert_eq!(read(&hosts[0]).await, Some(SetNumber(6)));
+        replace_routes(&hosts[1], 6).await;
+        assert_eq!(read_number(&hosts[0]).await, Some(SetNumber(6)));
     });
 }
--- a/crates/replica/tests/history.rs
+++ b/crates/replica/tests/history.rs
@@ -1,4 +1,4 @@
-//! What nodes are told of routing sets.
+//! Deltas of routing sets.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -20,10 +20,10 @@
     }
 }
 
-/// Guards against a node that has another set than the control hosts after it
-/// was told the difference, from whatever set it had.
+/// Guards against a delta, from any earlier set, after which a node's set differs
+/// from the current set.
 #[test]
-fn a_node_has_the_set_in_force_after_a_delta() {
+fn delta_from_any_earlier_set_yields_the_current_set() {
     let mut history = RouteHistory::default();
     let sets = [
         set(2, &[1, 2]),
@@ -33,8 +33,8 @@
     ];
     for i in 0..sets.len() {
         assert!(history.push(Arc::new(sets[i].clone())));
-        let known = std::iter::once(RoutingSet::default()).chain(sets[..i].iter().cloned());
-        for mut node in known {
+        let earlier = std::iter::once(RoutingSet::default()).chain(sets[..i].iter().cloned());
+        for mut node in earlier {
             let delta = history.delta(node.number).unwrap();
             assert!(node.advance(delta));
             assert_eq!((node.number, &node.rules), (sets[i].number, &sets[i].rules));
@@ -43,7 +43,7 @@
     }
 }
 
-/// Guards against a set that goes back.
+/// Guards against an older set that replaces a newer one.
 #[test]
 fn an_older_set_changes_nothing() {
     let mut history = RouteHistory::default();
@@ -53,9 +53,9 @@
     assert_eq!(history.number(), SetNumber(5));
 }
 
-/// Guards against a difference that is applied to another set.
+/// Guards against a delta that is applied to a set other than its base.
 #[test]
-fn a_delta_from_another_set_is_refused() {
+fn delta_with_another_base_is_not_applied() {
     let mut history = RouteHistory::default();
     history.push(Arc::new(set(5, &[1])));
     history.push(Arc::new(set(6, &[1, 2])));
@@ -63,6 +63,6 @@
     let mut node = set(4, &[9]);
     assert!(!node.advance(delta));
     assert_eq!(node, set(4, &[9]));
-    // A set that is too old for a difference gets everything.
+    // The delta from a set that is not kept is the full set.
     assert_eq!(history.delta(SetNumber(4)).unwrap().base, None);
 }
--- a/crates/replica/tests/membership.rs
+++ b/crates/replica/tests/membership.rs
@@ -1,4 +1,4 @@
-//! How the leader keeps its group complete.
+//! The policy for membership changes.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -10,7 +10,7 @@
 use replica::{ControlHostContact, MembershipPolicy, MembershipSettings};
 use types::MemberId;
 
-const ME: MemberId = MemberId(1);
+const LOCAL_ID: MemberId = MemberId(1);
 
 fn address(n: u64) -> SocketAddr {
     let n = u8::try_from(n).unwrap();
@@ -21,10 +21,10 @@
     voters: &'static [u64],
     learners: &'static [u64],
     caught_up: &'static [u64],
-    /// Member, address and milliseconds since it was heard.
+    /// Member, number of its address, and milliseconds since the last contact.
     heard: &'static [(u64, u64, u64)],
     leaving: &'static [u64],
-    floor: usize,
+    min_voters: usize,
     expected: Option<GroupChange>,
 }
 
@@ -34,7 +34,7 @@
     caught_up: &[2, 3],
     heard: &[(1, 1, 0), (2, 2, 0), (3, 3, 0)],
     leaving: &[],
-    floor: 3,
+    min_voters: 3,
     expected: None,
 };
 
@@ -60,16 +60,17 @@
         .collect();
     let caught_up: BTreeSet<MemberId> = case.caught_up.iter().map(|n| MemberId(*n)).collect();
     let settings = MembershipSettings {
-        min_voters: case.floor,
+        min_voters: case.min_voters,
         ..MembershipSettings::default()
     };
-    let change = MembershipPolicy::new(settings).next_change(ME, &group, &caught_up, &heard, now);
+    let change =
+        MembershipPolicy::new(settings).next_change(LOCAL_ID, &group, &caught_up, &heard, now);
     assert_eq!(change, case.expected, "{name}");
 }
 
-/// Guards against a complete group that is changed.
+/// Guards against membership changes in a complete group.
 #[test]
-fn a_complete_group_stays() {
+fn complete_group_is_not_changed() {
     check("complete", &CASE);
     check(
         "one is cut off, nobody replaces it",
@@ -81,10 +82,10 @@
     );
 }
 
-/// Guards against a host on an empty disk, or at a new address, that stays
-/// outside until an operator adds it.
+/// Guards against a host with an empty disk or a new address that is not added
+/// without an operator.
 #[test]
-fn new_hosts_come_in() {
+fn new_hosts_are_added() {
     let heard = &[(1, 1, 0), (2, 2, 0), (3, 3, 0), (4, 4, 0)];
     check(
         "a new host",
@@ -129,10 +130,10 @@
     );
 }
 
-/// Guards against a host whose disk is lost and that stays a voter: with it the
-/// group would need more living members than it has.
+/// Guards against a host that stays a voter after its disk is lost: counting it,
+/// the group would need more live members for a majority than it has.
 #[test]
-fn a_lost_disk_goes_out_before_its_successor_comes_in() {
+fn member_with_a_lost_disk_is_removed_before_its_successor_is_added() {
     check(
         "member 9 is at the address of member 3",
         &Case {
@@ -144,9 +145,9 @@
     );
 }
 
-/// Guards against a host that is gone for good and counts towards the majority.
+/// Guards against a permanently lost host that still counts towards the majority.
 #[test]
-fn silent_voters_go_out_as_long_as_enough_remain() {
+fn silent_voters_are_removed_while_enough_remain() {
     let four = Case {
         voters: &[1, 2, 3, 4],
         caught_up: &[2, 4],
@@ -162,7 +163,10 @@
     );
     check(
         "one of four that bear two losses",
-        &Case { floor: 5, ..four },
+        &Case {
+            min_voters: 5,
+            ..four
+        },
     );
     check(
         "it was never heard",
@@ -174,11 +178,11 @@
     );
 }
 
-/// Guards against the removal of a member that was not heard by way of the
-/// directory but answers the leader: a new leader removed one, and the nodes of
-/// its data centre followed it on an old routing set (grown trouble-2).
+/// Guards against the removal of a member that is not in the directory but replies
+/// to the leader: a new leader removed such a member, and the nodes of its data
+/// centre kept following it with an old routing set (day `trouble-2`, grown).
 #[test]
-fn a_member_that_answers_the_leader_is_not_silent() {
+fn member_that_replies_to_the_leader_is_not_silent() {
     check(
         "not in the directory",
         &Case {
