--- a/crates/consensus/src/process/mod.rs
+++ b/crates/consensus/src/process/mod.rs
@@ -194,7 +194,7 @@
                 self.answer_vote(sender, current, last_log_position);
             }
             MessageBody::VoteReply { granted } if current => {
-                self.receive_vote_reply(message.from, granted)
+                self.receive_vote_reply(message.from, granted);
             }
             MessageBody::Append {
                 prev_log_position,
