--- a/crates/replica/src/process/nodes/mod.rs
+++ b/crates/replica/src/process/nodes/mod.rs
@@ -338,8 +338,8 @@
                 current,
                 delta: first,
                 control_hosts: Vec::new(),
-                version: version,
-                complete: complete,
+                version,
+                complete,
             },
         )
         .await;
@@ -349,8 +349,8 @@
                 current,
                 delta: Some(chunk),
                 control_hosts: Vec::new(),
-                version: version,
-                complete: complete,
+                version,
+                complete,
             };
             self.send(to, &reply).await;
         }
@@ -372,7 +372,7 @@
             // Errors are ignored: the network may lose datagrams as well.
             Ok(datagram) => drop(self.socket.send_to(&datagram, to).await),
             Err(e) => {
-                log::error!(event = "unencodable_message", error:% = e; "cannot encode discovery message")
+                log::error!(event = "unencodable_message", error:% = e; "cannot encode discovery message");
             }
         }
     }
