--- a/crates/bench/src/bin/relay.rs
+++ b/crates/bench/src/bin/relay.rs
@@ -21,7 +21,7 @@
 use prometheus::Registry;
 use relay::{AgentReport, Balancer, BalancerSettings, Codec, ControlUpdate, Message};
 use tokio::sync::{mpsc, watch};
-use types::{Part, RoutingSet, Rule, ServiceName, SetNumber, Slots};
+use types::{RouteWeight, RoutingRule, RoutingSet, RoutingSetNumber, ServiceName, Slots};
 
 const ROUNDS: usize = 11;
 
@@ -120,11 +120,11 @@
         steering: SteeringSettings::default(),
     };
     let task = Balancer::new(settings, Numbered, received, ready, &Registry::new());
-    let rule = Rule {
-        parts: [(service(), Part(1))].into(),
+    let rule = RoutingRule {
+        weights: [(service(), RouteWeight(1))].into(),
     };
     let routes = RoutingSet {
-        number: SetNumber(1),
+        number: RoutingSetNumber(1),
         rules: [(SERVICE.into(), rule)].into(),
         ..RoutingSet::default()
     };
--- a/crates/config/src/request/apply.rs
+++ b/crates/config/src/request/apply.rs
@@ -4,7 +4,8 @@
 
 use types::{
     Answer, Change, ChangeRequest, CidKey, ClassName, Conflict, HostName, KeyGeneration, KeySet,
-    OperatorName, Refusal, Revision, RoutingSet, Rule, Service, ServiceName, Target, UnixMillis,
+    OperatorName, Refusal, Revision, RoutingRule, RoutingSet, Service, ServiceName, Target,
+    UnixMillis,
 };
 
 use super::{
@@ -242,7 +243,7 @@
     /// Sets are ordered by their own numbers, not by a base: a set that a
     /// higher one has overtaken needs no answer but that it is settled.
     fn replace_routes(&mut self, set: &RoutingSet) -> Result<(), Failure> {
-        let leads_nowhere = |rule: &Rule| rule.parts.values().all(|part| part.0 == 0);
+        let leads_nowhere = |rule: &RoutingRule| rule.weights.values().all(|part| part.0 == 0);
         if let Some((address, _)) = set.rules.iter().find(|(_, rule)| leads_nowhere(rule)) {
             return Err(Refusal::EmptyRule(set.number, *address).into());
         }
--- a/crates/config/src/request/audit.rs
+++ b/crates/config/src/request/audit.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use types::{
     Answer, Change, ChangeId, ChangeRequest, ClassName, GroupRequest, HostName, KeyGeneration,
-    OperatorName, Revision, ServiceName, SetNumber, Target, UnixMillis,
+    OperatorName, Revision, RoutingSetNumber, ServiceName, Target, UnixMillis,
 };
 
 /// Number of audit records that are kept.
@@ -72,7 +72,7 @@
     ActivateKey,
     /// The routing set was to be replaced by one with this number and this
     /// many rules.
-    ReplaceRoutes(SetNumber, u64),
+    ReplaceRoutes(RoutingSetNumber, u64),
     /// The control group was to be changed.
     Group(GroupRequest),
 }
--- a/crates/config/tests/common/mod.rs
+++ b/crates/config/tests/common/mod.rs
@@ -4,8 +4,8 @@
 use arbtest::arbitrary::{Result, Unstructured};
 use config::State;
 use types::{
-    Answer, Change, ChangeId, ChangeRequest, CidKey, ClassName, KeyGeneration, Part, Revision,
-    RoutingSet, Rule, SetNumber, Slots, Target, UnixMillis,
+    Answer, Change, ChangeId, ChangeRequest, CidKey, ClassName, KeyGeneration, Revision,
+    RouteWeight, RoutingRule, RoutingSet, RoutingSetNumber, Slots, Target, UnixMillis,
 };
 
 /// Start of the log's time in the tests.
@@ -68,11 +68,11 @@
 
 /// A set of one rule that sends everything to one service.
 pub fn replace_routes(number: u64, service: &str, part: u32) -> Change {
-    let rule = Rule {
-        parts: [(service.parse().unwrap(), Part(part))].into(),
+    let rule = RoutingRule {
+        weights: [(service.parse().unwrap(), RouteWeight(part))].into(),
     };
     Change::ReplaceRoutes(Box::new(RoutingSet {
-        number: SetNumber(number),
+        number: RoutingSetNumber(number),
         rules: [(([198, 18, 0, 1], 443).into(), rule)].into(),
         ..RoutingSet::default()
     }))
--- a/crates/config/tests/routes.rs
+++ b/crates/config/tests/routes.rs
@@ -4,7 +4,7 @@
 
 use common::{Log, replace_routes, snapshot};
 use config::{State, Summary};
-use types::{Answer, Refusal, SetNumber};
+use types::{Answer, Refusal, RoutingSetNumber};
 
 fn number(log: &Log) -> Option<u64> {
     log.state.routes().map(|set| set.number.0)
@@ -36,7 +36,7 @@
     let address = ([198, 18, 0, 1], 443).into();
     assert_eq!(
         answer,
-        Answer::Refused(Refusal::EmptyRule(SetNumber(4), address))
+        Answer::Refused(Refusal::EmptyRule(RoutingSetNumber(4), address))
     );
     assert_eq!(number(&log), None);
 }
@@ -49,5 +49,5 @@
     let restored = State::decode(&snapshot(&log.state)[..]).unwrap();
     assert_eq!(restored, log.state);
     let last = log.state.audit().last().unwrap();
-    assert_eq!(last.change, Summary::ReplaceRoutes(SetNumber(4), 1));
+    assert_eq!(last.change, Summary::ReplaceRoutes(RoutingSetNumber(4), 1));
 }
--- a/crates/directory/src/version/mod.rs
+++ b/crates/directory/src/version/mod.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use types::{MemberId, SetNumber};
+use types::{MemberId, RoutingSetNumber};
 
 use crate::Node;
 
@@ -65,7 +65,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HelloReply {
     /// Number of the latest routing set that the control host has.
-    pub routing_set: SetNumber,
+    pub routing_set: RoutingSetNumber,
     /// Whether the control host hears the leader of its group.
     pub current: bool,
     /// Changes of the directory that the node lacks, if any.
--- a/crates/flow/src/process/steering/mod.rs
+++ b/crates/flow/src/process/steering/mod.rs
@@ -190,7 +190,7 @@
                 };
             }
         }
-        let Some(service) = rule.service(key.stable_hash()).cloned() else {
+        let Some(service) = rule.select_service(key.stable_hash()).cloned() else {
             return SteeringDecision::Drop(DropReason::NoAgent);
         };
         self.place(key, seg, service, now)
@@ -264,7 +264,7 @@
     fn services_of(&self, key: FlowTuple) -> Vec<&ServiceName> {
         let routes = self.routes.as_ref();
         let rule = routes.and_then(|routes| routes.rules.get(&SocketAddr::V4(key.service)));
-        let parts = rule.into_iter().flat_map(|rule| rule.parts.keys());
+        let parts = rule.into_iter().flat_map(|rule| rule.weights.keys());
         parts.collect()
     }
 
--- a/crates/flow/tests/common/mod.rs
+++ b/crates/flow/tests/common/mod.rs
@@ -11,7 +11,9 @@
     AgentStatus, FlowTable, FlowTableSettings, Load, Segment, Steering, SteeringSettings,
     UpstreamStatus,
 };
-use types::{Part, RoutingDelta, RoutingSet, Rule, SetNumber, Slots, UpstreamId};
+use types::{
+    RouteWeight, RoutingDelta, RoutingRule, RoutingSet, RoutingSetNumber, Slots, UpstreamId,
+};
 
 pub const SERVICE: &str = "vouchers";
 pub const NEAR: &str = "near";
@@ -44,24 +46,24 @@
 
 /// Gives the balancer a routing set with one rule, for [`service_address`].
 pub fn set_routes(steering: &mut Steering, number: u64) {
-    let rule = Rule {
-        parts: [(SERVICE.parse().unwrap(), Part(1))].into(),
+    let rule = RoutingRule {
+        weights: [(SERVICE.parse().unwrap(), RouteWeight(1))].into(),
     };
     let set = RoutingSet {
-        number: SetNumber(number),
+        number: RoutingSetNumber(number),
         rules: [(service_address().into(), rule)].into(),
         ..RoutingSet::default()
     };
-    assert!(steering.routes_mut().advance(set.delta_from(None)));
+    assert!(steering.routes_mut().apply(set.delta_from(None)));
 }
 
 /// Removes the rule.
 pub fn remove_routes(steering: &mut Steering, number: u64) {
     let delta = RoutingDelta {
-        number: SetNumber(number),
+        number: RoutingSetNumber(number),
         ..RoutingSet::default().delta_from(None)
     };
-    assert!(steering.routes_mut().advance(delta));
+    assert!(steering.routes_mut().apply(delta));
 }
 
 /// A balancer with routes and agents 1 to `agents`.
--- a/crates/flow/tests/hints.rs
+++ b/crates/flow/tests/hints.rs
@@ -142,10 +142,10 @@
 fn an_older_routing_set_is_rejected() {
     let (mut steering, _) = ready(1);
     let set = types::RoutingSet {
-        number: types::SetNumber(1),
+        number: types::RoutingSetNumber(1),
         ..types::RoutingSet::default()
     };
-    assert!(!steering.routes_mut().advance(set.delta_from(None)));
+    assert!(!steering.routes_mut().apply(set.delta_from(None)));
     assert_eq!(steering.routes().unwrap().rules.len(), 1);
 }
 
--- a/crates/limpetctl/src/process/settings.rs
+++ b/crates/limpetctl/src/process/settings.rs
@@ -6,8 +6,8 @@
 use clap::{ArgGroup, Args, CommandFactory, Parser, Subcommand, error::ErrorKind, value_parser};
 use http::{HeaderName, HeaderValue, Method};
 use types::{
-    ChangeId, ClassName, HostName, MemberId, OperatorName, PathPrefix, Revision, ServiceName,
-    SetNumber,
+    ChangeId, ClassName, HostName, MemberId, OperatorName, PathPrefix, Revision, RoutingSetNumber,
+    ServiceName,
 };
 use url::Url;
 
@@ -279,7 +279,7 @@
     /// 198.18.0.1:443=intake
     Set {
         /// Number of the set, for example 7
-        number: SetNumber,
+        number: RoutingSetNumber,
         /// Part of an address's new flows that a service takes, 1 if it is not
         /// given; may be repeated, for example --rule 198.18.0.1:443=vouchers:3
         #[arg(
--- a/crates/limpetctl/src/request/routes.rs
+++ b/crates/limpetctl/src/request/routes.rs
@@ -3,7 +3,9 @@
 use std::{collections::BTreeMap, net::SocketAddr};
 
 use serde::Serialize;
-use types::{Change, Part, Revision, RoutingSet, Rule, ServiceName, SetNumber};
+use types::{
+    Change, Revision, RouteWeight, RoutingRule, RoutingSet, RoutingSetNumber, ServiceName,
+};
 use wire::request::{Query, QueryReply};
 
 use super::{Context, change::Ask, resend::words};
@@ -22,8 +24,8 @@
 
 impl From<&RoutingSet> for RoutesView {
     fn from(set: &RoutingSet) -> Self {
-        let parts = |rule: &Rule| {
-            let parts = rule.parts.iter();
+        let parts = |rule: &RoutingRule| {
+            let parts = rule.weights.iter();
             parts.map(|(name, part)| (name.clone(), part.0)).collect()
         };
         let rules = set.rules.iter();
@@ -78,14 +80,14 @@
 }
 
 /// Several rules of one address make one with a part for each service.
-fn routing_set(number: SetNumber, rules: &[RuleArg]) -> RoutingSet {
+fn routing_set(number: RoutingSetNumber, rules: &[RuleArg]) -> RoutingSet {
     let mut set = RoutingSet {
         number,
         ..RoutingSet::default()
     };
     for rule in rules {
-        let parts = &mut set.rules.entry(rule.address).or_default().parts;
-        parts.insert(rule.service.clone(), Part(rule.part));
+        let parts = &mut set.rules.entry(rule.address).or_default().weights;
+        parts.insert(rule.service.clone(), RouteWeight(rule.part));
     }
     set
 }
--- a/crates/relay/src/process/balancer.rs
+++ b/crates/relay/src/process/balancer.rs
@@ -394,7 +394,7 @@
             }
             ControlUpdate::Routes(delta) => {
                 let (number, changed) = (delta.number, delta.changed.len());
-                let applied = self.steering.routes_mut().advance(delta);
+                let applied = self.steering.routes_mut().apply(delta);
                 log::info!(
                     event = "routes", set = number.0, changed = changed,
                     applied = u64::from(applied); "received a newer routing set"
--- a/crates/relay/src/process/sync.rs
+++ b/crates/relay/src/process/sync.rs
@@ -14,7 +14,7 @@
     sync::{mpsc, watch},
     time::sleep_until,
 };
-use types::{RoutingDelta, SetNumber};
+use types::{RoutingDelta, RoutingSetNumber};
 
 use crate::{Error, Result};
 
@@ -100,7 +100,7 @@
     /// When the control host in use last confirmed contact to its leader.
     leader_contact_at: Instant,
     next_hello_at: Instant,
-    routing_set_number: SetNumber,
+    routing_set_number: RoutingSetNumber,
     /// Result of the fetch in progress; `None` if it failed or there is no newer set.
     fetch_result_tx: mpsc::Sender<Option<RoutingDelta>>,
     fetch_result_rx: mpsc::Receiver<Option<RoutingDelta>>,
@@ -136,7 +136,7 @@
             search_started_at: now,
             leader_contact_at: now,
             next_hello_at: now,
-            routing_set_number: SetNumber(0),
+            routing_set_number: RoutingSetNumber(0),
             fetch_result_tx,
             fetch_result_rx,
             fetch_in_progress: false,
@@ -238,7 +238,7 @@
             }
         };
         if self.control_host.is_none() {
-            let holds_routes = reply.current || reply.routing_set > SetNumber(0);
+            let holds_routes = reply.current || reply.routing_set > RoutingSetNumber(0);
             if !holds_routes && now < self.search_started_at + NO_ROUTES_GRACE {
                 // Its reply names other control hosts.
                 for host in reply.control_hosts {
@@ -362,7 +362,7 @@
     }
 }
 
-async fn fetch_routing_delta(host: SocketAddrV4, have: SetNumber) -> Option<RoutingDelta> {
+async fn fetch_routing_delta(host: SocketAddrV4, have: RoutingSetNumber) -> Option<RoutingDelta> {
     let body = Bytes::from(wire::encode(&have).ok()?);
     let deadline = Instant::now() + FETCH_TIMEOUT;
     let response = net::send_request(
--- a/crates/replica/src/process/http.rs
+++ b/crates/replica/src/process/http.rs
@@ -7,7 +7,7 @@
 use net::{BufferedRequest, BufferedResponse, Handler};
 use serde::Serialize;
 use tokio::sync::{mpsc, oneshot};
-use types::SetNumber;
+use types::RoutingSetNumber;
 use wire::CONTENT_TYPE;
 use wire::request::{ChangeReply, QueryReply};
 
@@ -75,7 +75,7 @@
     }
 
     fn routing_delta(&self, body: &Bytes) -> BufferedResponse {
-        let Ok(have) = wire::decode::<SetNumber>(body) else {
+        let Ok(have) = wire::decode::<RoutingSetNumber>(body) else {
             return BufferedResponse::empty(StatusCode::BAD_REQUEST);
         };
         match self.history.borrow().delta(have) {
--- a/crates/replica/src/version/history.rs
+++ b/crates/replica/src/version/history.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeMap, sync::Arc};
 
-use types::{RoutingDelta, RoutingSet, SetNumber};
+use types::{RoutingDelta, RoutingSet, RoutingSetNumber};
 
 /// Maximum number of sets kept. A node that is further behind gets the full set.
 const MAX_KEPT_SETS: usize = 16;
@@ -11,7 +11,7 @@
 #[derive(Debug, Default)]
 pub struct RouteHistory {
     /// The last one is the current set.
-    sets: BTreeMap<SetNumber, Arc<RoutingSet>>,
+    sets: BTreeMap<RoutingSetNumber, Arc<RoutingSet>>,
 }
 
 impl RouteHistory {
@@ -30,14 +30,14 @@
 
     /// Number of the current set; 0 before the first one.
     #[must_use]
-    pub fn number(&self) -> SetNumber {
+    pub fn number(&self) -> RoutingSetNumber {
         self.sets.keys().next_back().copied().unwrap_or_default()
     }
 
     /// The delta from the set `have` to the current set, or the full set if `have`
     /// is no longer kept; `None` if `have` is current.
     #[must_use]
-    pub fn delta(&self, have: SetNumber) -> Option<RoutingDelta> {
+    pub fn delta(&self, have: RoutingSetNumber) -> Option<RoutingDelta> {
         let (number, set) = self.sets.last_key_value()?;
         if have >= *number {
             return None;
--- a/crates/replica/tests/group.rs
+++ b/crates/replica/tests/group.rs
@@ -12,7 +12,7 @@
 use replica::{ChangeOutcome, ReadOutcome, ReplicaHandle, Settings, start};
 use tempfile::TempDir;
 use tokio::sync::watch;
-use types::{Part, RoutingSet, Rule, SetNumber};
+use types::{RouteWeight, RoutingRule, RoutingSet, RoutingSetNumber};
 
 /// Timeout of each wait: several elections.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(15);
@@ -76,11 +76,11 @@
 }
 
 fn set(number: u64) -> RoutingSet {
-    let rule = Rule {
-        parts: [("vouchers".parse().unwrap(), Part(1))].into(),
+    let rule = RoutingRule {
+        weights: [("vouchers".parse().unwrap(), RouteWeight(1))].into(),
     };
     RoutingSet {
-        number: SetNumber(number),
+        number: RoutingSetNumber(number),
         rules: [(([198, 18, 0, 1], 443).into(), rule)].into(),
         document: Bytes::from(format!("set {number}")),
         ..RoutingSet::default()
@@ -95,7 +95,7 @@
     assert_eq!(outcome.await, ChangeOutcome::Accepted, "set {number}");
 }
 
-async fn read_number(host: &Host) -> Option<SetNumber> {
+async fn read_number(host: &Host) -> Option<RoutingSetNumber> {
     match host
         .replica
         .read_routes(Instant::now() + WAIT_TIMEOUT)
@@ -119,12 +119,12 @@
         for (number, at) in [(4, 0), (7, 1), (9, 2)] {
             replace_routes(&hosts[at], number).await;
             for host in &hosts {
-                assert_eq!(read_number(host).await, Some(SetNumber(number)));
+                assert_eq!(read_number(host).await, Some(RoutingSetNumber(number)));
             }
         }
         replace_routes(&hosts[0], 9).await;
         replace_routes(&hosts[1], 4).await;
-        assert_eq!(read_number(&hosts[2]).await, Some(SetNumber(9)));
+        assert_eq!(read_number(&hosts[2]).await, Some(RoutingSetNumber(9)));
     });
 }
 
@@ -160,6 +160,6 @@
         // Only the second host and the one added later are left.
         hosts.remove(0).task.abort();
         replace_routes(&hosts[1], 6).await;
-        assert_eq!(read_number(&hosts[0]).await, Some(SetNumber(6)));
+        assert_eq!(read_number(&hosts[0]).await, Some(RoutingSetNumber(6)));
     });
 }
--- a/crates/replica/tests/history.rs
+++ b/crates/replica/tests/history.rs
@@ -3,15 +3,15 @@
 use std::{net::SocketAddr, sync::Arc};
 
 use replica::RouteHistory;
-use types::{Part, RoutingSet, Rule, SetNumber};
+use types::{RouteWeight, RoutingRule, RoutingSet, RoutingSetNumber};
 
 fn set(number: u64, ports: &[u16]) -> RoutingSet {
-    let rule = Rule {
-        parts: [("vouchers".parse().unwrap(), Part(1))].into(),
+    let rule = RoutingRule {
+        weights: [("vouchers".parse().unwrap(), RouteWeight(1))].into(),
     };
     let address = |port: &u16| SocketAddr::from(([198, 18, 0, 1], *port));
     RoutingSet {
-        number: SetNumber(number),
+        number: RoutingSetNumber(number),
         rules: ports
             .iter()
             .map(|port| (address(port), rule.clone()))
@@ -36,7 +36,7 @@
         let earlier = std::iter::once(RoutingSet::default()).chain(sets[..i].iter().cloned());
         for mut node in earlier {
             let delta = history.delta(node.number).unwrap();
-            assert!(node.advance(delta));
+            assert!(node.apply(delta));
             assert_eq!((node.number, &node.rules), (sets[i].number, &sets[i].rules));
             assert_eq!(history.delta(node.number), None);
         }
@@ -50,7 +50,7 @@
     assert!(history.push(Arc::new(set(5, &[1]))));
     assert!(!history.push(Arc::new(set(5, &[2]))));
     assert!(!history.push(Arc::new(set(4, &[2]))));
-    assert_eq!(history.number(), SetNumber(5));
+    assert_eq!(history.number(), RoutingSetNumber(5));
 }
 
 /// Guards against a delta that is applied to a set other than its base.
@@ -59,10 +59,10 @@
     let mut history = RouteHistory::default();
     history.push(Arc::new(set(5, &[1])));
     history.push(Arc::new(set(6, &[1, 2])));
-    let delta = history.delta(SetNumber(5)).unwrap();
+    let delta = history.delta(RoutingSetNumber(5)).unwrap();
     let mut node = set(4, &[9]);
-    assert!(!node.advance(delta));
+    assert!(!node.apply(delta));
     assert_eq!(node, set(4, &[9]));
     // The delta from a set that is not kept is the full set.
-    assert_eq!(history.delta(SetNumber(4)).unwrap().base, None);
+    assert_eq!(history.delta(RoutingSetNumber(4)).unwrap().base, None);
 }
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -36,7 +36,7 @@
     GroupRequest, Refusal, RequestId, ReservationId, Slots, UnixMillis,
 };
 pub use version::{
-    Announcement, Balancer, CidKey, ClassLoad, KeyGeneration, KeySet, Loads, Member, Part,
-    PathPrefix, Revision, RoutingDelta, RoutingSet, Rule, Service, ServiceId, ServiceState,
-    SetNumber, Share, Target, Term, UpstreamState, Version,
+    Announcement, Balancer, CidKey, ClassLoad, KeyGeneration, KeySet, Loads, Member, PathPrefix,
+    Revision, RouteWeight, RoutingDelta, RoutingRule, RoutingSet, RoutingSetNumber, Service,
+    ServiceId, ServiceState, Share, Target, Term, UpstreamState, Version,
 };
--- a/crates/types/src/request/change.rs
+++ b/crates/types/src/request/change.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     Category, CidKey, ClassName, Error, GroupRefusal, GroupRequest, HostName, OperatorName, Result,
-    Revision, RoutingSet, ServiceName, SetNumber, Target, UnixMillis,
+    Revision, RoutingSet, RoutingSetNumber, ServiceName, Target, UnixMillis,
 };
 
 /// Identity of a change, a version 7 UUID.
@@ -174,7 +174,7 @@
     KeyRotation,
     /// A rule of the routing set sends flows nowhere.
     #[error("routing set {0} has a rule for {1} without a part above 0")]
-    EmptyRule(SetNumber, SocketAddr),
+    EmptyRule(RoutingSetNumber, SocketAddr),
     /// The id is dated too far ahead of the control group's clock.
     #[error("change id {0} is dated in the future; check the clock of the host that drew it")]
     IdInFuture(ChangeId),
--- a/crates/types/src/version/mod.rs
+++ b/crates/types/src/version/mod.rs
@@ -9,5 +9,5 @@
 pub use key::{CidKey, KeyGeneration, KeySet};
 pub use member::{Announcement, Balancer, ClassLoad, Loads, Member, ServiceState, UpstreamState};
 pub use number::{Revision, Term, Version};
-pub use routes::{Part, RoutingDelta, RoutingSet, Rule, SetNumber};
+pub use routes::{RouteWeight, RoutingDelta, RoutingRule, RoutingSet, RoutingSetNumber};
 pub use service::{PathPrefix, Service, ServiceId, Share, Target};
--- a/crates/types/src/version/routes.rs
+++ b/crates/types/src/version/routes.rs
@@ -11,39 +11,39 @@
 decimal! {
     /// Number of a routing set, chosen by whoever wrote it. The highest one is
     /// in force.
-    SetNumber(u64)
+    RoutingSetNumber(u64)
 }
 
 decimal! {
-    /// Part of the new flows of an address that goes to a service, relative to
-    /// the other parts of the same address.
-    Part(u32)
+    /// Weight of a service among the services that share the new flows of one
+    /// address.
+    RouteWeight(u32)
 }
 
 /// The services that take the new flows of one address.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Rule {
-    /// Never empty in a set that was accepted; at least one part is above 0.
-    pub parts: BTreeMap<ServiceName, Part>,
+pub struct RoutingRule {
+    /// Never empty in a set that was accepted; at least one weight is above 0.
+    pub weights: BTreeMap<ServiceName, RouteWeight>,
 }
 
-impl Rule {
+impl RoutingRule {
     /// The service of a new flow whose key has this hash. The same hash gives
     /// the same service as long as the rule stays.
     ///
     /// ```
-    /// use types::{Part, Rule};
+    /// use types::{RouteWeight, RoutingRule};
     ///
-    /// let rule = Rule { parts: [("vouchers".parse()?, Part(1))].into() };
-    /// assert_eq!(rule.service(17).map(ToString::to_string), Some("vouchers".to_owned()));
+    /// let rule = RoutingRule { weights: [("vouchers".parse()?, RouteWeight(1))].into() };
+    /// assert_eq!(rule.select_service(17).map(ToString::to_string), Some("vouchers".to_owned()));
     /// # Ok::<(), types::Error>(())
     /// ```
     #[must_use]
-    pub fn service(&self, hash: u64) -> Option<&ServiceName> {
-        let total: u64 = self.parts.values().map(|part| u64::from(part.0)).sum();
+    pub fn select_service(&self, hash: u64) -> Option<&ServiceName> {
+        let total: u64 = self.weights.values().map(|part| u64::from(part.0)).sum();
         let mut point = hash.checked_rem(total)?;
-        self.parts.iter().find_map(|(name, part)| {
+        self.weights.iter().find_map(|(name, part)| {
             let part = u64::from(part.0);
             if point < part {
                 return Some(name);
@@ -59,12 +59,12 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RoutingSet {
     /// Orders the sets.
-    pub number: SetNumber,
+    pub number: RoutingSetNumber,
     /// The rule of each address.
-    pub rules: BTreeMap<SocketAddr, Rule>,
+    pub rules: BTreeMap<SocketAddr, RoutingRule>,
     /// A flow that is idle for longer may be forgotten.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// The text from which the set was read, given back to whoever reads the
     /// set. It does not go to nodes.
     pub document: Bytes,
@@ -73,9 +73,9 @@
 impl Default for RoutingSet {
     fn default() -> Self {
         RoutingSet {
-            number: SetNumber(0),
+            number: RoutingSetNumber(0),
             rules: BTreeMap::new(),
-            idle: Duration::from_mins(1),
+            idle_timeout: Duration::from_mins(1),
             document: Bytes::new(),
         }
     }
@@ -86,16 +86,16 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RoutingDelta {
     /// The set that the node has; `None` if this holds the whole set.
-    pub base: Option<SetNumber>,
+    pub base: Option<RoutingSetNumber>,
     /// The set that the node has afterwards.
-    pub number: SetNumber,
+    pub number: RoutingSetNumber,
     /// Rules that are new or changed.
-    pub changed: BTreeMap<SocketAddr, Rule>,
+    pub changed: BTreeMap<SocketAddr, RoutingRule>,
     /// Addresses that have no rule any more.
     pub removed: Vec<SocketAddr>,
-    /// See [`RoutingSet::idle`].
+    /// See [`RoutingSet::idle_timeout`].
     #[serde_as(as = "DurationMilliSeconds<u64>")]
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 impl RoutingSet {
@@ -117,13 +117,13 @@
                 .filter(|address| !self.rules.contains_key(address))
                 .copied()
                 .collect(),
-            idle: self.idle,
+            idle_timeout: self.idle_timeout,
         }
     }
 
     /// Moves on by `delta`. Returns whether it fitted: one that starts from
     /// another set or goes back changes nothing.
-    pub fn advance(&mut self, delta: RoutingDelta) -> bool {
+    pub fn apply(&mut self, delta: RoutingDelta) -> bool {
         let fits = delta.base.is_none_or(|base| base == self.number);
         if !fits || delta.number <= self.number {
             return false;
@@ -136,7 +136,7 @@
         }
         self.rules.extend(delta.changed);
         self.number = delta.number;
-        self.idle = delta.idle;
+        self.idle_timeout = delta.idle_timeout;
         true
     }
 }
