--- a/crates/admit/src/process/admission.rs
+++ b/crates/admit/src/process/admission.rs
@@ -7,7 +7,7 @@
 
 use rand::{SeedableRng, rngs::SmallRng};
 use types::{
-    ClassName, DataCentre, Loads, RequestId, ReservationId, Target, UpstreamId, UpstreamState,
+    ClassLoads, ClassName, DataCentre, RequestId, ReservationId, Target, UpstreamId, UpstreamState,
 };
 
 use crate::{
@@ -179,7 +179,7 @@
         &mut self,
         now: Instant,
         peer: UpstreamId,
-        loads: &Loads,
+        loads: &ClassLoads,
     ) -> Vec<DeferredDecision> {
         self.peers.update_loads(peer, loads);
         let free = loads.iter().filter(|(_, load)| load.free().0 > 0);
@@ -187,11 +187,11 @@
             .collect()
     }
 
-    /// Loads of the local upstream, as announced and as sent with refusals to
+    /// ClassLoads of the local upstream, as announced and as sent with refusals to
     /// peers. Reserved slots count as in flight; an upstream that takes no new
     /// work offers no slots.
     #[must_use]
-    pub fn loads(&self) -> Loads {
+    pub fn loads(&self) -> ClassLoads {
         let serving = self.is_serving();
         let classes = self.classes.iter();
         classes
--- a/crates/admit/src/request/decision.rs
+++ b/crates/admit/src/request/decision.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use types::{ClassName, Loads, RequestId, ReservationId, UpstreamId};
+use types::{ClassLoads, ClassName, RequestId, ReservationId, UpstreamId};
 
 /// A request as it arrives.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -122,7 +122,7 @@
     /// The peer has reserved a slot.
     Granted,
     /// The peer reserved no slot; carries its current loads.
-    Refused(Loads),
+    Refused(ClassLoads),
     /// The peer did not answer in time, or no connection could be opened.
     Unreachable,
 }
@@ -136,7 +136,7 @@
         expires: Instant,
     },
     /// No slot is reserved; carries the current loads.
-    Refused(Loads),
+    Refused(ClassLoads),
 }
 
 /// A slot reserved for a peer that was refused earlier.
--- a/crates/admit/src/version/peers.rs
+++ b/crates/admit/src/version/peers.rs
@@ -6,7 +6,7 @@
 };
 
 use rand::{Rng, rngs::SmallRng};
-use types::{ClassLoad, ClassName, DataCentre, Loads, UpstreamId};
+use types::{ClassLoad, ClassLoads, ClassName, DataCentre, UpstreamId};
 
 use crate::Settings;
 
@@ -92,7 +92,7 @@
 
     /// Updates loads, which may be outdated: they rank the peers and may end a
     /// backoff, but never start one.
-    pub(crate) fn update_loads(&mut self, id: UpstreamId, loads: &Loads) {
+    pub(crate) fn update_loads(&mut self, id: UpstreamId, loads: &ClassLoads) {
         let Some(peer) = self.by_id.get_mut(&id) else {
             return;
         };
--- a/crates/admit/tests/admission.rs
+++ b/crates/admit/tests/admission.rs
@@ -10,8 +10,8 @@
     RefusalReason, RequestInfo, RequestOutcome, ReservationAnswer, Settings,
 };
 use types::{
-    ClassLoad, ClassName, Connections, Loads, RequestId, ReservationId, Slots, Target, UpstreamId,
-    UpstreamState,
+    ClassLoad, ClassLoads, ClassName, Connections, RequestId, ReservationId, Slots, Target,
+    UpstreamId, UpstreamState,
 };
 
 const FIRST: UpstreamId = UpstreamId(1);
@@ -64,7 +64,7 @@
     RequestInfo::new(RequestId(n), class())
 }
 
-fn loads(slots: u32, in_flight: u32) -> Loads {
+fn loads(slots: u32, in_flight: u32) -> ClassLoads {
     let load = ClassLoad {
         slots: Slots(slots),
         in_flight: Slots(in_flight),
--- a/crates/agent/src/process/commands.rs
+++ b/crates/agent/src/process/commands.rs
@@ -8,7 +8,7 @@
 };
 use tokio::sync::{mpsc, oneshot};
 use types::{
-    ClassName, Connections, Loads, RequestId, ReservationId, ServiceId, Target, UpstreamId,
+    ClassLoads, ClassName, Connections, RequestId, ReservationId, ServiceId, Target, UpstreamId,
     UpstreamState,
 };
 use wire::{OfferRequest, ReserveReply, ReserveRequest};
@@ -52,7 +52,7 @@
     /// State of the upstream.
     pub state: UpstreamState,
     /// Load of each request class.
-    pub loads: Loads,
+    pub loads: ClassLoads,
     /// Number of open connections.
     pub connections: Connections,
 }
@@ -87,7 +87,7 @@
     /// A new version is in force.
     Configure(AdmissionConfig),
     /// The loads of peers changed.
-    PeerLoads(BTreeMap<UpstreamId, Loads>),
+    PeerLoads(BTreeMap<UpstreamId, ClassLoads>),
     /// A peer answered a reservation request of this task.
     PeerAnswered(RequestId, UpstreamId, ReservationId, PeerAnswer),
     /// Asks for the status to announce.
--- a/crates/agent/src/process/keys.rs
+++ b/crates/agent/src/process/keys.rs
@@ -191,7 +191,7 @@
         self.members = members.keys().copied().collect();
         self.peers = members
             .into_iter()
-            .map(|(id, member)| (id, member.peer))
+            .map(|(id, member)| (id, member.peer_address))
             .collect();
     }
 
--- a/crates/agent/src/process/node.rs
+++ b/crates/agent/src/process/node.rs
@@ -7,7 +7,7 @@
     sync::{mpsc, watch},
     time::sleep_until,
 };
-use types::{Announcement, Loads, ServiceState, UpstreamId, UpstreamState};
+use types::{ClassLoads, ServiceState, UpstreamAnnouncement, UpstreamId, UpstreamState};
 use wire::{CidCodec, ServiceTag, Update};
 
 use super::{
@@ -24,8 +24,8 @@
 pub struct NodeTask {
     /// Settings of the agent.
     pub cfg: Settings,
-    /// Announcement; state, loads and connections are filled in each time.
-    pub announcement: Announcement,
+    /// UpstreamAnnouncement; state, loads and connections are filled in each time.
+    pub announcement: UpstreamAnnouncement,
     /// Versions and peer loads from the sync task.
     pub steps: mpsc::Receiver<Step>,
     /// Report that the sync task sends to the control group.
@@ -66,7 +66,7 @@
                         self.admission.send(AdmissionCommand::PeerLoads(update.loads));
                         let _ = done.send(());
                     }
-                    Some(Step::Loads(loads)) => {
+                    Some(Step::ClassLoads(loads)) => {
                         self.admission.send(AdmissionCommand::PeerLoads(loads));
                         continue;
                     }
@@ -154,14 +154,14 @@
         });
     }
 
-    fn announcement_with(&self, status: UpstreamStatus) -> Announcement {
+    fn announcement_with(&self, status: UpstreamStatus) -> UpstreamAnnouncement {
         let served_classes = &self.cfg.served_classes;
-        let loads: Loads = status
+        let loads: ClassLoads = status
             .loads
             .into_iter()
             .filter(|(class, _)| served_classes.is_empty() || served_classes.contains(class))
             .collect();
-        Announcement {
+        UpstreamAnnouncement {
             state: status.state,
             connections: status.connections,
             loads,
--- a/crates/agent/src/process/run.rs
+++ b/crates/agent/src/process/run.rs
@@ -17,7 +17,7 @@
     task::JoinHandle,
     time::{timeout, timeout_at},
 };
-use types::{Announcement, Connections, Loads, Role, UpstreamId, UpstreamState};
+use types::{ClassLoads, Connections, Role, UpstreamAnnouncement, UpstreamId, UpstreamState};
 use wire::Subset;
 
 use super::{
@@ -117,8 +117,8 @@
         TcpListener::bind(cfg.peer_listen).map_err(|e| Error::Bind(cfg.peer_listen, e))?;
     let announcement = announcement(cfg, own_id, &data, &listener)?;
     log::info!(
-        event = "agent_started", upstream:% = own_id, data:% = announcement.data,
-        peer:% = announcement.peer; "agent started"
+        event = "agent_started", upstream:% = own_id, data:% = announcement.data_address,
+        peer:% = announcement.peer_address; "agent started"
     );
 
     let (admission, admission_rx) = AdmissionHandle::channel();
@@ -240,20 +240,20 @@
     id: UpstreamId,
     data: &UdpSocket,
     peer: &TcpListener,
-) -> Result<Announcement> {
-    Ok(Announcement {
+) -> Result<UpstreamAnnouncement> {
+    Ok(UpstreamAnnouncement {
         id,
         service: cfg.service.clone(),
         data_centre: cfg.data_centre.clone(),
-        data: data
+        data_address: data
             .local_addr()
             .map_err(|e| Error::Bind(cfg.data_listen, e))?,
-        peer: peer
+        peer_address: peer
             .local_addr()
             .map_err(|e| Error::Bind(cfg.peer_listen, e))?,
         state: UpstreamState::Ready,
         connections: Connections(0),
-        loads: Loads::new(),
+        loads: ClassLoads::new(),
         ready_for: Duration::ZERO,
     })
 }
--- a/crates/agent/src/version/mod.rs
+++ b/crates/agent/src/version/mod.rs
@@ -77,7 +77,7 @@
             .map(|(&id, member)| {
                 let peer = Peer {
                     data_centre: member.data_centre.clone(),
-                    address: member.peer,
+                    address: member.peer_address,
                 };
                 (id, peer)
             })
--- a/crates/agent/tests/datagrams.rs
+++ b/crates/agent/tests/datagrams.rs
@@ -13,8 +13,8 @@
 };
 use route::{Arrival, Hop};
 use types::{
-    CidKey, FlowKey, KeyGeneration, KeySet, Member, Revision, Service, ServiceId, ServiceState,
-    Share, UpstreamId, UpstreamState, Version,
+    CidKey, FlowKey, KeyGeneration, KeySet, Revision, Service, ServiceId, ServiceState, Share,
+    UpstreamId, UpstreamMember, UpstreamState, Version,
 };
 use wire::{CidCodec, ConnectionId, ServiceTag};
 
@@ -189,15 +189,15 @@
     }
 }
 
-fn member(n: u8, share: u32) -> Member {
-    Member {
+fn member(n: u8, share: u32) -> UpstreamMember {
+    UpstreamMember {
         host: format!("h{n}").parse().unwrap(),
         data_centre: "dc1".parse().unwrap(),
-        data: address(n),
-        peer: address(n),
+        data_address: address(n),
+        peer_address: address(n),
         state: UpstreamState::Ready,
         share: Share(share),
-        former_share: Share(share),
+        previous_share: Share(share),
     }
 }
 
--- a/crates/balancer/src/process/datapath.rs
+++ b/crates/balancer/src/process/datapath.rs
@@ -114,7 +114,7 @@
                     self.apply(*update);
                     let _ = done.send(());
                 }
-                Wake::Step(Some(Step::Loads(_) | Step::Confirmed(_))) | Wake::Datagrams => {}
+                Wake::Step(Some(Step::ClassLoads(_) | Step::Confirmed(_))) | Wake::Datagrams => {}
                 Wake::Stop => self.leave(),
                 Wake::Tick => self.ingress.retry(),
                 Wake::Step(None) => return,
--- a/crates/balancer/src/process/mod.rs
+++ b/crates/balancer/src/process/mod.rs
@@ -8,7 +8,7 @@
 use client::{Http, NodeReport, SyncSettings, SyncTask};
 use prometheus::Registry;
 use tokio::sync::{mpsc, watch};
-use types::{Balancer, Role};
+use types::{BalancerAnnouncement, Role};
 
 pub use datapath::{Datapath, Links};
 pub use ingress::{DirectIngress, FabricIngress, Ingress, Received, bind};
@@ -48,7 +48,7 @@
         .map_err(|e| Error::Bind(cfg.return_listen, e))?;
     log::info!(event = "balancer_started", return_address:% = return_address; "balancer started");
 
-    let balancer = Some(Balancer { return_address });
+    let balancer = Some(BalancerAnnouncement { return_address });
     let (report_tx, report_rx) = watch::channel(NodeReport {
         balancer,
         upstream: None,
--- a/crates/balancer/src/version/mod.rs
+++ b/crates/balancer/src/version/mod.rs
@@ -77,7 +77,11 @@
 
     fn note(&mut self, state: &ServiceState) {
         let id = state.service.id;
-        let agents: BTreeSet<_> = state.members.values().map(|member| member.data).collect();
+        let agents: BTreeSet<_> = state
+            .members
+            .values()
+            .map(|member| member.data_address)
+            .collect();
         self.agents.extend(agents.iter().map(|&agent| (agent, id)));
         let service = state.service.address;
         self.services
--- a/crates/balancer/tests/classifier.rs
+++ b/crates/balancer/tests/classifier.rs
@@ -319,7 +319,7 @@
                     let from = agent(u.int_in_range(1..=4)?);
                     if classifier.check_answer(from, &endpoints).is_ok() {
                         let members = &state.expect("a known service").members;
-                        assert!(members.values().any(|m| m.data == from));
+                        assert!(members.values().any(|m| m.data_address == from));
                     }
                     let (packet, named) = random_packet(u, state)?;
                     let Verdict::Forward(hop) = classifier.classify(&endpoints, &packet) else {
@@ -327,7 +327,7 @@
                     };
                     forwarded += 1;
                     let member = &state.expect("a known service").members[&hop.upstream];
-                    assert_eq!(member.data, hop.address);
+                    assert_eq!(member.data_address, hop.address);
                     assert!(named.is_none_or(|id| UpstreamId(id) == hop.upstream));
                 }
             }
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -6,8 +6,8 @@
 use std::{collections::BTreeMap, net::SocketAddr};
 
 use types::{
-    CidKey, KeyGeneration, KeySet, Member, Revision, Service, ServiceId, ServiceState, Share,
-    UpstreamId, UpstreamState, Version,
+    CidKey, KeyGeneration, KeySet, Revision, Service, ServiceId, ServiceState, Share, UpstreamId,
+    UpstreamMember, UpstreamState, Version,
 };
 use wire::{CidCodec, ConnectionId, ServiceTag, Update};
 
@@ -17,14 +17,14 @@
 /// A service whose members are given as id, data address and share.
 pub fn state(id: u32, address: SocketAddr, members: &[(u64, SocketAddr, u32)]) -> ServiceState {
     let member = |&(upstream, data, share): &(u64, SocketAddr, u32)| {
-        let member = Member {
+        let member = UpstreamMember {
             host: "h1".parse().unwrap(),
             data_centre: "dc1".parse().unwrap(),
-            data,
-            peer: data,
+            data_address: data,
+            peer_address: data,
             state: UpstreamState::Ready,
             share: Share(share),
-            former_share: Share(share),
+            previous_share: Share(share),
         };
         (UpstreamId(upstream), member)
     };
--- a/crates/balancer/tests/datapath.rs
+++ b/crates/balancer/tests/datapath.rs
@@ -17,7 +17,7 @@
     net::UdpSocket,
     sync::{mpsc, oneshot, watch},
 };
-use types::Balancer;
+use types::BalancerAnnouncement;
 use wire::{Endpoints, Prefix, Update};
 
 /// Longest time for anything in a test to come about.
@@ -79,7 +79,7 @@
         let (steps, step_rx) = mpsc::channel(4);
         let (report_tx, report) = watch::channel(NodeReport {
             upstream: None,
-            balancer: Some(Balancer {
+            balancer: Some(BalancerAnnouncement {
                 return_address: returns,
             }),
         });
--- a/crates/bench/src/admission/run.rs
+++ b/crates/bench/src/admission/run.rs
@@ -12,7 +12,8 @@
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use types::{
-    ClassLoad, ClassName, DataCentre, Loads, RequestId, ReservationId, Slots, Target, UpstreamId,
+    ClassLoad, ClassLoads, ClassName, DataCentre, RequestId, ReservationId, Slots, Target,
+    UpstreamId,
 };
 
 use super::{Case, Figures, Kind, Scenario};
@@ -152,7 +153,7 @@
         .expect("a valid name")
 }
 
-fn loads_of(slots: u32, in_flight: u32, queued: u32) -> Loads {
+fn loads_of(slots: u32, in_flight: u32, queued: u32) -> ClassLoads {
     let load = ClassLoad {
         slots: Slots(slots),
         in_flight: Slots(in_flight),
@@ -161,7 +162,7 @@
     BTreeMap::from([(ClassName::default(), load)])
 }
 
-fn flat(loads: &Loads) -> (u32, u32, u32) {
+fn flat(loads: &ClassLoads) -> (u32, u32, u32) {
     let load = loads.values().next().copied().unwrap_or_default();
     (load.slots.0, load.in_flight.0, load.queued.0)
 }
--- a/crates/bench/src/bin/control.rs
+++ b/crates/bench/src/bin/control.rs
@@ -21,9 +21,9 @@
 use tempfile::TempDir;
 use tokio::sync::{mpsc, watch};
 use types::{
-    Announcement, Answer, Balancer, Change, ChangeId, ChangeRequest, ClassLoad, Connections,
-    HostName, Loads, Revision, Role, ServiceId, Slots, Target, Term, UpstreamId, UpstreamState,
-    Version,
+    Answer, BalancerAnnouncement, Change, ChangeId, ChangeRequest, ClassLoad, ClassLoads,
+    Connections, HostName, Revision, Role, ServiceId, Slots, Target, Term, UpstreamAnnouncement,
+    UpstreamId, UpstreamState, Version,
 };
 use wire::{Subset, SyncReply, SyncRequest, request::ChangeReply};
 
@@ -132,7 +132,7 @@
     println!("{table}");
 }
 
-fn loads(in_flight: u32) -> Loads {
+fn loads(in_flight: u32) -> ClassLoads {
     let load = ClassLoad {
         slots: Slots(7),
         in_flight: Slots(in_flight),
@@ -141,14 +141,14 @@
     BTreeMap::from([("default".parse().unwrap(), load)])
 }
 
-fn announcement(n: u32, service: &str) -> Announcement {
+fn announcement(n: u32, service: &str) -> UpstreamAnnouncement {
     let address = std::net::Ipv4Addr::from(0x0a00_0000 + n);
-    Announcement {
+    UpstreamAnnouncement {
         id: UpstreamId(u64::from(n) + 1),
         service: service.parse().unwrap(),
         data_centre: "sofia".parse().unwrap(),
-        data: (address, 7200).into(),
-        peer: (address, 7201).into(),
+        data_address: (address, 7200).into(),
+        peer_address: (address, 7201).into(),
         state: UpstreamState::Ready,
         connections: Connections(1000),
         loads: loads(3),
@@ -523,7 +523,7 @@
         let return_address = ([127, 79, 1, n], 7100).into();
         let report = NodeReport {
             upstream: None,
-            balancer: Some(Balancer { return_address }),
+            balancer: Some(BalancerAnnouncement { return_address }),
         };
         Node::start(control, &format!("lb-{n}"), Role::Balancer, report)
     });
@@ -556,7 +556,7 @@
             if n < rounds {
                 group.change().await;
             }
-            // Loads change all the time.
+            // ClassLoads change all the time.
             for (id, node) in nodes.iter().enumerate() {
                 node.report.send_if_modified(|report| {
                     if let Some(upstream) = &mut report.upstream {
--- a/crates/bench/src/bin/datagrams.rs
+++ b/crates/bench/src/bin/datagrams.rs
@@ -27,8 +27,8 @@
     sync::{mpsc, oneshot, watch},
 };
 use types::{
-    CidKey, KeyGeneration, KeySet, Member, Revision, Service, ServiceId, ServiceState, Share,
-    UpstreamId, UpstreamState, Version,
+    CidKey, KeyGeneration, KeySet, Revision, Service, ServiceId, ServiceState, Share, UpstreamId,
+    UpstreamMember, UpstreamState, Version,
 };
 use wire::{CidCodec, ConnectionId, Endpoints, ServiceTag, Update};
 
@@ -306,16 +306,16 @@
 }
 
 fn version(size: Size, port: u16) -> Update {
-    let mut members: BTreeMap<u32, BTreeMap<UpstreamId, Member>> = BTreeMap::new();
+    let mut members: BTreeMap<u32, BTreeMap<UpstreamId, UpstreamMember>> = BTreeMap::new();
     for n in 0..size.upstreams {
-        let member = Member {
+        let member = UpstreamMember {
             host: format!("h{n}").parse().expect("name"),
             data_centre: "dc1".parse().expect("name"),
-            data: upstream(n, port),
-            peer: upstream(n, port),
+            data_address: upstream(n, port),
+            peer_address: upstream(n, port),
             state: UpstreamState::Ready,
             share: Share::FULL,
-            former_share: Share::FULL,
+            previous_share: Share::FULL,
         };
         let of_service = members.entry(service_of(size, n)).or_default();
         of_service.insert(id(n), member);
--- a/crates/bench/src/bin/route.rs
+++ b/crates/bench/src/bin/route.rs
@@ -12,8 +12,8 @@
 use route::{BucketOwners, Decision, RoutingTable, flow_key};
 use twox_hash::XxHash64;
 use types::{
-    FlowKey, FlowPhase, Member, Revision, Service, ServiceId, ServiceState, Share, UpstreamId,
-    UpstreamState, Version,
+    FlowKey, FlowPhase, Revision, Service, ServiceId, ServiceState, Share, UpstreamId,
+    UpstreamMember, UpstreamState, Version,
 };
 
 type Shares = BTreeMap<UpstreamId, Share>;
@@ -224,14 +224,14 @@
 
 fn state(n: u32, upstreams: u32) -> ServiceState {
     let ip = Ipv4Addr::from(0x0a00_0000 + n);
-    let member = |at: u32| Member {
+    let member = |at: u32| UpstreamMember {
         host: format!("h{n}-{at}").parse().unwrap(),
         data_centre: "dc1".parse().unwrap(),
-        data: SocketAddr::from((ip, 1000 + u16::try_from(at).unwrap())),
-        peer: SocketAddr::from((ip, 9)),
+        data_address: SocketAddr::from((ip, 1000 + u16::try_from(at).unwrap())),
+        peer_address: SocketAddr::from((ip, 9)),
         state: UpstreamState::Ready,
         share: Share::FULL,
-        former_share: Share::FULL,
+        previous_share: Share::FULL,
     };
     ServiceState {
         service: Service {
--- a/crates/client/src/version/sync.rs
+++ b/crates/client/src/version/sync.rs
@@ -8,7 +8,10 @@
 
 use rand::Rng;
 use tokio::sync::{mpsc, oneshot, watch};
-use types::{Announcement, Balancer, DataCentre, HostName, Loads, Role, UpstreamId, Version};
+use types::{
+    BalancerAnnouncement, ClassLoads, DataCentre, HostName, Role, UpstreamAnnouncement, UpstreamId,
+    Version,
+};
 use wire::{Subset, SyncReply, SyncRequest, Update};
 
 use crate::{Http, Result};
@@ -65,9 +68,9 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct NodeReport {
     /// The upstream of an agent.
-    pub upstream: Option<Announcement>,
+    pub upstream: Option<UpstreamAnnouncement>,
     /// The sockets of a balancer.
-    pub balancer: Option<Balancer>,
+    pub balancer: Option<BalancerAnnouncement>,
 }
 
 /// One step that the node's owner applies.
@@ -76,7 +79,7 @@
     /// A newer version. The owner answers once it is in force.
     Update(Box<Update>, oneshot::Sender<()>),
     /// New loads of the peers.
-    Loads(BTreeMap<UpstreamId, Loads>),
+    ClassLoads(BTreeMap<UpstreamId, ClassLoads>),
     /// The version in force was current at this instant, when an exchange
     /// began that a majority has confirmed.
     Confirmed(Instant),
@@ -173,7 +176,7 @@
         match reply {
             SyncReply::Current { loads, settled } => {
                 self.hint = Some(host);
-                let _ = self.tx.send(Step::Loads(loads)).await;
+                let _ = self.tx.send(Step::ClassLoads(loads)).await;
                 if settled {
                     let _ = self.tx.send(Step::Confirmed(began)).await;
                 }
--- a/crates/control/src/version/mod.rs
+++ b/crates/control/src/version/mod.rs
@@ -4,7 +4,7 @@
 
 use config::{Changes, Delta, State};
 use member::Registry;
-use types::{Loads, Revision, Role, ServiceId, ServiceState, UpstreamId, Version};
+use types::{ClassLoads, Revision, Role, ServiceId, ServiceState, UpstreamId, Version};
 use wire::{Subset, SyncReply, SyncRequest, Update};
 
 /// The configuration and, once it is settled, the membership.
@@ -74,7 +74,7 @@
         &self,
         req: &SyncRequest,
         version: Version,
-        loads: BTreeMap<UpstreamId, Loads>,
+        loads: BTreeMap<UpstreamId, ClassLoads>,
     ) -> Update {
         let delta = match req.have {
             Some(have) => self.state.delta_since(have.revision),
@@ -140,9 +140,9 @@
         service.is_some_and(|service| req.subset.contains(&service.name))
     }
 
-    /// Loads of the upstreams of named services; a node that wants all
+    /// ClassLoads of the upstreams of named services; a node that wants all
     /// services only forwards and needs none.
-    fn loads(&self, req: &SyncRequest) -> BTreeMap<UpstreamId, Loads> {
+    fn loads(&self, req: &SyncRequest) -> BTreeMap<UpstreamId, ClassLoads> {
         let Subset::Named(names) = &req.subset else {
             return BTreeMap::new();
         };
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -4,8 +4,8 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use types::{
-    Announcement, Change, ChangeId, ChangeRequest, Connections, Revision, Role, Slots, Target,
-    UnixMillis, UpstreamId, UpstreamState, Version,
+    Change, ChangeId, ChangeRequest, Connections, Revision, Role, Slots, Target, UnixMillis,
+    UpstreamAnnouncement, UpstreamId, UpstreamState, Version,
 };
 use wire::{Subset, SyncRequest};
 
@@ -68,13 +68,13 @@
     }
 }
 
-pub fn announcement(service: &str) -> Announcement {
-    Announcement {
+pub fn announcement(service: &str) -> UpstreamAnnouncement {
+    UpstreamAnnouncement {
         id: UpstreamId(7),
         service: service.parse().unwrap(),
         data_centre: "dar-1".parse().unwrap(),
-        data: ([127, 0, 0, 1], 7200).into(),
-        peer: ([127, 0, 0, 1], 7201).into(),
+        data_address: ([127, 0, 0, 1], 7200).into(),
+        peer_address: ([127, 0, 0, 1], 7201).into(),
         state: UpstreamState::Ready,
         connections: Connections(0),
         loads: BTreeMap::new(),
--- a/crates/control/tests/version.rs
+++ b/crates/control/tests/version.rs
@@ -58,7 +58,7 @@
 
     fn announce(&mut self, millis: u64, state: UpstreamState) {
         let host = "app-1".parse().unwrap();
-        let announcement = types::Announcement {
+        let announcement = types::UpstreamAnnouncement {
             state,
             ..announcement("vouchers")
         };
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -32,18 +32,18 @@
 //! ```
 //! use std::{collections::BTreeMap, time::{Duration, Instant}};
 //! use member::{Registry, Settings};
-//! use types::{Announcement, Connections, ServiceId, Term, UpstreamId, UpstreamState};
+//! use types::{UpstreamAnnouncement, Connections, ServiceId, Term, UpstreamId, UpstreamState};
 //!
 //! let start = Instant::now();
 //! let mut registry = Registry::new(Settings::default(), start, Term(3));
 //! registry.set_service(ServiceId(0), &"badges".parse()?, &BTreeMap::new());
 //! let announced_at = start + Duration::from_secs(1);
-//! registry.announce(announced_at, &"host-1".parse()?, &Announcement {
+//! registry.announce(announced_at, &"host-1".parse()?, &UpstreamAnnouncement {
 //!     id: UpstreamId(7),
 //!     service: "badges".parse()?,
 //!     data_centre: "dar-1".parse()?,
-//!     data: ([127, 0, 0, 1], 7001).into(),
-//!     peer: ([127, 0, 0, 1], 7002).into(),
+//!     data_address: ([127, 0, 0, 1], 7001).into(),
+//!     peer_address: ([127, 0, 0, 1], 7002).into(),
 //!     state: UpstreamState::Ready,
 //!     connections: Connections(0),
 //!     loads: BTreeMap::new(),
--- a/crates/member/src/process/balancers.rs
+++ b/crates/member/src/process/balancers.rs
@@ -2,14 +2,14 @@
 
 use std::{collections::BTreeMap, time::Instant};
 
-use types::{Balancer, HostName};
+use types::{BalancerAnnouncement, HostName};
 
 /// Balancers that announced themselves.
 #[derive(Debug, Default)]
 pub(crate) struct Balancers {
     leases: BTreeMap<HostName, Instant>,
     /// Registered balancers; one for each entry of `leases`.
-    registered: BTreeMap<HostName, Balancer>,
+    registered: BTreeMap<HostName, BalancerAnnouncement>,
     /// No lease expires before this instant.
     earliest_expiry: Option<Instant>,
     /// Whether `registered` changed since it was last published.
@@ -18,7 +18,12 @@
 
 impl Balancers {
     /// Applies an announcement and renews the lease until `lease_until`.
-    pub(crate) fn announce(&mut self, host: &HostName, balancer: Balancer, lease_until: Instant) {
+    pub(crate) fn announce(
+        &mut self,
+        host: &HostName,
+        balancer: BalancerAnnouncement,
+        lease_until: Instant,
+    ) {
         self.leases.insert(host.clone(), lease_until);
         self.changed |= self.registered.insert(host.clone(), balancer) != Some(balancer);
         self.earliest_expiry.get_or_insert(lease_until);
@@ -55,7 +60,7 @@
     }
 
     /// Returns the balancers with a valid lease.
-    pub(crate) fn registered(&self) -> &BTreeMap<HostName, Balancer> {
+    pub(crate) fn registered(&self) -> &BTreeMap<HostName, BalancerAnnouncement> {
         &self.registered
     }
 }
--- a/crates/member/src/process/registry.rs
+++ b/crates/member/src/process/registry.rs
@@ -7,15 +7,15 @@
 };
 
 use types::{
-    Announcement, Balancer, ClassName, HostName, Loads, Member, ServiceId, ServiceName, Share,
-    Target, Term, UpstreamId,
+    BalancerAnnouncement, ClassLoads, ClassName, HostName, ServiceId, ServiceName, Share, Target,
+    Term, UpstreamAnnouncement, UpstreamId, UpstreamMember,
 };
 
 use super::{Settings, balancers::Balancers, service_record::ServiceRecord, upstream::Upstream};
 use crate::version::{Publication, ServiceStatus};
 
 /// Members of a service that is not configured.
-static NO_MEMBERS: BTreeMap<UpstreamId, Member> = BTreeMap::new();
+static NO_MEMBERS: BTreeMap<UpstreamId, UpstreamMember> = BTreeMap::new();
 
 /// Upstreams, balancers and their leases during one leadership.
 ///
@@ -90,7 +90,7 @@
     /// An upstream that announced the same data address before is removed at
     /// once, because it no longer has the address. A former incarnation of the
     /// host's agent at another address remains until its lease expires.
-    pub fn announce(&mut self, now: Instant, host: &HostName, announcement: &Announcement) {
+    pub fn announce(&mut self, now: Instant, host: &HostName, announcement: &UpstreamAnnouncement) {
         self.latest_call = self.latest_call.max(now);
         if self
             .displaced_upstreams
@@ -125,16 +125,17 @@
 
     /// Assigns the data address of `announcement` to its upstream, and removes
     /// the upstream that had it.
-    fn take_over_data_address(&mut self, now: Instant, announcement: &Announcement) {
+    fn take_over_data_address(&mut self, now: Instant, announcement: &UpstreamAnnouncement) {
         if let Some(known) = self.upstreams.get(&announcement.id) {
-            if known.announcement.data == announcement.data {
+            if known.announcement.data_address == announcement.data_address {
                 return;
             }
-            self.by_data_address.remove(&known.announcement.data);
+            self.by_data_address
+                .remove(&known.announcement.data_address);
         }
         if let Some(former) = self
             .by_data_address
-            .insert(announcement.data, announcement.id)
+            .insert(announcement.data_address, announcement.id)
         {
             self.remove_upstream(former);
             self.displaced_upstreams
@@ -142,7 +143,7 @@
         }
     }
 
-    fn add_upstream(&mut self, now: Instant, host: &HostName, announcement: &Announcement) {
+    fn add_upstream(&mut self, now: Instant, host: &HostName, announcement: &UpstreamAnnouncement) {
         let mut upstream = Upstream::new(now, host, announcement, &self.settings);
         upstream.drained = self.drained_hosts.contains(host);
         self.by_host
@@ -150,7 +151,7 @@
             .or_default()
             .insert(announcement.id);
         self.by_data_address
-            .insert(announcement.data, announcement.id);
+            .insert(announcement.data_address, announcement.id);
         let record = self
             .records
             .entry(announcement.service.clone())
@@ -160,7 +161,7 @@
     }
 
     /// Updates the load level of an upstream from the loads in `announcement`.
-    fn apply_loads(&mut self, now: Instant, announcement: &Announcement) {
+    fn apply_loads(&mut self, now: Instant, announcement: &UpstreamAnnouncement) {
         let record = self.records.get(&announcement.service);
         if let (Some(record), Some(u)) = (record, self.upstreams.get_mut(&announcement.id)) {
             u.apply_loads(now, &record.carry, &self.settings);
@@ -181,8 +182,13 @@
         if let Some(next_check) = upstream.next_check {
             self.scheduled_checks.remove(&(next_check, id));
         }
-        if self.by_data_address.get(&upstream.announcement.data) == Some(&id) {
-            self.by_data_address.remove(&upstream.announcement.data);
+        if self
+            .by_data_address
+            .get(&upstream.announcement.data_address)
+            == Some(&id)
+        {
+            self.by_data_address
+                .remove(&upstream.announcement.data_address);
         }
         remove_from_host(&mut self.by_host, &upstream.host, id);
         if let Some(record) = self.records.get_mut(&upstream.announcement.service) {
@@ -192,7 +198,12 @@
     }
 
     /// Applies an announcement of the balancer on `host`.
-    pub fn announce_balancer(&mut self, now: Instant, host: &HostName, balancer: Balancer) {
+    pub fn announce_balancer(
+        &mut self,
+        now: Instant,
+        host: &HostName,
+        balancer: BalancerAnnouncement,
+    ) {
         self.latest_call = self.latest_call.max(now);
         let lease_until = now + self.settings.lease;
         self.balancers.announce(host, balancer, lease_until);
@@ -423,7 +434,7 @@
 
     /// Members of a service in the last published version.
     #[must_use]
-    pub fn members(&self, service: ServiceId) -> &BTreeMap<UpstreamId, Member> {
+    pub fn members(&self, service: ServiceId) -> &BTreeMap<UpstreamId, UpstreamMember> {
         self.record(service).map_or(&NO_MEMBERS, |r| &r.members)
     }
 
@@ -435,7 +446,7 @@
 
     /// Balancers with a valid lease.
     #[must_use]
-    pub fn balancers(&self) -> &BTreeMap<HostName, Balancer> {
+    pub fn balancers(&self) -> &BTreeMap<HostName, BalancerAnnouncement> {
         self.balancers.registered()
     }
 
@@ -447,7 +458,7 @@
 
     /// Latest loads of the upstreams of a service. Load changes do not create
     /// versions.
-    pub fn loads(&self, service: ServiceId) -> impl Iterator<Item = (UpstreamId, &Loads)> {
+    pub fn loads(&self, service: ServiceId) -> impl Iterator<Item = (UpstreamId, &ClassLoads)> {
         let ids = self.record(service).into_iter().flat_map(|r| &r.upstreams);
         ids.filter_map(|id| Some((*id, &self.upstreams.get(id)?.announcement.loads)))
     }
--- a/crates/member/src/process/service_record.rs
+++ b/crates/member/src/process/service_record.rs
@@ -5,7 +5,7 @@
     time::Instant,
 };
 
-use types::{ClassName, Member, ServiceId, Share, Slots, UpstreamId};
+use types::{ClassName, ServiceId, Share, Slots, UpstreamId, UpstreamMember};
 
 use super::{Settings, upstream::Upstream};
 use crate::version::{Availability, ClassStatus, ServiceStatus, is_frozen};
@@ -20,7 +20,7 @@
     /// Upstreams with a lease, and those retained by the rule of [`is_frozen`].
     pub(crate) upstreams: BTreeSet<UpstreamId>,
     /// Members in the last published version.
-    pub(crate) members: BTreeMap<UpstreamId, Member>,
+    pub(crate) members: BTreeMap<UpstreamId, UpstreamMember>,
     /// Sequence number of the version in which `members` last changed.
     pub(crate) seq: u64,
 }
@@ -135,18 +135,18 @@
 /// They change only when a share changes: a changed address must not discard the
 /// former placement, because existing flows still depend on it.
 fn set_former_shares(
-    members: &mut BTreeMap<UpstreamId, Member>,
-    last: &BTreeMap<UpstreamId, Member>,
+    members: &mut BTreeMap<UpstreamId, UpstreamMember>,
+    last: &BTreeMap<UpstreamId, UpstreamMember>,
 ) {
-    let shares = |m: &BTreeMap<UpstreamId, Member>| -> Vec<(UpstreamId, Share)> {
+    let shares = |m: &BTreeMap<UpstreamId, UpstreamMember>| -> Vec<(UpstreamId, Share)> {
         m.iter().map(|(id, m)| (*id, m.share)).collect()
     };
     let moved = shares(members) != shares(last);
     for (id, member) in members {
         let before = last.get(id);
-        member.former_share = match before {
+        member.previous_share = match before {
             Some(before) if moved => before.share,
-            Some(before) => before.former_share,
+            Some(before) => before.previous_share,
             // Only a new leader lists an upstream with a share at once; the former
             // leader had given it one.
             None => member.share,
--- a/crates/member/src/process/upstream.rs
+++ b/crates/member/src/process/upstream.rs
@@ -5,7 +5,9 @@
     time::{Duration, Instant},
 };
 
-use types::{Announcement, ClassName, HostName, Member, Share, Slots, UpstreamState};
+use types::{
+    ClassName, HostName, Share, Slots, UpstreamAnnouncement, UpstreamMember, UpstreamState,
+};
 
 use super::Settings;
 use crate::version::{Availability, LoadLevel, Ramp, requested_level};
@@ -15,7 +17,7 @@
 pub(crate) struct Upstream {
     pub(crate) host: HostName,
     /// The last announcement.
-    pub(crate) announcement: Announcement,
+    pub(crate) announcement: UpstreamAnnouncement,
     /// Instant at which the last announcement was received.
     announced_at: Instant,
     /// Instant at which the lease expires.
@@ -33,7 +35,7 @@
     pub(crate) fn new(
         now: Instant,
         host: &HostName,
-        announcement: &Announcement,
+        announcement: &UpstreamAnnouncement,
         settings: &Settings,
     ) -> Self {
         Upstream {
@@ -58,11 +60,18 @@
         &mut self,
         now: Instant,
         host: &HostName,
-        announcement: &Announcement,
+        announcement: &UpstreamAnnouncement,
         has_share: bool,
         settings: &Settings,
     ) -> bool {
-        let listed_as = |a: &Announcement| (a.data_centre.clone(), a.data, a.peer, a.state);
+        let listed_as = |a: &UpstreamAnnouncement| {
+            (
+                a.data_centre.clone(),
+                a.data_address,
+                a.peer_address,
+                a.state,
+            )
+        };
         let changed = self.is_lease_expired(now)
             || self.host != *host
             || listed_as(&self.announcement) != listed_as(announcement);
@@ -173,19 +182,19 @@
     }
 
     /// Returns the upstream as a member with this share.
-    pub(crate) fn member(&self, share: Share) -> Member {
+    pub(crate) fn member(&self, share: Share) -> UpstreamMember {
         let state = match self.announcement.state {
             UpstreamState::Ready if self.drained => UpstreamState::Leaving,
             state => state,
         };
-        Member {
+        UpstreamMember {
             host: self.host.clone(),
             data_centre: self.announcement.data_centre.clone(),
-            data: self.announcement.data,
-            peer: self.announcement.peer,
+            data_address: self.announcement.data_address,
+            peer_address: self.announcement.peer_address,
             state,
             share,
-            former_share: Share(0),
+            previous_share: Share(0),
         }
     }
 
--- a/crates/member/src/version/load_level.rs
+++ b/crates/member/src/version/load_level.rs
@@ -5,7 +5,7 @@
     time::{Duration, Instant},
 };
 
-use types::{ClassName, Loads, Slots};
+use types::{ClassLoads, ClassName, Slots};
 
 use super::SHARE_PARTS;
 
@@ -93,7 +93,7 @@
 /// the upstream offers, lowered further if more requests are in flight and
 /// queued than it offers slots. Slots above a target do not count, so no report
 /// raises a share above the one of its ramp.
-pub(crate) fn requested_level(loads: &Loads, carry: &BTreeMap<ClassName, Slots>) -> u8 {
+pub(crate) fn requested_level(loads: &ClassLoads, carry: &BTreeMap<ClassName, Slots>) -> u8 {
     let (mut expected, mut offered, mut busy) = (0u128, 0u128, 0u128);
     for (class, load) in loads {
         let target = carry.get(class).copied().unwrap_or(load.slots);
--- a/crates/member/tests/common/mod.rs
+++ b/crates/member/tests/common/mod.rs
@@ -8,8 +8,8 @@
 
 use member::{Publication, Registry, Settings};
 use types::{
-    Announcement, ClassLoad, Connections, HostName, Loads, Member, ServiceId, Slots, Target, Term,
-    UpstreamId, UpstreamState,
+    ClassLoad, ClassLoads, Connections, HostName, ServiceId, Slots, Target, Term,
+    UpstreamAnnouncement, UpstreamId, UpstreamMember, UpstreamState,
 };
 
 pub const SERVICE: ServiceId = ServiceId(1);
@@ -21,7 +21,7 @@
     format!("host-{n}").parse().unwrap()
 }
 
-fn loads(slots: u32, in_flight: u32, queued: u32) -> Loads {
+fn loads(slots: u32, in_flight: u32, queued: u32) -> ClassLoads {
     let load = ClassLoad {
         slots: Slots(slots),
         in_flight: Slots(in_flight),
@@ -30,15 +30,15 @@
     BTreeMap::from([("default".parse().unwrap(), load)])
 }
 
-/// Announcement of upstream `n`, idle and ready since one minute.
-pub fn announcement(n: u64) -> Announcement {
+/// UpstreamAnnouncement of upstream `n`, idle and ready since one minute.
+pub fn announcement(n: u64) -> UpstreamAnnouncement {
     let port = u16::try_from(n).unwrap();
-    Announcement {
+    UpstreamAnnouncement {
         id: UpstreamId(n),
         service: "badges".parse().unwrap(),
         data_centre: "dar-1".parse().unwrap(),
-        data: ([127, 0, 0, 1], port).into(),
-        peer: ([127, 0, 0, 2], port).into(),
+        data_address: ([127, 0, 0, 1], port).into(),
+        peer_address: ([127, 0, 0, 2], port).into(),
         state: UpstreamState::Ready,
         connections: Connections(0),
         loads: loads(CARRY, 0, 0),
@@ -46,26 +46,26 @@
     }
 }
 
-pub fn in_state(n: u64, state: UpstreamState) -> Announcement {
-    Announcement {
+pub fn in_state(n: u64, state: UpstreamState) -> UpstreamAnnouncement {
+    UpstreamAnnouncement {
         state,
         ..announcement(n)
     }
 }
 
-/// Announcement of upstream `n` with the given slots and requests in flight and
+/// UpstreamAnnouncement of upstream `n` with the given slots and requests in flight and
 /// queued.
-pub fn with_load(n: u64, slots: u32, in_flight: u32, queued: u32) -> Announcement {
+pub fn with_load(n: u64, slots: u32, in_flight: u32, queued: u32) -> UpstreamAnnouncement {
     let loads = loads(slots, in_flight, queued);
-    Announcement {
+    UpstreamAnnouncement {
         loads,
         ..announcement(n)
     }
 }
 
-pub fn newly_ready(n: u64) -> Announcement {
+pub fn newly_ready(n: u64) -> UpstreamAnnouncement {
     let ready_for = Duration::ZERO;
-    Announcement {
+    UpstreamAnnouncement {
         ready_for,
         ..announcement(n)
     }
@@ -106,7 +106,7 @@
         self.start + Duration::from_millis(millis)
     }
 
-    pub fn announce(&mut self, announcement: &Announcement) {
+    pub fn announce(&mut self, announcement: &UpstreamAnnouncement) {
         let now = self.at(self.now);
         self.registry
             .announce(now, &host(announcement.id.0), announcement);
@@ -118,7 +118,7 @@
 
     /// Advances the clock in steps of 500 ms, with these announcements at each
     /// step. Returns the published versions.
-    pub fn run(&mut self, millis: u64, announcements: &[Announcement]) -> Vec<Publication> {
+    pub fn run(&mut self, millis: u64, announcements: &[UpstreamAnnouncement]) -> Vec<Publication> {
         let mut published = Vec::new();
         for _ in 0..millis / 500 {
             self.now += 500;
@@ -130,7 +130,7 @@
         published
     }
 
-    pub fn members(&self) -> &BTreeMap<UpstreamId, Member> {
+    pub fn members(&self) -> &BTreeMap<UpstreamId, UpstreamMember> {
         self.registry.members(SERVICE)
     }
 
--- a/crates/member/tests/properties.rs
+++ b/crates/member/tests/properties.rs
@@ -6,7 +6,7 @@
 
 use arbtest::{arbitrary, arbtest};
 use common::{Leader, announcement, host, newly_ready, with_load};
-use types::{Announcement, Member, Share, UpstreamId, UpstreamState::*};
+use types::{Share, UpstreamAnnouncement, UpstreamId, UpstreamMember, UpstreamState::*};
 
 /// Number of random runs; the case number is the seed.
 const CASES: u64 = 500;
@@ -47,7 +47,7 @@
                     newly_ready(n)
                 }
                 .ready_for;
-                let announcement = Announcement {
+                let announcement = UpstreamAnnouncement {
                     state: *u.choose(&[Ready, Ready, Ready, Leaving, Down])?,
                     ready_for,
                     ..with_load(n, 8, u.int_in_range(0..=20)?, u.int_in_range(0..=5)?)
@@ -71,7 +71,7 @@
     leader: &Leader,
     announced: &BTreeMap<u64, (u64, types::UpstreamState)>,
     drained: [bool; 6],
-    before: &BTreeMap<UpstreamId, Member>,
+    before: &BTreeMap<UpstreamId, UpstreamMember>,
 ) {
     let (version, members) = (leader.registry.version(), leader.members());
     if leader.now < LEASE_MILLIS {
--- a/crates/member/tests/shares.rs
+++ b/crates/member/tests/shares.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{CARRY, Leader, SERVICE, announcement, host, in_state, newly_ready, with_load};
-use types::{Announcement, UpstreamId, UpstreamState::*};
+use types::{UpstreamAnnouncement, UpstreamId, UpstreamState::*};
 
 /// Guards against flows to an upstream that some balancers do not have in their
 /// membership yet, and against a new upstream that gets its full share at once.
@@ -31,7 +31,7 @@
 fn a_new_leader_ramps_only_new_upstreams() {
     let aged = |n, secs| {
         let ready_for = std::time::Duration::from_secs(secs);
-        Announcement {
+        UpstreamAnnouncement {
             ready_for,
             ..announcement(n)
         }
@@ -39,7 +39,12 @@
     let mut leader = Leader::new();
     leader.run(3000, &[aged(1, 60), aged(2, 6), aged(3, 1), newly_ready(4)]);
     assert_eq!(leader.shares(), [1024, 256, 0, 0]);
-    assert!(leader.members().values().all(|m| m.former_share == m.share));
+    assert!(
+        leader
+            .members()
+            .values()
+            .all(|m| m.previous_share == m.share)
+    );
     // After the first publication, the propagation delay applies at any age.
     leader.run(500, &[aged(5, 60)]);
     assert_eq!(leader.share(5), Some(0));
@@ -62,7 +67,7 @@
         assert_eq!(leader.tick().unwrap().seq, 2);
         assert_eq!(leader.shares(), [0, 1024, 1024]);
         let member = &leader.members()[&UpstreamId(1)];
-        assert_eq!((member.state, member.former_share.0), (state, 1024));
+        assert_eq!((member.state, member.previous_share.0), (state, 1024));
         assert_eq!(leader.registry.status(SERVICE).leaving_upstreams, leaving);
         leader.run(2500, &[announcement(2), announcement(3)]);
         assert_eq!(leader.share(1), Some(0), "{state}");
--- a/crates/member/tests/versions.rs
+++ b/crates/member/tests/versions.rs
@@ -6,7 +6,8 @@
 
 use common::{CARRY, Leader, SERVICE, announcement, host, in_state, with_load};
 use types::{
-    Announcement, Balancer, Connections, ServiceId, Slots, Term, UpstreamId, UpstreamState::*,
+    BalancerAnnouncement, Connections, ServiceId, Slots, Term, UpstreamAnnouncement, UpstreamId,
+    UpstreamState::*,
 };
 
 /// Guards against a new leader that removes upstreams whose announcements it has
@@ -41,7 +42,7 @@
     registry.set_service(ServiceId(2), &"other".parse().unwrap(), &BTreeMap::new());
     registry.set_drain(&host(1), true);
     leader.announce(&in_state(2, Leaving));
-    leader.announce(&Announcement {
+    leader.announce(&UpstreamAnnouncement {
         service: "other".parse().unwrap(),
         ..announcement(6)
     });
@@ -72,31 +73,31 @@
     registry.announce(
         now,
         &host(1),
-        &Announcement {
-            data,
+        &UpstreamAnnouncement {
+            data_address: data,
             ..announcement(8)
         },
     );
     leader.tick();
     assert_eq!(leader.shares(), [1024, 1024, 1024, 0]);
-    leader.announce(&Announcement {
-        data,
+    leader.announce(&UpstreamAnnouncement {
+        data_address: data,
         ..announcement(9)
     });
-    leader.announce(&Announcement {
-        data,
+    leader.announce(&UpstreamAnnouncement {
+        data_address: data,
         ..announcement(8)
     });
     leader.tick();
     let ids: Vec<_> = leader.members().keys().map(|id| id.0).collect();
     assert_eq!(ids, [1, 2, 3, 9]);
     // An upstream may change its own address.
-    leader.announce(&Announcement {
-        data,
+    leader.announce(&UpstreamAnnouncement {
+        data_address: data,
         ..announcement(1)
     });
     leader.tick();
-    assert_eq!(leader.members()[&UpstreamId(1)].data, data);
+    assert_eq!(leader.members()[&UpstreamId(1)].data_address, data);
     assert!(!leader.members().contains_key(&UpstreamId(9)));
 }
 
@@ -123,7 +124,7 @@
 fn balancers_have_leases_too() {
     let mut leader = Leader::with_warm_upstreams(1);
     let return_address = ([127, 0, 0, 1], 5).into();
-    let balancer = Balancer { return_address };
+    let balancer = BalancerAnnouncement { return_address };
     let now = leader.at(leader.now);
     leader.registry.announce_balancer(now, &host(70), balancer);
     assert!(leader.tick().unwrap().balancers_changed);
@@ -139,7 +140,7 @@
 fn status_sums_up_a_service() {
     let mut leader = Leader::with_warm_upstreams(4);
     for (n, state) in [(1, Leaving), (2, Ready)] {
-        leader.announce(&Announcement {
+        leader.announce(&UpstreamAnnouncement {
             state,
             connections: Connections(40),
             ..with_load(n, CARRY - 1, 5, 2)
--- a/crates/route/src/version/routing_table.rs
+++ b/crates/route/src/version/routing_table.rs
@@ -5,7 +5,7 @@
     net::SocketAddr,
 };
 
-use types::{FlowKey, FlowPhase, Member, ServiceId, ServiceState, Share, UpstreamId};
+use types::{FlowKey, FlowPhase, ServiceId, ServiceState, Share, UpstreamId, UpstreamMember};
 
 use crate::{
     connection::{Arrival, Decision, DropReason, Hop},
@@ -170,11 +170,11 @@
     /// Creates the entry of `state`. Owners in `old` are reused where the share
     /// lists are equal.
     fn new(state: &ServiceState, old: Option<Box<ServiceEntry>>) -> Self {
-        let share_list = |share: fn(&Member) -> Share| -> ShareList {
+        let share_list = |share: fn(&UpstreamMember) -> Share| -> ShareList {
             let shares = state.members.iter().map(|(id, m)| (*id, share(m)));
             shares.filter(|(_, share)| share.0 > 0).collect()
         };
-        let (current, former) = (share_list(|m| m.share), share_list(|m| m.former_share));
+        let (current, former) = (share_list(|m| m.share), share_list(|m| m.previous_share));
         let old: Vec<BucketOwners> = old
             .into_iter()
             .flat_map(|old| [Some(old.current_owners), old.former_owners])
@@ -191,7 +191,7 @@
             .iter()
             .map(|(id, member)| Hop {
                 upstream: *id,
-                address: member.data,
+                address: member.data_address,
             })
             .partition(|hop| state.members[&hop.upstream].share.0 > 0);
         ServiceEntry {
--- a/crates/route/tests/routing_table.rs
+++ b/crates/route/tests/routing_table.rs
@@ -7,8 +7,8 @@
 use arbtest::arbtest;
 use route::{Arrival, Decision, DropReason, Hop, RoutingTable, address_flow_key, flow_key};
 use types::{
-    FlowKey, FlowPhase, Member, Revision, Service, ServiceId, ServiceState, Share, UpstreamId,
-    UpstreamState, Version,
+    FlowKey, FlowPhase, Revision, Service, ServiceId, ServiceState, Share, UpstreamId,
+    UpstreamMember, UpstreamState, Version,
 };
 
 /// Number of random cases per property; the case number is the seed.
@@ -26,14 +26,14 @@
 /// A service whose members are given by id, current share and former share.
 fn state(id: u32, members: &[(u64, u32, u32)]) -> ServiceState {
     let member = |&(upstream, share, former): &(u64, u32, u32)| {
-        let member = Member {
+        let member = UpstreamMember {
             host: "h1".parse().unwrap(),
             data_centre: "dc1".parse().unwrap(),
-            data: address(id, upstream),
-            peer: address(id, upstream),
+            data_address: address(id, upstream),
+            peer_address: address(id, upstream),
             state: UpstreamState::Ready,
             share: Share(share),
-            former_share: Share(former),
+            previous_share: Share(former),
         };
         (UpstreamId(upstream), member)
     };
@@ -308,7 +308,7 @@
 fn a_reused_address_does_not_receive_flows_of_the_former_upstream() {
     let mut table = table(&[state(1, &[(1, 1, 1)])]);
     let mut next = state(1, &[(2, 1, 1)]);
-    next.members.get_mut(&UpstreamId(2)).unwrap().data = address(1, 1);
+    next.members.get_mut(&UpstreamId(2)).unwrap().data_address = address(1, 1);
     table.apply([next], []);
     let decide = |id| {
         let flow = flow_key(ServiceId(1), b"flow");
@@ -329,7 +329,7 @@
 fn a_changed_address_of_an_upstream_is_used_at_once() {
     let mut table = table(&[state(1, &[(1, 1, 1), (2, 0, 0)])]);
     let mut moved = state(1, &[(0, 0, 0), (1, 1, 1)]);
-    moved.members.get_mut(&UpstreamId(1)).unwrap().data = address(1, 7);
+    moved.members.get_mut(&UpstreamId(1)).unwrap().data_address = address(1, 7);
     table.apply([moved], []);
     let flow = flow_key(ServiceId(1), b"flow");
     let decision = table.decide(ServiceId(1), flow, FlowPhase::Opens, None);
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -36,7 +36,8 @@
     GroupRequest, Refusal, RequestId, ReservationId, Slots, UnixMillis,
 };
 pub use version::{
-    Announcement, Balancer, CidKey, ClassLoad, KeyGeneration, KeySet, Loads, Member, PathPrefix,
+    BalancerAnnouncement, CidKey, ClassLoad, ClassLoads, KeyGeneration, KeySet, PathPrefix,
     Revision, RouteWeight, RoutingDelta, RoutingRule, RoutingSet, RoutingSetNumber, Service,
-    ServiceId, ServiceState, Share, Target, Term, UpstreamState, Version,
+    ServiceId, ServiceState, Share, Target, Term, UpstreamAnnouncement, UpstreamMember,
+    UpstreamState, Version,
 };
--- a/crates/types/src/version/member.rs
+++ b/crates/types/src/version/member.rs
@@ -52,12 +52,12 @@
 }
 
 /// Load of each class of work at one upstream.
-pub type Loads = BTreeMap<ClassName, ClassLoad>;
+pub type ClassLoads = BTreeMap<ClassName, ClassLoad>;
 
 /// What an agent tells the control group of its upstream. Soft state.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Announcement {
+pub struct UpstreamAnnouncement {
     /// Identity of this run of the agent.
     pub id: UpstreamId,
     /// Service whose requests the upstream serves.
@@ -65,16 +65,16 @@
     /// Data centre of the upstream.
     pub data_centre: DataCentre,
     /// Where the agent takes datagrams from balancers.
-    pub data: SocketAddr,
+    pub data_address: SocketAddr,
     /// Where the agent takes requests that a peer hands off.
-    pub peer: SocketAddr,
+    pub peer_address: SocketAddr,
     /// State of the upstream.
     pub state: UpstreamState,
     /// Connections that the agent holds.
     pub connections: Connections,
     /// Load of each class of work. The classes served when `classes` was
     /// given, else every class of the service.
-    pub loads: Loads,
+    pub loads: ClassLoads,
     /// Time since a control leader first took an announcement of this run as
     /// ready; zero until then, and again after the upstream was down. A new
     /// leader does not ramp an upstream again that was ready before its term.
@@ -85,21 +85,21 @@
 
 /// An upstream within a published membership.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Member {
+pub struct UpstreamMember {
     /// Host of the agent.
     pub host: HostName,
     /// Data centre of the upstream.
     pub data_centre: DataCentre,
     /// Where the agent takes datagrams from balancers.
-    pub data: SocketAddr,
+    pub data_address: SocketAddr,
     /// Where the agent takes requests that a peer hands off.
-    pub peer: SocketAddr,
+    pub peer_address: SocketAddr,
     /// State of the upstream.
     pub state: UpstreamState,
     /// Present weight in the placement of new flows.
     pub share: Share,
     /// Weight in the placement before the present one.
-    pub former_share: Share,
+    pub previous_share: Share,
 }
 
 /// A service together with its upstreams, as nodes are told of it.
@@ -108,14 +108,14 @@
     /// The configured part.
     pub service: Service,
     /// Every upstream with a lease, those with share 0 included.
-    pub members: BTreeMap<UpstreamId, Member>,
+    pub members: BTreeMap<UpstreamId, UpstreamMember>,
     /// Version in which this state was last changed.
     pub version: Version,
 }
 
 /// A balancer as it announces itself. Soft state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Balancer {
+pub struct BalancerAnnouncement {
     /// Where the balancer takes answers and probes from agents.
     pub return_address: SocketAddr,
 }
--- a/crates/types/src/version/mod.rs
+++ b/crates/types/src/version/mod.rs
@@ -7,7 +7,10 @@
 mod service;
 
 pub use key::{CidKey, KeyGeneration, KeySet};
-pub use member::{Announcement, Balancer, ClassLoad, Loads, Member, ServiceState, UpstreamState};
+pub use member::{
+    BalancerAnnouncement, ClassLoad, ClassLoads, ServiceState, UpstreamAnnouncement,
+    UpstreamMember, UpstreamState,
+};
 pub use number::{Revision, Term, Version};
 pub use routes::{RouteWeight, RoutingDelta, RoutingRule, RoutingSet, RoutingSetNumber};
 pub use service::{PathPrefix, Service, ServiceId, Share, Target};
--- a/crates/wire/src/request/reserve.rs
+++ b/crates/wire/src/request/reserve.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 use serde_with::{DurationMilliSeconds, serde_as};
-use types::{ClassName, Loads, ReservationId, ServiceId, UpstreamId};
+use types::{ClassLoads, ClassName, ReservationId, ServiceId, UpstreamId};
 
 /// Asks a peer to hold a slot for a request.
 #[serde_as]
@@ -50,7 +50,7 @@
     /// No slot is free, or the peer takes no new work.
     Refused {
         /// Present loads of the peer.
-        loads: Loads,
+        loads: ClassLoads,
     },
     /// The request is for another service or another incarnation.
     Misdirected,
--- a/crates/wire/src/version/sync.rs
+++ b/crates/wire/src/version/sync.rs
@@ -9,8 +9,8 @@
 use serde::{Deserialize, Serialize};
 use serde_with::{DurationMilliSeconds, serde_as};
 use types::{
-    Announcement, Balancer, DataCentre, HostName, KeySet, Loads, Role, ServiceId, ServiceName,
-    ServiceState, UpstreamId, Version,
+    BalancerAnnouncement, ClassLoads, DataCentre, HostName, KeySet, Role, ServiceId, ServiceName,
+    ServiceState, UpstreamAnnouncement, UpstreamId, Version,
 };
 
 /// Services that a node wants to know.
@@ -51,9 +51,9 @@
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub hold: Duration,
     /// The upstream of an agent.
-    pub upstream: Option<Announcement>,
+    pub upstream: Option<UpstreamAnnouncement>,
     /// The sockets of a balancer.
-    pub balancer: Option<Balancer>,
+    pub balancer: Option<BalancerAnnouncement>,
 }
 
 /// Reply to a [`SyncRequest`].
@@ -62,7 +62,7 @@
     /// The node is up to date, as a majority has confirmed.
     Current {
         /// Present loads of the upstreams in the subset.
-        loads: BTreeMap<UpstreamId, Loads>,
+        loads: BTreeMap<UpstreamId, ClassLoads>,
         /// Whether the leader has published a membership. Before that, other
         /// nodes may have another membership in force.
         settled: bool,
@@ -92,9 +92,9 @@
     /// Services that were deleted.
     pub removed: Vec<ServiceId>,
     /// Every balancer with a lease.
-    pub balancers: BTreeMap<HostName, Balancer>,
+    pub balancers: BTreeMap<HostName, BalancerAnnouncement>,
     /// Hosts whose upstream an operator drains.
     pub drains: BTreeSet<HostName>,
     /// Present loads of the upstreams in the subset.
-    pub loads: BTreeMap<UpstreamId, Loads>,
+    pub loads: BTreeMap<UpstreamId, ClassLoads>,
 }
