--- a/crates/agent/src/process/packet_router.rs
+++ b/crates/agent/src/process/packet_router.rs
@@ -4,7 +4,7 @@
 
 use route::{Arrival, Decision, Hop, RoutingTable, flow_key};
 use types::{FlowKey, FlowPhase, ServiceId, ServiceState, UpstreamId};
-use wire::{CidCodec, LongKind, QuicHeader, ServiceTag};
+use wire::{CidCodec, LongHeaderKind, QuicHeader, ServiceTag};
 
 use super::recent_flows::RecentFlows;
 
@@ -80,7 +80,7 @@
             return PacketDecision::Drop("other_service");
         };
         let (kind, dcid) = match QuicHeader::decode(packet) {
-            Ok(QuicHeader::Short { dcid }) => (LongKind::Handshake, dcid),
+            Ok(QuicHeader::Short { dcid }) => (LongHeaderKind::Handshake, dcid),
             Ok(QuicHeader::Long { kind, dcid }) => (kind, dcid),
             Err(e) => return PacketDecision::Drop(e.category().as_str()),
         };
@@ -94,7 +94,7 @@
                 PacketDecision::Drop("other_service")
             }
             Some(Ok(_)) => PacketDecision::Deliver,
-            _ if kind == LongKind::Handshake => PacketDecision::Drop("unknown_id"),
+            _ if kind == LongHeaderKind::Handshake => PacketDecision::Drop("unknown_id"),
             _ => self.decide_initial(now, service, flow_key(service, dcid), arrival),
         }
     }
@@ -112,7 +112,7 @@
             self.recent_flows.insert(now, flow);
             return PacketDecision::Deliver;
         }
-        let phase = FlowPhase::Opens;
+        let phase = FlowPhase::New;
         match self
             .table
             .pass_on(service, flow, self.own_id, phase, arrival)
--- a/crates/agent/src/process/run.rs
+++ b/crates/agent/src/process/run.rs
@@ -18,7 +18,7 @@
     time::{timeout, timeout_at},
 };
 use types::{ClassLoads, Connections, Role, UpstreamAnnouncement, UpstreamId, UpstreamState};
-use wire::Subset;
+use wire::ServiceSubset;
 
 use super::{
     AdmissionHandle, BalancerPolicy, IdempotencyHandle, Metrics, ReachableOnly, ServiceCertificate,
@@ -224,7 +224,7 @@
 
 fn sync_settings(cfg: &Settings) -> SyncSettings {
     SyncSettings {
-        subset: Subset::Named([cfg.service.clone()].into()),
+        subset: ServiceSubset::Named([cfg.service.clone()].into()),
         ..SyncSettings::new(
             cfg.host.clone(),
             Role::Agent,
--- a/crates/balancer/src/connection/mod.rs
+++ b/crates/balancer/src/connection/mod.rs
@@ -4,7 +4,7 @@
 
 use route::{Decision, DropReason, Hop, flow_key};
 use types::{FlowPhase, ServiceId};
-use wire::{Endpoints, LongKind, QuicHeader, ServiceTag};
+use wire::{Endpoints, LongHeaderKind, QuicHeader, ServiceTag};
 
 use crate::Classifier;
 
@@ -104,18 +104,24 @@
         }
     }
 
-    fn handshake(&self, service: ServiceId, kind: LongKind, dcid: &[u8], packet: &[u8]) -> Verdict {
+    fn handshake(
+        &self,
+        service: ServiceId,
+        kind: LongHeaderKind,
+        dcid: &[u8],
+        packet: &[u8],
+    ) -> Verdict {
         match (self.decode(dcid), kind) {
             (Some(id), _) => self.by_id(service, dcid, &id),
-            (None, LongKind::Handshake) => {
+            (None, LongHeaderKind::Handshake) => {
                 Verdict::Drop(DropCause::Input(wire::Category::UnknownId))
             }
-            (None, LongKind::MayOpen) if packet.len() < MIN_OPENING => {
+            (None, LongHeaderKind::MayOpen) if packet.len() < MIN_OPENING => {
                 Verdict::Drop(DropCause::Undersized)
             }
-            (None, LongKind::MayOpen) => {
+            (None, LongHeaderKind::MayOpen) => {
                 let flow = flow_key(service, dcid);
-                verdict(self.table.decide(service, flow, FlowPhase::Opens, None))
+                verdict(self.table.decide(service, flow, FlowPhase::New, None))
             }
         }
     }
@@ -128,7 +134,7 @@
         let upstream = Some(id.upstream);
         verdict(
             self.table
-                .decide(service, flow, FlowPhase::Continues, upstream),
+                .decide(service, flow, FlowPhase::Established, upstream),
         )
     }
 
--- a/crates/bench/src/bin/control.rs
+++ b/crates/bench/src/bin/control.rs
@@ -25,7 +25,7 @@
     Connections, HostName, Revision, Role, ServiceId, Slots, Target, Term, UpstreamAnnouncement,
     UpstreamId, UpstreamState, Version,
 };
-use wire::{Subset, SyncReply, SyncRequest, request::ChangeReply};
+use wire::{ServiceSubset, SyncReply, SyncRequest, request::ChangeReply};
 
 /// Time for anything to come about.
 const PATIENCE: Duration = Duration::from_secs(20);
@@ -99,7 +99,7 @@
         let mut apply = |state: &mut config::State, base, change| {
             index += 1;
             let req = request(base, change);
-            state.apply(Revision(index), req.id.created(), &req);
+            state.apply(Revision(index), req.id.created_at(), &req);
             Revision(index)
         };
         for n in 0..count {
@@ -162,7 +162,7 @@
         role: Role::Balancer,
         data_centre: "sofia".parse().unwrap(),
         have,
-        subset: Subset::All,
+        subset: ServiceSubset::All,
         hold: Duration::ZERO,
         upstream: None,
         balancer: None,
@@ -271,7 +271,7 @@
             control.to_vec(),
         );
         if let Some(upstream) = &report.upstream {
-            cfg.subset = Subset::Named([upstream.service.clone()].into());
+            cfg.subset = ServiceSubset::Named([upstream.service.clone()].into());
         }
         let http = Http::default();
         let applied: Applied = Rc::default();
--- a/crates/bench/src/bin/route.rs
+++ b/crates/bench/src/bin/route.rs
@@ -295,7 +295,7 @@
 
 fn forwards(table: &RoutingTable, service: ServiceId, upstream: Option<UpstreamId>) {
     let flow = FlowKey(0x9e37_79b9_7f4a_7c15);
-    let decision = table.decide(service, flow, FlowPhase::Opens, upstream);
+    let decision = table.decide(service, flow, FlowPhase::New, upstream);
     assert!(matches!(black_box(decision), Decision::Forward(_)));
 }
 
--- a/crates/client/src/process/mod.rs
+++ b/crates/client/src/process/mod.rs
@@ -121,7 +121,7 @@
         if !response.status().is_success() {
             return Err(ErrorKind::Status(host, response.status()).into());
         }
-        let body = response.body().limit(wire::MAX_MESSAGE).await;
+        let body = response.body().limit(wire::MAX_MESSAGE_LEN).await;
         let body = body.map_err(|e| ErrorKind::Body(host, e))?;
         self.count(0, body.len());
         Ok(body)
--- a/crates/client/src/request/mod.rs
+++ b/crates/client/src/request/mod.rs
@@ -13,7 +13,7 @@
 use serde::{Serialize, de::DeserializeOwned};
 use tokio::{net::TcpStream, time::timeout_at};
 use types::ChangeRequest;
-use wire::request::{ChangeReply, GroupCall, GroupRefusal, GroupReply};
+use wire::request::{ChangeReply, GroupChangeRequest, GroupRefusal, GroupReply};
 
 pub use redirect::Redirect;
 
@@ -103,7 +103,7 @@
     /// These changes have no id, so one whose answer is lost is not sent
     /// again: the answer to a second attempt could deny the first. The caller
     /// looks at the group instead.
-    pub async fn change_group(&self, req: &GroupCall, deadline: Instant) -> GroupOutcome {
+    pub async fn change_group(&self, req: &GroupChangeRequest, deadline: Instant) -> GroupOutcome {
         let mut hint = None;
         loop {
             let mut round = Round::new(hint.take(), &self.control);
--- a/crates/client/src/version/sync.rs
+++ b/crates/client/src/version/sync.rs
@@ -12,7 +12,7 @@
     BalancerAnnouncement, ClassLoads, DataCentre, HostName, Role, UpstreamAnnouncement, UpstreamId,
     Version,
 };
-use wire::{Subset, SyncReply, SyncRequest, Update};
+use wire::{ServiceSubset, SyncReply, SyncRequest, Update};
 
 use crate::{Http, Result};
 
@@ -31,7 +31,7 @@
     /// The control hosts; never empty.
     pub control: Vec<SocketAddr>,
     /// Services that the node wants to know.
-    pub subset: Subset,
+    pub subset: ServiceSubset,
     /// Longest time that the leader holds a request.
     pub hold: Duration,
     /// Time without an answer after which the next host is tried. Longer
@@ -56,7 +56,7 @@
             role,
             data_centre,
             control,
-            subset: Subset::All,
+            subset: ServiceSubset::All,
             hold: Duration::from_secs(1),
             timeout: Duration::from_secs(2),
             max_pause: Duration::from_millis(300),
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -39,9 +39,9 @@
 //!     },
 //! };
 //! let mut state = State::default();
-//! assert_eq!(state.apply(Revision(7), id.created(), &req), Answer::Accepted(Revision(7)));
+//! assert_eq!(state.apply(Revision(7), id.created_at(), &req), Answer::Accepted(Revision(7)));
 //! // A resend gets the first answer and changes nothing.
-//! assert_eq!(state.apply(Revision(8), id.created(), &req), Answer::Accepted(Revision(7)));
+//! assert_eq!(state.apply(Revision(8), id.created_at(), &req), Answer::Accepted(Revision(7)));
 //! assert_eq!(state.revision(), Revision(7));
 //! assert!(matches!(state.delta_since(Revision(7)), Delta::Changes(c) if c.is_empty()));
 //! # Ok::<(), types::Error>(())
--- a/crates/config/src/request/answers.rs
+++ b/crates/config/src/request/answers.rs
@@ -78,8 +78,8 @@
     pub(crate) fn keep(&mut self, id: ChangeId, digest: u64, now: UnixMillis, answer: Answer) {
         // The date of an id that is refused as too far ahead is capped, so
         // that a broken clock cannot make an answer stay for years.
-        let dated = id.created().clamp(now, now.plus(ANSWER_KEPT));
-        let until = dated.plus(ANSWER_KEPT);
+        let dated = id.created_at().clamp(now, now.saturating_add(ANSWER_KEPT));
+        let until = dated.saturating_add(ANSWER_KEPT);
         self.by_end.insert((until, id));
         self.by_id.insert(
             id,
@@ -110,10 +110,10 @@
 
 /// Checks that an id that was not seen before is neither too old nor too new.
 pub(crate) fn check_date(id: ChangeId, now: UnixMillis) -> Result<(), Refusal> {
-    if id.created().plus(ANSWER_KEPT) < now {
+    if id.created_at().saturating_add(ANSWER_KEPT) < now {
         return Err(Refusal::IdExpired(id));
     }
-    if id.created() > now.plus(ID_AHEAD) {
+    if id.created_at() > now.saturating_add(ID_AHEAD) {
         return Err(Refusal::IdInFuture(id));
     }
     Ok(())
--- a/crates/config/src/version/mark.rs
+++ b/crates/config/src/version/mark.rs
@@ -43,7 +43,7 @@
     /// but a superseded one only when no flow can carry its ids any more.
     pub(crate) fn accepts(&self, key: &CidKey, now: UnixMillis) -> bool {
         let superseded = self.set.other.is_some() && self.pending().is_none();
-        let retired = now >= self.activated_at.plus(KEY_RETIRES_AFTER);
+        let retired = now >= self.activated_at.saturating_add(KEY_RETIRES_AFTER);
         key.generation == self.set.current.generation.next() && (retired || !superseded)
     }
 }
--- a/crates/control/src/process/group.rs
+++ b/crates/control/src/process/group.rs
@@ -23,7 +23,7 @@
 };
 use wire::{
     SyncReply, SyncRequest,
-    request::{ChangeReply, GroupCall, GroupReply, HelloReply, Query, QueryReply},
+    request::{ChangeReply, GroupChangeRequest, GroupReply, HelloReply, Query, QueryReply},
 };
 
 use super::{Settings, leadership::Leadership, metrics::Metrics, peers::Peers};
@@ -54,7 +54,7 @@
     /// An operator's query.
     Query(Query, oneshot::Sender<QueryReply>),
     /// An operator's change of the group.
-    ChangeGroup(GroupCall, oneshot::Sender<GroupReply>),
+    ChangeGroup(GroupChangeRequest, oneshot::Sender<GroupReply>),
     /// A node's request to be brought up to date.
     Sync(Box<SyncRequest>, oneshot::Sender<SyncReply>),
 }
@@ -387,7 +387,7 @@
 
     /// Has a change of the group noted in the audit trail. A leader that removed
     /// itself can no longer do so.
-    fn note(&mut self, call: GroupCall, refused: Option<GroupRefusal>) {
+    fn note(&mut self, call: GroupChangeRequest, refused: Option<GroupRefusal>) {
         self.notes.push(ChangeRequest {
             id: ChangeId::generate(),
             author: call.author,
--- a/crates/control/src/process/http.rs
+++ b/crates/control/src/process/http.rs
@@ -13,7 +13,7 @@
 use types::{Change, ChangeRequest};
 use wire::{
     SyncRequest,
-    request::{ChangeReply, GroupCall, GroupReply, Hello, Query, QueryReply},
+    request::{ChangeReply, GroupChangeRequest, GroupReply, Hello, Query, QueryReply},
 };
 
 use super::{CONSENSUS_PATH, GroupCommand, HELLO_PATH, Settings};
@@ -41,7 +41,7 @@
             .app_data(tx.clone())
             .app_data(gate.clone())
             .wrap(from_fn(auth::enforce))
-            .app_data(web::PayloadConfig::new(wire::MAX_MESSAGE))
+            .app_data(web::PayloadConfig::new(wire::MAX_MESSAGE_LEN))
             .route(CONSENSUS_PATH, web::post().to(consensus))
             .route(HELLO_PATH, web::post().to(hello))
             .route("/v1/change", web::post().to(change))
@@ -107,7 +107,7 @@
 }
 
 async fn group(tx: Tx, http: HttpRequest, body: Bytes) -> HttpResponse {
-    let Ok(req) = wire::decode::<GroupCall>(&body) else {
+    let Ok(req) = wire::decode::<GroupChangeRequest>(&body) else {
         return HttpResponse::BadRequest().finish();
     };
     if let Some(refusal) = auth::refuse_author(&http, &req.author) {
--- a/crates/control/src/request/mod.rs
+++ b/crates/control/src/request/mod.rs
@@ -7,7 +7,9 @@
 use types::ChangeRequest;
 use wire::{
     SyncReply, SyncRequest,
-    request::{ChangeReply, GroupCall, GroupRefusal, GroupReply, GroupRequest, Query, QueryReply},
+    request::{
+        ChangeReply, GroupChangeRequest, GroupRefusal, GroupReply, GroupRequest, Query, QueryReply,
+    },
 };
 
 /// A request that waits for a commit or a confirmed read.
@@ -18,7 +20,7 @@
     /// A change that the leader itself proposed.
     Own,
     /// A change of the group.
-    Group(GroupCall, oneshot::Sender<GroupReply>),
+    Group(GroupChangeRequest, oneshot::Sender<GroupReply>),
     /// An operator's query.
     Query(Query, oneshot::Sender<QueryReply>),
     /// Requests of nodes to be brought up to date.
--- a/crates/control/src/version/mod.rs
+++ b/crates/control/src/version/mod.rs
@@ -5,7 +5,7 @@
 use config::{Changes, Delta, State};
 use member::Registry;
 use types::{ClassLoads, Revision, Role, ServiceId, ServiceState, UpstreamId, Version};
-use wire::{Subset, SyncReply, SyncRequest, Update};
+use wire::{ServiceSubset, SyncReply, SyncRequest, Update};
 
 /// The configuration and, once it is settled, the membership.
 #[derive(Debug, Clone, Copy)]
@@ -143,7 +143,7 @@
     /// ClassLoads of the upstreams of named services; a node that wants all
     /// services only forwards and needs none.
     fn loads(&self, req: &SyncRequest) -> BTreeMap<UpstreamId, ClassLoads> {
-        let Subset::Named(names) = &req.subset else {
+        let ServiceSubset::Named(names) = &req.subset else {
             return BTreeMap::new();
         };
         names
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -7,7 +7,7 @@
     Change, ChangeId, ChangeRequest, Connections, Revision, Role, Slots, Target, UnixMillis,
     UpstreamAnnouncement, UpstreamId, UpstreamState, Version,
 };
-use wire::{Subset, SyncRequest};
+use wire::{ServiceSubset, SyncRequest};
 
 pub fn create(service: &str, port: u16) -> Change {
     Change::CreateService {
@@ -38,7 +38,7 @@
 
 pub fn apply(state: &mut config::State, index: u64, change: Change) {
     let req = request(Revision(0), change);
-    let at = req.id.created().max(UnixMillis(1));
+    let at = req.id.created_at().max(UnixMillis(1));
     let answer = state.apply(Revision(index), at, &req);
     assert_eq!(answer, types::Answer::Accepted(Revision(index)));
 }
@@ -50,7 +50,7 @@
         role: Role::Agent,
         data_centre: "dar-1".parse().unwrap(),
         have,
-        subset: Subset::Named([service.parse().unwrap()].into()),
+        subset: ServiceSubset::Named([service.parse().unwrap()].into()),
         hold: Duration::from_secs(1),
         upstream: Some(announcement(service)),
         balancer: None,
@@ -62,7 +62,7 @@
     SyncRequest {
         host: "lb-1".parse().unwrap(),
         role: Role::Balancer,
-        subset: Subset::All,
+        subset: ServiceSubset::All,
         upstream: None,
         ..agent("vouchers", have)
     }
--- a/crates/control/tests/version.rs
+++ b/crates/control/tests/version.rs
@@ -164,7 +164,9 @@
         let base = leader.state.service(&"badges".parse().unwrap()).unwrap();
         let change = set_target("badges", u32::try_from(n % 7).unwrap() + 1);
         let req = common::request(base.revision, change);
-        leader.state.apply(Revision(10 + n), req.id.created(), &req);
+        leader
+            .state
+            .apply(Revision(10 + n), req.id.created_at(), &req);
     }
     let update = leader.update(&balancer(Some(version(2, TERM, 1))));
     assert_eq!(ids(&update), [1]);
@@ -292,7 +294,7 @@
     let name: types::ServiceName = "vouchers".parse().unwrap();
     let base = leader.state.service(&name).unwrap().revision;
     let req = common::request(base, Change::DeleteService { name });
-    leader.state.apply(Revision(3), req.id.created(), &req);
+    leader.state.apply(Revision(3), req.id.created_at(), &req);
     let update = leader.update(&balancer(Some(version(2, TERM, 1))));
     assert_eq!(update.removed, [ServiceId(0)]);
     assert!(update.services.is_empty());
--- a/crates/dedup/src/process/home.rs
+++ b/crates/dedup/src/process/home.rs
@@ -87,7 +87,7 @@
         if self.may_have_missed_former_home(began, members) {
             self.indeterminate_until = self
                 .indeterminate_until
-                .max(unix_now.plus(self.settings.handover_time()));
+                .max(unix_now.saturating_add(self.settings.handover_time()));
         }
         let until = began + self.settings.lease;
         self.confirmed_until = self.confirmed_until.max(Some(until));
@@ -107,7 +107,7 @@
     }
 
     fn replace_members(&mut self, unix_now: UnixMillis, members: &BTreeSet<UpstreamId>) {
-        let until = unix_now.plus(self.settings.handover_time());
+        let until = unix_now.saturating_add(self.settings.handover_time());
         for &gone in self.members.difference(members) {
             self.departed.insert(gone, until);
         }
@@ -140,7 +140,7 @@
         if let Some(record) = self.records.get(&key) {
             return reply_for_record(record, fingerprint, from);
         }
-        if key.timestamp() > unix_now.plus(self.settings.max_clock_skew) {
+        if key.timestamp() > unix_now.saturating_add(self.settings.max_clock_skew) {
             return BeginReply::InFuture;
         }
         if key.timestamp() <= self.key_indeterminate_until(unix_now, key) {
--- a/crates/limpetctl/src/request/control.rs
+++ b/crates/limpetctl/src/request/control.rs
@@ -9,7 +9,9 @@
 use client::GroupOutcome;
 use serde::Serialize;
 use types::MemberId;
-use wire::request::{GroupCall, GroupRefusal, GroupReport, GroupRequest, Hello, HelloReply};
+use wire::request::{
+    GroupChangeRequest, GroupRefusal, GroupReport, GroupRequest, Hello, HelloReply,
+};
 
 use super::{Context, resend::words};
 use crate::{
@@ -173,7 +175,7 @@
                 return Ok(());
             }
             if ready(&req, &status.group) {
-                let call = GroupCall {
+                let call = GroupChangeRequest {
                     author: self.cx.author(),
                     change: req,
                 };
--- a/crates/limpetctl/tests/common/host.rs
+++ b/crates/limpetctl/tests/common/host.rs
@@ -17,9 +17,9 @@
     UpstreamId, UpstreamState, Version,
 };
 use wire::request::{
-    ChangeReply, ClassReport, GroupCall, GroupRefusal, GroupReply, GroupReport, GroupRequest,
-    Hello, HelloReply, KeysReport, NodeReport, Query, QueryReply, ServiceReport, StatusReport,
-    UpstreamReport,
+    ChangeReply, ClassReport, GroupChangeRequest, GroupRefusal, GroupReply, GroupReport,
+    GroupRequest, Hello, HelloReply, KeysReport, NodeReport, Query, QueryReply, ServiceReport,
+    StatusReport, UpstreamReport,
 };
 
 /// What goes wrong with a request. All but the last two take it first.
@@ -339,7 +339,7 @@
     if let Some(Fault::NotLeader | Fault::Unavailable) = fault {
         return reply(&GroupReply::NotLeader { leader: None });
     }
-    let req: GroupCall = wire::decode(&body).unwrap();
+    let req: GroupChangeRequest = wire::decode(&body).unwrap();
     let answer = running.borrow_mut().take_group(req.change, fault.is_some());
     match fault {
         Some(fault) => lost(fault, reply(&GroupReply::Unknown)).await,
--- a/crates/limpetd/tests/control.rs
+++ b/crates/limpetd/tests/control.rs
@@ -22,10 +22,10 @@
     Version,
 };
 use wire::{
-    Subset, SyncReply, SyncRequest,
+    ServiceSubset, SyncReply, SyncRequest,
     request::{
-        ChangeReply, GroupCall, GroupRefusal, GroupReply, GroupRequest, Hello, HelloReply, Query,
-        QueryReply,
+        ChangeReply, GroupChangeRequest, GroupRefusal, GroupReply, GroupRequest, Hello, HelloReply,
+        Query, QueryReply,
     },
 };
 
@@ -290,7 +290,7 @@
         role: Role::Balancer,
         data_centre: "dc0".parse().unwrap(),
         have,
-        subset: Subset::All,
+        subset: ServiceSubset::All,
         hold: Duration::from_millis(200),
         upstream: None,
         balancer: None,
@@ -426,7 +426,7 @@
 /// Changes the group, again while the leader says that it is too early.
 async fn change_group(site: &Site, change: GroupRequest) {
     let http = Http::default();
-    let call = GroupCall {
+    let call = GroupChangeRequest {
         author: "operator".parse().unwrap(),
         change,
     };
--- a/crates/limpetd/tests/tls.rs
+++ b/crates/limpetd/tests/tls.rs
@@ -31,8 +31,8 @@
 use tokio_rustls::{TlsAcceptor, TlsConnector};
 use types::{Change, ChangeId, ChangeRequest, MemberId, Revision, Role, Version};
 use wire::{
-    Subset, SyncRequest,
-    request::{GroupCall, GroupRequest, Hello, Query, QueryReply},
+    ServiceSubset, SyncRequest,
+    request::{GroupChangeRequest, GroupRequest, Hello, Query, QueryReply},
 };
 
 fn plan(range: u8) -> Plan {
@@ -348,7 +348,7 @@
             role: Role::Balancer,
             data_centre: "dc0".parse().unwrap(),
             have: None::<Version>,
-            subset: Subset::All,
+            subset: ServiceSubset::All,
             hold: Duration::ZERO,
             upstream: None,
             balancer: None,
@@ -357,7 +357,7 @@
         "/v1/query" => wire::encode(&Query::Status),
         "/v1/group" => {
             let address = harness::address(82, 99, 7000);
-            wire::encode(&GroupCall {
+            wire::encode(&GroupChangeRequest {
                 author: "operator".parse().unwrap(),
                 change: GroupRequest::AddLearner(MemberId(7), address),
             })
--- a/crates/relay/src/process/egress_queue.rs
+++ b/crates/relay/src/process/egress_queue.rs
@@ -61,7 +61,7 @@
     /// Appends a datagram. Returns `false` if the queue is full.
     pub fn push(&mut self, to: SocketAddrV4, datagram: Vec<u8>) -> bool {
         if let Some(rate) = self.rate
-            && rate.time(self.queued_bytes) >= MAX_QUEUE_TIME
+            && rate.transmission_time(self.queued_bytes) >= MAX_QUEUE_TIME
         {
             return false;
         }
@@ -87,7 +87,7 @@
         let size = datagram.len() + HEADER_BYTES;
         self.queued_bytes -= size;
         if let Some(rate) = self.rate {
-            self.link_free_at = self.link_free_at.max(now) + rate.time(size);
+            self.link_free_at = self.link_free_at.max(now) + rate.transmission_time(size);
         }
         Some((to, datagram))
     }
--- a/crates/relay/tests/egress.rs
+++ b/crates/relay/tests/egress.rs
@@ -85,5 +85,8 @@
     for megabits in [0.0, -1.0, f64::NAN] {
         assert_eq!(BytesPerSecond::from_megabits(megabits), None);
     }
-    assert_eq!(slow_link().time(575_000), Duration::from_secs(1));
+    assert_eq!(
+        slow_link().transmission_time(575_000),
+        Duration::from_secs(1)
+    );
 }
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -16,7 +16,7 @@
 //! let table = RoutingTable::default();
 //! let flow = flow_key(ServiceId(1), b"destination id");
 //! assert_eq!(
-//!     table.decide(ServiceId(1), flow, FlowPhase::Opens, None),
+//!     table.decide(ServiceId(1), flow, FlowPhase::New, None),
 //!     Decision::Drop(DropReason::UnknownService),
 //! );
 //! ```
--- a/crates/route/src/version/routing_table.rs
+++ b/crates/route/src/version/routing_table.rs
@@ -145,8 +145,8 @@
         let current = entry.current_owner_hop(service, flow);
         let is_owner = current.is_some_and(|hop| hop.upstream == own);
         let hop = match phase {
-            FlowPhase::Opens if entry.current_owners.has_share(own) => None,
-            FlowPhase::Continues if is_owner => entry.former_owner_hop(service, flow),
+            FlowPhase::New if entry.current_owners.has_share(own) => None,
+            FlowPhase::Established if is_owner => entry.former_owner_hop(service, flow),
             _ if current.is_none() => return Decision::Drop(DropReason::NoUpstream),
             _ => current,
         };
--- a/crates/route/tests/routing_table.rs
+++ b/crates/route/tests/routing_table.rs
@@ -17,7 +17,7 @@
 /// Bytes of random input per case; the low half of an arbtest seed.
 const INPUT_BYTES: u64 = 256;
 
-const PHASES: [FlowPhase; 2] = [FlowPhase::Opens, FlowPhase::Continues];
+const PHASES: [FlowPhase; 2] = [FlowPhase::New, FlowPhase::Established];
 
 fn address(service: u32, at: u64) -> SocketAddr {
     format!("10.0.{service}.{at}:443").parse().unwrap()
@@ -159,7 +159,7 @@
     let table = table(&[state(1, &[(1, 1, 1), (2, 1, 1)])]);
     let flow = flow_key(ServiceId(1), b"flow");
     for own in [1, 2].map(UpstreamId) {
-        let phase = FlowPhase::Opens;
+        let phase = FlowPhase::New;
         let decision = table.pass_on(ServiceId(1), flow, own, phase, Arrival::Forwarded);
         assert_eq!(decision, Decision::Drop(DropReason::NotHeld), "{own}");
     }
@@ -258,16 +258,16 @@
     let mut held = 0;
     for n in 0..1000_u32 {
         let flow = flow_key(id, &n.to_be_bytes());
-        let [was, now] = [&before, &after].map(|t| t.decide(id, flow, FlowPhase::Opens, None));
+        let [was, now] = [&before, &after].map(|t| t.decide(id, flow, FlowPhase::New, None));
         let Decision::Forward(owner) = now else {
             panic!("{now:?}")
         };
         assert_ne!(owner.upstream, leaving);
         if was == Decision::Forward(hop(1, 1)) {
             held += 1;
-            let continued = after.decide(id, flow, FlowPhase::Continues, Some(leaving));
+            let continued = after.decide(id, flow, FlowPhase::Established, Some(leaving));
             assert_eq!(continued, was);
-            let phase = FlowPhase::Continues;
+            let phase = FlowPhase::Established;
             let passed = after.pass_on(id, flow, owner.upstream, phase, Arrival::Forwarded);
             assert_eq!(passed, Decision::PassOn(hop(1, 1)));
         }
@@ -315,7 +315,7 @@
         table.decide(
             ServiceId(1),
             flow,
-            FlowPhase::Continues,
+            FlowPhase::Established,
             Some(UpstreamId(id)),
         )
     };
@@ -332,7 +332,7 @@
     moved.members.get_mut(&UpstreamId(1)).unwrap().data_address = address(1, 7);
     table.apply([moved], []);
     let flow = flow_key(ServiceId(1), b"flow");
-    let decision = table.decide(ServiceId(1), flow, FlowPhase::Opens, None);
+    let decision = table.decide(ServiceId(1), flow, FlowPhase::New, None);
     assert!(matches!(decision, Decision::Forward(to) if to.address == address(1, 7)));
 }
 
--- a/crates/types/src/connection/mod.rs
+++ b/crates/types/src/connection/mod.rs
@@ -20,7 +20,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FlowPhase {
     /// The packet may open a new flow.
-    Opens,
+    New,
     /// The packet continues a flow that is already established.
-    Continues,
+    Established,
 }
--- a/crates/types/src/request/change.rs
+++ b/crates/types/src/request/change.rs
@@ -26,7 +26,7 @@
 
     /// When the id was drawn, by the clock of whoever drew it.
     #[must_use]
-    pub fn created(&self) -> UnixMillis {
+    pub fn created_at(&self) -> UnixMillis {
         UnixMillis(u64::try_from(self.0.as_u128() >> 80).unwrap_or_default())
     }
 }
--- a/crates/types/src/request/size.rs
+++ b/crates/types/src/request/size.rs
@@ -20,7 +20,7 @@
 impl UnixMillis {
     /// The instant `span` later, or the last one that can be written.
     #[must_use]
-    pub fn plus(self, span: Duration) -> Self {
+    pub fn saturating_add(self, span: Duration) -> Self {
         let millis = u64::try_from(span.as_millis()).unwrap_or(u64::MAX);
         UnixMillis(self.0.saturating_add(millis))
     }
@@ -59,7 +59,7 @@
 
     /// Time that these bytes take.
     #[must_use]
-    pub fn time(self, bytes: usize) -> Duration {
+    pub fn transmission_time(self, bytes: usize) -> Duration {
         let nanos = bytes as u128 * 1_000_000_000 / u128::from(self.0.max(1));
         Duration::from_nanos(u64::try_from(nanos).unwrap_or(u64::MAX))
     }
--- a/crates/types/tests/text.rs
+++ b/crates/types/tests/text.rs
@@ -74,7 +74,7 @@
 fn change_ids_are_version_7_and_dated() {
     let id = ChangeId::generate();
     assert_eq!(id.to_string().parse::<ChangeId>().unwrap(), id);
-    assert!(id.created().0 > 1_600_000_000_000);
+    assert!(id.created_at().0 > 1_600_000_000_000);
     let version_4 = "f47ac10b-58cc-4372-a567-0e02b2c3d479";
     assert_eq!(
         version_4.parse::<ChangeId>().unwrap_err().category(),
--- a/crates/wire/src/connection/mod.rs
+++ b/crates/wire/src/connection/mod.rs
@@ -6,4 +6,4 @@
 
 pub use cid::{CID_LEN, CidCodec, ConnectionId, ServiceTag};
 pub use prefix::{Endpoints, MAX_PREFIX_LEN, Prefix};
-pub use quic::{LongKind, QuicHeader};
+pub use quic::{LongHeaderKind, QuicHeader};
--- a/crates/wire/src/connection/quic.rs
+++ b/crates/wire/src/connection/quic.rs
@@ -17,7 +17,7 @@
 
 /// Kind of a packet with a long header.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LongKind {
+pub enum LongHeaderKind {
     /// May open a connection: Initial, 0-RTT, or an unknown version.
     MayOpen,
     /// Belongs to a connection whose handshake is under way.
@@ -30,7 +30,7 @@
     /// Packet of a handshake.
     Long {
         /// Kind of the packet.
-        kind: LongKind,
+        kind: LongHeaderKind,
         /// Destination connection id.
         dcid: &'a [u8],
     },
@@ -66,13 +66,13 @@
     }
 }
 
-fn long_kind(first: u8, version: &[u8]) -> LongKind {
+fn long_kind(first: u8, version: &[u8]) -> LongHeaderKind {
     if version != VERSION_1.to_be_bytes() {
-        return LongKind::MayOpen;
+        return LongHeaderKind::MayOpen;
     }
     match first >> 4 & 0b11 {
         // Initial and 0-RTT.
-        0 | 1 => LongKind::MayOpen,
-        _ => LongKind::Handshake,
+        0 | 1 => LongHeaderKind::MayOpen,
+        _ => LongHeaderKind::Handshake,
     }
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -33,10 +33,10 @@
 pub mod version;
 
 pub use connection::{
-    CID_LEN, CidCodec, ConnectionId, Endpoints, LongKind, MAX_PREFIX_LEN, Prefix, QuicHeader,
+    CID_LEN, CidCodec, ConnectionId, Endpoints, LongHeaderKind, MAX_PREFIX_LEN, Prefix, QuicHeader,
     ServiceTag,
 };
 pub use error::{Category, Error, Result};
-pub use process::{CONTENT_TYPE, MAX_MESSAGE, decode, encode};
+pub use process::{CONTENT_TYPE, MAX_MESSAGE_LEN, decode, encode};
 pub use request::{ClaimHeader, OfferRequest, ReserveReply, ReserveRequest};
-pub use version::{Subset, SyncReply, SyncRequest, Update};
+pub use version::{ServiceSubset, SyncReply, SyncRequest, Update};
--- a/crates/wire/src/process/mod.rs
+++ b/crates/wire/src/process/mod.rs
@@ -8,7 +8,7 @@
 const PROTOCOL_VERSION: u8 = 1;
 
 /// Largest control message in bytes.
-pub const MAX_MESSAGE: usize = 64 << 20;
+pub const MAX_MESSAGE_LEN: usize = 64 << 20;
 
 /// Media type of control messages in HTTP.
 pub const CONTENT_TYPE: &str = "application/msgpack";
@@ -30,8 +30,8 @@
 ///
 /// The input is too large, of another protocol version, or not a `T`.
 pub fn decode<T: DeserializeOwned>(input: &[u8]) -> Result<T> {
-    if input.len() > MAX_MESSAGE {
-        return Err(ErrorKind::Size(input.len(), MAX_MESSAGE).into());
+    if input.len() > MAX_MESSAGE_LEN {
+        return Err(ErrorKind::Size(input.len(), MAX_MESSAGE_LEN).into());
     }
     match input.split_first() {
         None => Err(ErrorKind::Truncated(0).into()),
--- a/crates/wire/src/request/operator.rs
+++ b/crates/wire/src/request/operator.rs
@@ -47,14 +47,14 @@
 
 /// A change of the control group as an operator sends it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct GroupCall {
+pub struct GroupChangeRequest {
     /// Who asks.
     pub author: OperatorName,
     /// What is asked.
     pub change: GroupRequest,
 }
 
-/// Reply to a [`GroupCall`].
+/// Reply to a [`GroupChangeRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GroupReply {
     /// The change is in force.
--- a/crates/wire/src/version/mod.rs
+++ b/crates/wire/src/version/mod.rs
@@ -2,4 +2,4 @@
 
 mod sync;
 
-pub use sync::{Subset, SyncReply, SyncRequest, Update};
+pub use sync::{ServiceSubset, SyncReply, SyncRequest, Update};
--- a/crates/wire/src/version/sync.rs
+++ b/crates/wire/src/version/sync.rs
@@ -15,20 +15,20 @@
 
 /// Services that a node wants to know.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Subset {
+pub enum ServiceSubset {
     /// Every service.
     All,
     /// The named services.
     Named(BTreeSet<ServiceName>),
 }
 
-impl Subset {
+impl ServiceSubset {
     /// Whether the subset contains a service.
     #[must_use]
     pub fn contains(&self, name: &ServiceName) -> bool {
         match self {
-            Subset::All => true,
-            Subset::Named(names) => names.contains(name),
+            ServiceSubset::All => true,
+            ServiceSubset::Named(names) => names.contains(name),
         }
     }
 }
@@ -46,7 +46,7 @@
     /// Version that the node has in force; none after a start.
     pub have: Option<Version>,
     /// Services that the node wants to know.
-    pub subset: Subset,
+    pub subset: ServiceSubset,
     /// Longest time to hold the request when there is nothing new.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub hold: Duration,
--- a/crates/wire/tests/decoders.rs
+++ b/crates/wire/tests/decoders.rs
@@ -3,8 +3,8 @@
 use arbtest::arbtest;
 use types::{CidKey, KeyGeneration, KeySet, UpstreamId};
 use wire::{
-    CID_LEN, Category, CidCodec, ConnectionId, Endpoints, LongKind, Prefix, QuicHeader, ServiceTag,
-    SyncRequest,
+    CID_LEN, Category, CidCodec, ConnectionId, Endpoints, LongHeaderKind, Prefix, QuicHeader,
+    ServiceTag, SyncRequest,
 };
 
 /// Number of random cases of each property; the case number is the seed.
@@ -157,12 +157,15 @@
         packet
     };
     let cases = [
-        (long(0xc0, 1, &[1; 8]), Some((LongKind::MayOpen, 8))),
-        (long(0xd0, 1, &[1; 20]), Some((LongKind::MayOpen, 20))),
-        (long(0xe0, 1, &[1; 17]), Some((LongKind::Handshake, 17))),
+        (long(0xc0, 1, &[1; 8]), Some((LongHeaderKind::MayOpen, 8))),
+        (long(0xd0, 1, &[1; 20]), Some((LongHeaderKind::MayOpen, 20))),
+        (
+            long(0xe0, 1, &[1; 17]),
+            Some((LongHeaderKind::Handshake, 17)),
+        ),
         (
             long(0xe0, 0x6b33_43cf, &[1; 4]),
-            Some((LongKind::MayOpen, 4)),
+            Some((LongHeaderKind::MayOpen, 4)),
         ),
         (long(0xc0, 1, &[1; 21]), None),
         (vec![0xc0, 0, 0], None),
