--- a/crates/control/src/process/group.rs
+++ b/crates/control/src/process/group.rs
@@ -12,7 +12,7 @@
     Snapshot, Status,
 };
 use rand::Rng;
-use store::Report;
+use store::WriteReport;
 use tokio::{
     sync::{mpsc, oneshot, watch},
     time::sleep_until,
@@ -74,7 +74,7 @@
     notes: Vec<ChangeRequest>,
     /// Last entry that is covered by a snapshot.
     compacted: Revision,
-    disk: store::Handle,
+    disk: store::StoreHandle,
     peers: Peers,
     metrics: Metrics,
     commands: mpsc::Receiver<GroupCommand>,
@@ -90,7 +90,7 @@
         cfg: Settings,
         consensus: Consensus,
         snapshot: Option<&Snapshot>,
-        disk: store::Handle,
+        disk: store::StoreHandle,
         peers: Peers,
         metrics: Metrics,
         commands: mpsc::Receiver<GroupCommand>,
@@ -123,7 +123,7 @@
     /// A snapshot of the leader cannot be read.
     pub async fn run(mut self, stop: watch::Receiver<bool>) -> Result<()> {
         let result = self.serve(stop).await;
-        let store::Handle {
+        let store::StoreHandle {
             writes,
             reports,
             thread,
@@ -198,8 +198,8 @@
         }
     }
 
-    fn note_write(&mut self, report: Report) -> Result<()> {
-        self.metrics.syncs.set(gauge(report.syncs));
+    fn note_write(&mut self, report: WriteReport) -> Result<()> {
+        self.metrics.syncs.set(gauge(report.sync_count));
         self.metrics.disk_failed.set(i64::from(!report.synced));
         self.step(if report.synced {
             Input::WriteSynced(report.id)
--- a/crates/control/src/process/run.rs
+++ b/crates/control/src/process/run.rs
@@ -12,7 +12,7 @@
 use consensus::{Consensus, Group, MemberIdentity};
 use prometheus::Registry;
 use rand::Rng;
-use store::{Dir, Disk};
+use store::{DataDir, Disk};
 use tokio::sync::{mpsc, watch};
 use types::MemberId;
 use wire::request::{Hello, HelloReply};
@@ -37,7 +37,7 @@
 ///
 /// The data folder or the socket cannot be used.
 pub async fn run(cfg: Settings, registry: &Registry, stop: watch::Receiver<bool>) -> Result<()> {
-    let dir = Dir::new(&cfg.data_dir)?;
+    let dir = DataDir::new(&cfg.data_dir)?;
     run_on(dir, cfg, registry, stop).await
 }
 
@@ -58,7 +58,7 @@
         .local_addr()
         .map_err(|e| Error::Bind(cfg.listen, e))?;
     let (store, found) = store::open(disk)?;
-    let disk = store::start(store)?;
+    let disk = store::spawn(store)?;
     let me = MemberIdentity {
         id: found.member,
         address,
--- a/crates/control/tests/host.rs
+++ b/crates/control/tests/host.rs
@@ -18,7 +18,7 @@
 use client::{Http, Operator};
 use common::{balancer, create, request, set_target};
 use control::{Settings, run_on};
-use store::{Dir, Disk};
+use store::{DataDir, Disk};
 use tempfile::TempDir;
 use tokio::sync::watch;
 use types::{Answer, ChangeRequest, Revision, Version};
@@ -31,7 +31,7 @@
 
 /// A folder whose disk can be full.
 struct Disks {
-    dir: Dir,
+    dir: DataDir,
     full: Arc<AtomicBool>,
 }
 
@@ -57,8 +57,8 @@
         self.dir.append(file, bytes)
     }
 
-    fn cut(&self, file: &mut File, len: u64) -> io::Result<()> {
-        self.dir.cut(file, len)
+    fn truncate(&self, file: &mut File, len: u64) -> io::Result<()> {
+        self.dir.truncate(file, len)
     }
 
     fn sync(&self, file: &mut File) -> io::Result<()> {
@@ -73,8 +73,8 @@
         self.dir.remove(name)
     }
 
-    fn sync_folder(&self) -> io::Result<()> {
-        self.dir.sync_folder()
+    fn sync_dir(&self) -> io::Result<()> {
+        self.dir.sync_dir()
     }
 }
 
@@ -95,7 +95,7 @@
         };
         let full = Arc::new(AtomicBool::new(false));
         let disk = Disks {
-            dir: Dir::new(folder).unwrap(),
+            dir: DataDir::new(folder).unwrap(),
             full: full.clone(),
         };
         let (stop, stopped) = watch::channel(false);
--- a/crates/replica/src/process/group.rs
+++ b/crates/replica/src/process/group.rs
@@ -61,7 +61,7 @@
     compact_at: Option<Instant>,
     /// Whether this member led, and the group, at the last `group` log line.
     last_logged: Option<(bool, Option<Group>)>,
-    disk: store::Handle,
+    disk: store::StoreHandle,
     outgoing: mpsc::Sender<Envelope>,
     routes: watch::Sender<Option<Arc<RoutingSet>>>,
     membership_status: watch::Sender<MembershipStatus>,
@@ -82,7 +82,7 @@
 
 /// Channels of a [`GroupTask`].
 pub(crate) struct Channels {
-    pub disk: store::Handle,
+    pub disk: store::StoreHandle,
     pub outgoing: mpsc::Sender<Envelope>,
     pub routes: watch::Sender<Option<Arc<RoutingSet>>>,
     pub membership_status: watch::Sender<MembershipStatus>,
--- a/crates/replica/src/process/run.rs
+++ b/crates/replica/src/process/run.rs
@@ -6,7 +6,7 @@
 use net::ServerLimits;
 use prometheus::Registry;
 use rand::Rng;
-use store::Dir;
+use store::DataDir;
 use tokio::{
     net::TcpListener,
     sync::{mpsc, watch},
@@ -34,8 +34,8 @@
     stop: watch::Receiver<bool>,
 ) -> Result<(ReplicaHandle, impl Future<Output = Result<()>> + use<>)> {
     let metrics = Metrics::new(registry)?;
-    let (store, found) = store::open(Dir::new(&cfg.data_dir)?)?;
-    let disk = store::start(store)?;
+    let (store, found) = store::open(DataDir::new(&cfg.data_dir)?)?;
+    let disk = store::spawn(store)?;
     let member = found.member;
     let blank = found.restored.snapshot.is_none();
     log::info!(
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,7 +1,7 @@
 //! The data folder of a control host.
 //!
 //! [`open`] locks the folder, recovers what is in it and returns a [`Store`].
-//! [`start`] moves the store to a thread of its own, the only one that writes:
+//! [`spawn`] moves the store to a thread of its own, the only one that writes:
 //! it takes [`DiskWrite`](consensus::DiskWrite)s by message, puts all that are queued
 //! into one record with one sync, and reports each by message.
 //!
@@ -24,7 +24,7 @@
 //! use types::Term;
 //!
 //! let dir = tempfile::tempdir().unwrap();
-//! let (mut store, found) = store::open(store::Dir::new(dir.path())?)?;
+//! let (mut store, found) = store::open(store::DataDir::new(dir.path())?)?;
 //! assert_eq!(found.restored.term, Term(0));
 //! let term_and_vote = Some((Term(1), Some(found.member)));
 //! let write = DiskWrite {
@@ -37,7 +37,7 @@
 //! store.apply(&[write])?;
 //! drop(store);
 //!
-//! let (_, found) = store::open(store::Dir::new(dir.path())?)?;
+//! let (_, found) = store::open(store::DataDir::new(dir.path())?)?;
 //! assert_eq!(found.restored.term, Term(1));
 //! # Ok::<(), store::Error>(())
 //! ```
@@ -47,4 +47,4 @@
 pub mod version;
 
 pub use error::{Category, Error, Result};
-pub use process::{Dir, Disk, Found, Handle, Report, Store, open, start};
+pub use process::{DataDir, Disk, RecoveredMember, Store, StoreHandle, WriteReport, open, spawn};
--- a/crates/store/src/process/dir.rs
+++ b/crates/store/src/process/dir.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 
 /// A folder of files that are only appended to, renamed and removed. Tests put
-/// a failing one in place of [`Dir`].
+/// a failing one in place of [`DataDir`].
 pub trait Disk: Send + 'static {
     /// An open file.
     type File: Send;
@@ -44,7 +44,7 @@
     /// # Errors
     ///
     /// Fails if the disk is read-only.
-    fn cut(&self, file: &mut Self::File, len: u64) -> io::Result<()>;
+    fn truncate(&self, file: &mut Self::File, len: u64) -> io::Result<()>;
 
     /// Makes the content of a file durable.
     ///
@@ -72,17 +72,17 @@
     /// # Errors
     ///
     /// Fails if the disk does.
-    fn sync_folder(&self) -> io::Result<()>;
+    fn sync_dir(&self) -> io::Result<()>;
 }
 
 /// A folder of the file system, locked against other processes until dropped.
 #[derive(Debug)]
-pub struct Dir {
+pub struct DataDir {
     path: PathBuf,
     _lock: File,
 }
 
-impl Dir {
+impl DataDir {
     /// Makes the folder if there is none, and locks it.
     ///
     /// # Errors
@@ -96,7 +96,7 @@
         let lock = lock.open(path.join(LOCK));
         let lock = lock.map_err(Error::io("open", LOCK))?;
         match lock.try_lock() {
-            Ok(()) => Ok(Dir {
+            Ok(()) => Ok(DataDir {
                 path: path.to_owned(),
                 _lock: lock,
             }),
@@ -106,7 +106,7 @@
     }
 }
 
-impl Disk for Dir {
+impl Disk for DataDir {
     type File = File;
 
     fn list(&self) -> io::Result<Vec<String>> {
@@ -129,7 +129,7 @@
         file.write_all(bytes)
     }
 
-    fn cut(&self, file: &mut File, len: u64) -> io::Result<()> {
+    fn truncate(&self, file: &mut File, len: u64) -> io::Result<()> {
         file.set_len(len)
     }
 
@@ -145,7 +145,7 @@
         fs::remove_file(self.path.join(name))
     }
 
-    fn sync_folder(&self) -> io::Result<()> {
+    fn sync_dir(&self) -> io::Result<()> {
         File::open(&self.path)?.sync_all()
     }
 }
--- a/crates/store/src/process/mod.rs
+++ b/crates/store/src/process/mod.rs
@@ -5,7 +5,7 @@
 mod store;
 mod thread;
 
-pub use dir::{Dir, Disk};
-pub use open::{Found, open};
+pub use dir::{DataDir, Disk};
+pub use open::{RecoveredMember, open};
 pub use store::Store;
-pub use thread::{Handle, Report, start};
+pub use thread::{StoreHandle, WriteReport, spawn};
--- a/crates/store/src/process/open.rs
+++ b/crates/store/src/process/open.rs
@@ -9,7 +9,7 @@
 
 /// What was in the data folder.
 #[derive(Debug)]
-pub struct Found {
+pub struct RecoveredMember {
     /// The id of this member.
     pub member: MemberId,
     /// What [`consensus::Consensus`] starts from.
@@ -23,7 +23,7 @@
 ///
 /// Fails if the folder cannot be read or written, has another layout, or if
 /// what was synced earlier is damaged or missing.
-pub fn open<D: Disk>(disk: D) -> Result<(Store<D>, Found)> {
+pub fn open<D: Disk>(disk: D) -> Result<(Store<D>, RecoveredMember)> {
     let mut names = disk.list().map_err(Error::io("list", "the data folder"))?;
     names.sort();
     check_layout(&disk, &names)?;
@@ -63,7 +63,7 @@
     let old = snapshots.len().saturating_sub(1);
     let stale = snapshots.into_iter().take(old).map(|(_, name)| name);
     let store = Store::new(disk, term, last, base, kept, stale.collect())?;
-    Ok((store, Found { member, restored }))
+    Ok((store, RecoveredMember { member, restored }))
 }
 
 fn check_layout<D: Disk>(disk: &D, names: &[String]) -> Result<()> {
@@ -163,7 +163,7 @@
     }
     log::warn!(file = name, offset = torn.offset; "cut off a record torn by a crash");
     let mut file = disk.open(name).map_err(Error::io("open", name))?;
-    let cut = disk.cut(&mut file, torn.offset as u64);
+    let cut = disk.truncate(&mut file, torn.offset as u64);
     cut.and_then(|()| disk.sync(&mut file))
         .map_err(Error::io("cut", name))?;
     Ok((torn.offset, highest))
--- a/crates/store/src/process/store.rs
+++ b/crates/store/src/process/store.rs
@@ -17,7 +17,7 @@
 
 type Vote = (Term, Option<MemberId>);
 
-/// The open store. Only one thread uses it; see [`start`](crate::start).
+/// The open store. Only one thread uses it; see [`spawn`](crate::spawn).
 #[derive(Debug)]
 pub struct Store<D: Disk> {
     disk: D,
@@ -33,7 +33,7 @@
     stale: Vec<String>,
     /// The last write failed: the end of the last segment is unknown.
     broken: bool,
-    syncs: u64,
+    sync_count: u64,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -81,15 +81,15 @@
             base,
             stale,
             broken: false,
-            syncs: 0,
+            sync_count: 0,
         })
     }
 
     /// How many times a file or the folder was synced since the store was
     /// opened.
     #[must_use]
-    pub fn syncs(&self) -> u64 {
-        self.syncs
+    pub fn sync_count(&self) -> u64 {
+        self.sync_count
     }
 
     /// Puts the writes on disk, in one record with one sync unless one of them
@@ -151,7 +151,7 @@
         self.broken = true;
         let written = self.disk.append(&mut self.file, &record);
         written.map_err(Error::io("append to", &name))?;
-        self.syncs += 1;
+        self.sync_count += 1;
         let synced = self.disk.sync(&mut self.file);
         synced.map_err(Error::io("sync", &name))?;
         self.broken = false;
@@ -173,8 +173,8 @@
     fn repair(&mut self) -> Result<()> {
         let Segment { number, len, .. } = self.current();
         let name = segment_name(number);
-        self.syncs += 1;
-        let cut = self.disk.cut(&mut self.file, len as u64);
+        self.sync_count += 1;
+        let cut = self.disk.truncate(&mut self.file, len as u64);
         cut.and_then(|()| self.disk.sync(&mut self.file))
             .map_err(Error::io("cut", &name))?;
         self.begin_segment()?;
@@ -186,7 +186,7 @@
     /// removed.
     fn begin_segment(&mut self) -> Result<()> {
         let number = self.current().number + 1;
-        self.syncs += 2;
+        self.sync_count += 2;
         let (term, vote) = self.vote;
         let mut items = vec![Item::Vote(term, vote)];
         items.extend(self.base.map(Item::Snapshot));
@@ -220,7 +220,7 @@
         let too_large = || std::io::Error::from(std::io::ErrorKind::FileTooLarge);
         let record = encode(index.0, 0, snapshot).ok_or_else(too_large);
         let record = record.map_err(Error::io("encode", &name))?;
-        self.syncs += 2;
+        self.sync_count += 2;
         put(&self.disk, &name, &record)?;
         let old = self.base.filter(|base| *base != index);
         self.stale.extend(old.map(snapshot_name));
@@ -254,12 +254,12 @@
     let file = disk.open(&temporary);
     let mut file = file.map_err(Error::io("open", &temporary))?;
     // An attempt that failed earlier may have left something.
-    disk.cut(&mut file, 0)
+    disk.truncate(&mut file, 0)
         .and_then(|()| disk.append(&mut file, bytes))
         .and_then(|()| disk.sync(&mut file))
         .map_err(Error::io("write", &temporary))?;
     disk.rename(&temporary, name)
-        .and_then(|()| disk.sync_folder())
+        .and_then(|()| disk.sync_dir())
         .map_err(Error::io("rename", &temporary))?;
     Ok(file)
 }
--- a/crates/store/src/process/thread.rs
+++ b/crates/store/src/process/thread.rs
@@ -11,23 +11,23 @@
 
 /// The result of a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Report {
+pub struct WriteReport {
     /// The write.
     pub id: WriteId,
     /// Whether it is synced. If not, any part of it may be on disk.
     pub synced: bool,
     /// How many syncs the store has made so far.
-    pub syncs: u64,
+    pub sync_count: u64,
 }
 
 /// The way to the thread that owns the store. The thread ends once `writes`
 /// and `reports` are dropped and what was queued is done.
 #[derive(Debug)]
-pub struct Handle {
+pub struct StoreHandle {
     /// Takes writes, in order.
     pub writes: mpsc::Sender<DiskWrite>,
     /// Gives one report for each write, in order.
-    pub reports: mpsc::Receiver<Report>,
+    pub reports: mpsc::Receiver<WriteReport>,
     /// The thread; joining it waits until the folder is unlocked.
     pub thread: JoinHandle<()>,
 }
@@ -37,7 +37,7 @@
 /// # Errors
 ///
 /// Fails if the thread cannot be started.
-pub fn start<D: Disk>(mut store: Store<D>) -> Result<Handle>
+pub fn spawn<D: Disk>(mut store: Store<D>) -> Result<StoreHandle>
 where
     D::File: 'static,
 {
@@ -52,10 +52,10 @@
                 log::error!(error:% = e; "could not write to the data folder");
             }
             for write in batch.drain(..) {
-                let report = Report {
+                let report = WriteReport {
                     id: write.id,
                     synced: result.is_ok(),
-                    syncs: store.syncs(),
+                    sync_count: store.sync_count(),
                 };
                 if tx.blocking_send(report).is_err() {
                     return;
@@ -66,7 +66,7 @@
     let thread = std::thread::Builder::new().name("store".to_owned());
     let thread = thread.spawn(run);
     let thread = thread.map_err(crate::Error::io("start", "the store thread"))?;
-    Ok(Handle {
+    Ok(StoreHandle {
         writes,
         reports,
         thread,
--- a/crates/store/tests/store.rs
+++ b/crates/store/tests/store.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::io;
 use std::sync::{Arc, Mutex};
-use store::{Category, Dir, Disk, Found, Store, open};
+use store::{Category, DataDir, Disk, RecoveredMember, Store, open};
 use types::{MemberId, Revision, Term};
 
 /// Number of random cases; the case number is the seed.
@@ -109,7 +109,7 @@
         })
     }
 
-    fn cut(&self, file: &mut String, len: u64) -> io::Result<()> {
+    fn truncate(&self, file: &mut String, len: u64) -> io::Result<()> {
         self.with(|state| {
             state.at(file).0.truncate(usize::try_from(len).unwrap());
             Ok(())
@@ -140,7 +140,7 @@
         self.with(|state| state.files.remove(name).map(drop).ok_or_else(missing))
     }
 
-    fn sync_folder(&self) -> io::Result<()> {
+    fn sync_dir(&self) -> io::Result<()> {
         self.with(|_| Ok(()))
     }
 }
@@ -195,11 +195,11 @@
     }
 }
 
-fn reopen(disk: &Memory) -> (Store<Memory>, Found) {
+fn reopen(disk: &Memory) -> (Store<Memory>, RecoveredMember) {
     open(disk.crash(0)).unwrap()
 }
 
-fn indexes(found: &Found) -> Vec<u64> {
+fn indexes(found: &RecoveredMember) -> Vec<u64> {
     found.restored.entries.iter().map(|e| e.index.0).collect()
 }
 
@@ -209,9 +209,9 @@
     let disk = Memory::default();
     let (mut store, first) = open(disk.clone()).unwrap();
     store.apply(&[append(1, 5, 1)]).unwrap();
-    let before = store.syncs();
+    let before = store.sync_count();
     store.apply(&[append(4, 1, 2), append(5, 2, 2)]).unwrap();
-    assert_eq!(store.syncs(), before + 1, "queued writes share a sync");
+    assert_eq!(store.sync_count(), before + 1, "queued writes share a sync");
     let (mut store, found) = reopen(&disk);
     assert_eq!(found.member, first.member);
     assert_eq!(indexes(&found), [1, 2, 3, 4, 5, 6]);
@@ -400,16 +400,18 @@
 #[test]
 fn a_folder_is_locked_and_keeps_its_id() {
     let dir = tempfile::tempdir().unwrap();
-    let (store, found) = open(Dir::new(dir.path()).unwrap()).unwrap();
+    let (store, found) = open(DataDir::new(dir.path()).unwrap()).unwrap();
     assert_eq!(
-        Dir::new(dir.path()).unwrap_err().category(),
+        DataDir::new(dir.path()).unwrap_err().category(),
         Category::Locked
     );
     drop(store);
-    let again = open(Dir::new(dir.path()).unwrap()).unwrap().1;
+    let again = open(DataDir::new(dir.path()).unwrap()).unwrap().1;
     assert_eq!(again.member, found.member);
     std::fs::write(dir.path().join("layout"), "2").unwrap();
-    let e = open(Dir::new(dir.path()).unwrap()).map(drop).unwrap_err();
+    let e = open(DataDir::new(dir.path()).unwrap())
+        .map(drop)
+        .unwrap_err();
     assert_eq!(e.category(), Category::Layout);
 }
 
@@ -417,18 +419,18 @@
 #[test]
 fn the_thread_reports_every_write() {
     let dir = tempfile::tempdir().unwrap();
-    let (store, _) = open(Dir::new(dir.path()).unwrap()).unwrap();
-    let mut handle = store::start(store).unwrap();
+    let (store, _) = open(DataDir::new(dir.path()).unwrap()).unwrap();
+    let mut handle = store::spawn(store).unwrap();
     for index in 1..=20 {
         handle.writes.blocking_send(append(index, 1, 1)).unwrap();
     }
     for index in 1..=20 {
         let report = handle.reports.blocking_recv().unwrap();
         assert_eq!((report.id, report.synced), (WriteId(index), true));
-        assert!(report.syncs <= index, "more syncs than writes");
+        assert!(report.sync_count <= index, "more syncs than writes");
     }
     drop(handle.writes);
     handle.thread.join().unwrap();
-    let found = open(Dir::new(dir.path()).unwrap()).unwrap().1;
+    let found = open(DataDir::new(dir.path()).unwrap()).unwrap().1;
     assert_eq!(indexes(&found).len(), 20);
 }
