--- a/crates/control/src/process/group.rs
+++ b/crates/control/src/process/group.rs
@@ -12,7 +12,7 @@
     Snapshot, Status,
 };
 use rand::Rng;
-use store::Report;
+use store::WriteReport;
 use tokio::{
     sync::{mpsc, oneshot, watch},
     time::sleep_until,
@@ -23,7 +23,7 @@
 };
 use wire::{
     SyncReply, SyncRequest,
-    request::{ChangeReply, GroupCall, GroupReply, HelloReply, Query, QueryReply},
+    request::{ChangeReply, GroupChangeRequest, GroupReply, HelloReply, Query, QueryReply},
 };
 
 use super::{Settings, leadership::Leadership, metrics::Metrics, peers::Peers};
@@ -54,7 +54,7 @@
     /// An operator's query.
     Query(Query, oneshot::Sender<QueryReply>),
     /// An operator's change of the group.
-    ChangeGroup(GroupCall, oneshot::Sender<GroupReply>),
+    ChangeGroup(GroupChangeRequest, oneshot::Sender<GroupReply>),
     /// A node's request to be brought up to date.
     Sync(Box<SyncRequest>, oneshot::Sender<SyncReply>),
 }
@@ -74,7 +74,7 @@
     notes: Vec<ChangeRequest>,
     /// Last entry that is covered by a snapshot.
     compacted: Revision,
-    disk: store::Handle,
+    disk: store::StoreHandle,
     peers: Peers,
     metrics: Metrics,
     commands: mpsc::Receiver<GroupCommand>,
@@ -90,7 +90,7 @@
         cfg: Settings,
         consensus: Consensus,
         snapshot: Option<&Snapshot>,
-        disk: store::Handle,
+        disk: store::StoreHandle,
         peers: Peers,
         metrics: Metrics,
         commands: mpsc::Receiver<GroupCommand>,
@@ -123,7 +123,7 @@
     /// A snapshot of the leader cannot be read.
     pub async fn run(mut self, stop: watch::Receiver<bool>) -> Result<()> {
         let result = self.serve(stop).await;
-        let store::Handle {
+        let store::StoreHandle {
             writes,
             reports,
             thread,
@@ -198,8 +198,8 @@
         }
     }
 
-    fn note_write(&mut self, report: Report) -> Result<()> {
-        self.metrics.syncs.set(gauge(report.syncs));
+    fn note_write(&mut self, report: WriteReport) -> Result<()> {
+        self.metrics.syncs.set(gauge(report.sync_count));
         self.metrics.disk_failed.set(i64::from(!report.synced));
         self.step(if report.synced {
             Input::WriteSynced(report.id)
@@ -387,7 +387,7 @@
 
     /// Has a change of the group noted in the audit trail. A leader that removed
     /// itself can no longer do so.
-    fn note(&mut self, call: GroupCall, refused: Option<GroupRefusal>) {
+    fn note(&mut self, call: GroupChangeRequest, refused: Option<GroupRefusal>) {
         self.notes.push(ChangeRequest {
             id: ChangeId::generate(),
             author: call.author,
--- a/crates/control/src/version/mod.rs
+++ b/crates/control/src/version/mod.rs
@@ -4,8 +4,8 @@
 
 use config::{Changes, Delta, State};
 use member::Registry;
-use types::{Loads, Revision, Role, ServiceId, ServiceState, UpstreamId, Version};
-use wire::{Subset, SyncReply, SyncRequest, Update};
+use types::{ClassLoads, Revision, Role, ServiceId, ServiceState, UpstreamId, Version};
+use wire::{ServiceSubset, SyncReply, SyncRequest, Update};
 
 /// The configuration and, once it is settled, the membership.
 #[derive(Debug, Clone, Copy)]
@@ -74,7 +74,7 @@
         &self,
         req: &SyncRequest,
         version: Version,
-        loads: BTreeMap<UpstreamId, Loads>,
+        loads: BTreeMap<UpstreamId, ClassLoads>,
     ) -> Update {
         let delta = match req.have {
             Some(have) => self.state.delta_since(have.revision),
@@ -140,10 +140,10 @@
         service.is_some_and(|service| req.subset.contains(&service.name))
     }
 
-    /// Loads of the upstreams of named services; a node that wants all
+    /// ClassLoads of the upstreams of named services; a node that wants all
     /// services only forwards and needs none.
-    fn loads(&self, req: &SyncRequest) -> BTreeMap<UpstreamId, Loads> {
-        let Subset::Named(names) = &req.subset else {
+    fn loads(&self, req: &SyncRequest) -> BTreeMap<UpstreamId, ClassLoads> {
+        let ServiceSubset::Named(names) = &req.subset else {
             return BTreeMap::new();
         };
         names
--- a/crates/route/tests/routing_table.rs
+++ b/crates/route/tests/routing_table.rs
@@ -7,8 +7,8 @@
 use arbtest::arbtest;
 use route::{Arrival, Decision, DropReason, Hop, RoutingTable, address_flow_key, flow_key};
 use types::{
-    FlowKey, FlowPhase, Member, Revision, Service, ServiceId, ServiceState, Share, UpstreamId,
-    UpstreamState, Version,
+    FlowKey, FlowPhase, Revision, Service, ServiceId, ServiceState, Share, UpstreamId,
+    UpstreamMember, UpstreamState, Version,
 };
 
 /// Number of random cases per property; the case number is the seed.
@@ -17,7 +17,7 @@
 /// Bytes of random input per case; the low half of an arbtest seed.
 const INPUT_BYTES: u64 = 256;
 
-const PHASES: [FlowPhase; 2] = [FlowPhase::Opens, FlowPhase::Continues];
+const PHASES: [FlowPhase; 2] = [FlowPhase::New, FlowPhase::Established];
 
 fn address(service: u32, at: u64) -> SocketAddr {
     format!("10.0.{service}.{at}:443").parse().unwrap()
@@ -26,14 +26,14 @@
 /// A service whose members are given by id, current share and former share.
 fn state(id: u32, members: &[(u64, u32, u32)]) -> ServiceState {
     let member = |&(upstream, share, former): &(u64, u32, u32)| {
-        let member = Member {
+        let member = UpstreamMember {
             host: "h1".parse().unwrap(),
             data_centre: "dc1".parse().unwrap(),
-            data: address(id, upstream),
-            peer: address(id, upstream),
+            data_address: address(id, upstream),
+            peer_address: address(id, upstream),
             state: UpstreamState::Ready,
             share: Share(share),
-            former_share: Share(former),
+            previous_share: Share(former),
         };
         (UpstreamId(upstream), member)
     };
@@ -159,7 +159,7 @@
     let table = table(&[state(1, &[(1, 1, 1), (2, 1, 1)])]);
     let flow = flow_key(ServiceId(1), b"flow");
     for own in [1, 2].map(UpstreamId) {
-        let phase = FlowPhase::Opens;
+        let phase = FlowPhase::New;
         let decision = table.pass_on(ServiceId(1), flow, own, phase, Arrival::Forwarded);
         assert_eq!(decision, Decision::Drop(DropReason::NotHeld), "{own}");
     }
@@ -258,16 +258,16 @@
     let mut held = 0;
     for n in 0..1000_u32 {
         let flow = flow_key(id, &n.to_be_bytes());
-        let [was, now] = [&before, &after].map(|t| t.decide(id, flow, FlowPhase::Opens, None));
+        let [was, now] = [&before, &after].map(|t| t.decide(id, flow, FlowPhase::New, None));
         let Decision::Forward(owner) = now else {
             panic!("{now:?}")
         };
         assert_ne!(owner.upstream, leaving);
         if was == Decision::Forward(hop(1, 1)) {
             held += 1;
-            let continued = after.decide(id, flow, FlowPhase::Continues, Some(leaving));
+            let continued = after.decide(id, flow, FlowPhase::Established, Some(leaving));
             assert_eq!(continued, was);
-            let phase = FlowPhase::Continues;
+            let phase = FlowPhase::Established;
             let passed = after.pass_on(id, flow, owner.upstream, phase, Arrival::Forwarded);
             assert_eq!(passed, Decision::PassOn(hop(1, 1)));
         }
@@ -308,14 +308,14 @@
 fn a_reused_address_does_not_receive_flows_of_the_former_upstream() {
     let mut table = table(&[state(1, &[(1, 1, 1)])]);
     let mut next = state(1, &[(2, 1, 1)]);
-    next.members.get_mut(&UpstreamId(2)).unwrap().data = address(1, 1);
+    next.members.get_mut(&UpstreamId(2)).unwrap().data_address = address(1, 1);
     table.apply([next], []);
     let decide = |id| {
         let flow = flow_key(ServiceId(1), b"flow");
         table.decide(
             ServiceId(1),
             flow,
-            FlowPhase::Continues,
+            FlowPhase::Established,
             Some(UpstreamId(id)),
         )
     };
@@ -329,10 +329,10 @@
 fn a_changed_address_of_an_upstream_is_used_at_once() {
     let mut table = table(&[state(1, &[(1, 1, 1), (2, 0, 0)])]);
     let mut moved = state(1, &[(0, 0, 0), (1, 1, 1)]);
-    moved.members.get_mut(&UpstreamId(1)).unwrap().data = address(1, 7);
+    moved.members.get_mut(&UpstreamId(1)).unwrap().data_address = address(1, 7);
     table.apply([moved], []);
     let flow = flow_key(ServiceId(1), b"flow");
-    let decision = table.decide(ServiceId(1), flow, FlowPhase::Opens, None);
+    let decision = table.decide(ServiceId(1), flow, FlowPhase::New, None);
     assert!(matches!(decision, Decision::Forward(to) if to.address == address(1, 7)));
 }
 
