--- a/crates/limpetctl/src/request/explain.rs
+++ b/crates/limpetctl/src/request/explain.rs
@@ -3,7 +3,7 @@
 use std::{fmt::Write, fs::File, io::stdin, path::Path};
 
 use serde::Serialize;
-use trace::{Around, Reader, Timeline};
+use trace::{Around, LogCollection, Timeline};
 
 use crate::{
     error::{Error, Result},
@@ -50,16 +50,16 @@
 }
 
 pub fn run(args: &ExplainArgs, out: Output) -> Result<Exit> {
-    let mut reader = Reader::default();
+    let mut logs = LogCollection::default();
     for file in &args.files {
-        read(&mut reader, file)?;
+        read(&mut logs, file)?;
     }
     let around = Around { span: args.around };
-    let timeline = reader.timeline(&args.id, around);
+    let timeline = logs.timeline(&args.id, around);
     if timeline.entries.is_empty() {
         return Err(Error::NotFound {
             id: args.id.clone(),
-            lines: reader.foreign(),
+            lines: logs.unrecognized_lines(),
         });
     }
     out.result(&ExplainView {
@@ -70,9 +70,9 @@
     Ok(Exit::Done)
 }
 
-fn read(reader: &mut Reader, file: &Path) -> Result<()> {
+fn read(logs: &mut LogCollection, file: &Path) -> Result<()> {
     if file.as_os_str() == STDIN {
-        return Ok(reader.read(STDIN, stdin().lock())?);
+        return Ok(logs.read_source(STDIN, stdin().lock())?);
     }
     let name = file.file_stem().unwrap_or(file.as_os_str());
     let name = name.to_string_lossy();
@@ -80,5 +80,5 @@
         name: file.display().to_string(),
         source,
     })?;
-    Ok(reader.read(&name, source)?)
+    Ok(logs.read_source(&name, source)?)
 }
--- a/crates/trace/src/process/reader.rs
+++ b/crates/trace/src/process/collection.rs
@@ -10,19 +10,19 @@
 
 /// The lines of all processes.
 #[derive(Debug, Default)]
-pub struct Reader {
+pub struct LogCollection {
     runs: Vec<Run>,
     /// Lines that are not in the form of this project.
-    foreign: u64,
+    unrecognized_lines: u64,
 }
 
-impl Reader {
+impl LogCollection {
     /// Takes the lines of a source, which may hold several runs of a process.
     ///
     /// # Errors
     ///
     /// The source cannot be read.
-    pub fn read(&mut self, name: &str, source: impl Read) -> Result<()> {
+    pub fn read_source(&mut self, name: &str, source: impl Read) -> Result<()> {
         let mut run: Option<Run> = None;
         for text in BufReader::new(source).split(b'\n') {
             let text = text.map_err(|source| Error {
@@ -34,7 +34,7 @@
                 continue;
             }
             let Some(line) = Line::parse(&text) else {
-                self.foreign += 1;
+                self.unrecognized_lines += 1;
                 continue;
             };
             match &mut run {
@@ -48,8 +48,8 @@
 
     /// Lines that are not in the form of this project.
     #[must_use]
-    pub fn foreign(&self) -> u64 {
-        self.foreign
+    pub fn unrecognized_lines(&self) -> u64 {
+        self.unrecognized_lines
     }
 
     /// What happened to a flow or request, with what the processes involved
--- a/crates/trace/src/process/mod.rs
+++ b/crates/trace/src/process/mod.rs
@@ -1,8 +1,8 @@
 //! What lasts as long as a process that wrote lines.
 
 mod clock;
-mod reader;
+mod collection;
 mod run;
 
-pub use reader::Reader;
+pub use collection::LogCollection;
 pub use run::Run;
--- a/crates/trace/tests/timeline.rs
+++ b/crates/trace/tests/timeline.rs
@@ -2,7 +2,7 @@
 
 use std::{fmt::Write, time::Duration};
 
-use trace::{Around, Reader, Timeline};
+use trace::{Around, LogCollection, Timeline};
 
 const FLOW: &str = "100.64.0.7:40001-198.18.0.1:443";
 
@@ -71,11 +71,11 @@
         "lines_left_out",
         r#""counts":{"opened":17,"routes":1}"#,
     );
-    let mut reader = Reader::default();
+    let mut logs = LogCollection::default();
     for (name, process) in [("a2", &second), ("b", &balancer), ("a1", &first)] {
-        reader.read(name, process.text.as_bytes()).unwrap();
+        logs.read_source(name, process.text.as_bytes()).unwrap();
     }
-    reader.timeline(FLOW, Around::default())
+    logs.timeline(FLOW, Around::default())
 }
 
 fn events(timeline: &Timeline) -> Vec<(&str, &str)> {
@@ -142,22 +142,19 @@
     process.line(5000, "opened", &flow(r#""copy":0"#));
     let again = Process::start("Agent", "192.0.2.9", 0, 0);
     let text = format!("{}{}", process.text, again.text);
-    let mut reader = Reader::default();
-    reader.read("a", text.as_bytes()).unwrap();
-    let timeline = reader.timeline(FLOW, Around::default());
+    let mut logs = LogCollection::default();
+    logs.read_source("a", text.as_bytes()).unwrap();
+    let timeline = logs.timeline(FLOW, Around::default());
     assert_eq!(events(&timeline), [("a", "opened")]);
     assert!(timeline.entries.iter().all(|entry| entry.at_ms <= 0));
 }
 
-/// Guards against a reader that fails at what it does not know.
+/// Guards against a collection that fails on lines in another format.
 #[test]
-fn foreign_lines_are_counted() {
-    let mut reader = Reader::default();
+fn unrecognized_lines_are_counted() {
+    let mut logs = LogCollection::default();
     let text = "plain text\n{\"time\":\"noon\"}\n\n[1,2]\n{\"half\":";
-    reader.read("x", text.as_bytes()).unwrap();
-    assert_eq!(reader.foreign(), 4);
-    assert_eq!(
-        reader.timeline(FLOW, Around::default()),
-        Timeline::default()
-    );
+    logs.read_source("x", text.as_bytes()).unwrap();
+    assert_eq!(logs.unrecognized_lines(), 4);
+    assert_eq!(logs.timeline(FLOW, Around::default()), Timeline::default());
 }
