--- a/crates/limpetctl/src/request/explain.rs
+++ b/crates/limpetctl/src/request/explain.rs
@@ -3,7 +3,7 @@
 use std::{fmt::Write, fs::File, io::stdin, path::Path};
 
 use serde::Serialize;
-use trace::{Around, LogCollection, Timeline};
+use trace::{ContextWindow, LogCollection, Timeline};
 
 use crate::{
     error::{Error, Result},
@@ -54,8 +54,10 @@
     for file in &args.files {
         read(&mut logs, file)?;
     }
-    let around = Around { span: args.around };
-    let timeline = logs.timeline(&args.id, around);
+    let window = ContextWindow {
+        margin: args.around,
+    };
+    let timeline = logs.timeline(&args.id, window);
     if timeline.entries.is_empty() {
         return Err(Error::NotFound {
             id: args.id.clone(),
@@ -77,7 +79,7 @@
     let name = file.file_stem().unwrap_or(file.as_os_str());
     let name = name.to_string_lossy();
     let source = File::open(file).map_err(|source| trace::Error {
-        name: file.display().to_string(),
+        source_name: file.display().to_string(),
         source,
     })?;
     Ok(logs.read_source(&name, source)?)
--- a/crates/trace/src/error.rs
+++ b/crates/trace/src/error.rs
@@ -7,10 +7,10 @@
 
 /// The lines of a source cannot be read.
 #[derive(Debug, thiserror::Error)]
-#[error("cannot read {name}: {source}")]
+#[error("cannot read {source_name}: {source}")]
 pub struct Error {
     /// Name of the source.
-    pub name: String,
+    pub source_name: String,
     /// What went wrong.
     pub source: io::Error,
 }
--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -1,7 +1,7 @@
 //! What the log lines of several processes say of one flow or request.
 //!
 //! Each process writes JSON lines in its own order and by its own clock. A
-//! [`LogCollection`] collects them, splits each source into the [`Run`]s of its
+//! [`LogCollection`] collects them, splits each source into the [`Incarnation`]s of its
 //! process, and finds the runs whose time of day is wrong: within a run, lines
 //! are ordered by the steady clock (`up_ms`), and between runs a line that
 //! sends something comes before the line that receives it. The [`Timeline`] of
@@ -20,7 +20,7 @@
 //! let mut logs = trace::LogCollection::default();
 //! logs.read_source("agent", agent.as_bytes())?;
 //! logs.read_source("balancer", balancer.as_bytes())?;
-//! let timeline = logs.timeline("F", trace::Around::default());
+//! let timeline = logs.timeline("F", trace::ContextWindow::default());
 //! let events = timeline.entries.iter().filter(|entry| entry.concerns);
 //! let events: Vec<&str> = events.map(|entry| entry.event.as_str()).collect();
 //! assert_eq!(events, ["placed", "opened"]);
@@ -32,5 +32,5 @@
 mod request;
 
 pub use error::{Error, Result};
-pub use process::{LogCollection, Run};
-pub use request::{Around, Entry, Line, Timeline};
+pub use process::{Incarnation, LogCollection};
+pub use request::{ContextWindow, LogLine, Timeline, TimelineEntry};
--- a/crates/trace/src/process/clock.rs
+++ b/crates/trace/src/process/clock.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use super::Run;
-use crate::Line;
+use super::Incarnation;
+use crate::LogLine;
 
 /// Two runs whose times of day differ by less are left as they are: it is above
 /// the way between any two hosts, and clocks are never exactly alike.
@@ -21,7 +21,7 @@
 type Delays = BTreeMap<(usize, usize), i64>;
 
 /// Sets the shift of each run whose time of day differs from that of most others.
-pub(super) fn align(runs: &mut [Run]) {
+pub(super) fn align(runs: &mut [Incarnation]) {
     let delays = delays(runs);
     let mut neighbours: BTreeMap<usize, BTreeMap<usize, i64>> = BTreeMap::new();
     for &(from, to) in delays.keys() {
@@ -68,7 +68,7 @@
     if ahead.abs() < TOLERANCE_MS { 0 } else { ahead }
 }
 
-fn delays(runs: &[Run]) -> Delays {
+fn delays(runs: &[Incarnation]) -> Delays {
     let mut agents: BTreeMap<&str, Vec<usize>> = BTreeMap::new();
     for (n, run) in runs.iter().enumerate() {
         if run.role.as_deref() == Some(AGENT)
@@ -112,12 +112,12 @@
 /// A flow and the copy of its opening datagram.
 type Identity<'a> = (&'a str, u64);
 
-fn identity(line: &Line) -> Option<Identity<'_>> {
+fn identity(line: &LogLine) -> Option<Identity<'_>> {
     Some((line.text("flow")?, line.fields.get("copy")?.as_u64()?))
 }
 
 /// The host to which a line says that a flow was sent.
-fn sent(line: &Line) -> Option<(&str, Way)> {
+fn sent(line: &LogLine) -> Option<(&str, Way)> {
     match line.event.as_str() {
         "placed" => Some((line.host("agent")?, Way::Placed)),
         "passed_on" => Some((line.host("to")?, Way::Passed)),
@@ -126,7 +126,7 @@
 }
 
 /// How the flow of a line had come to the agent that wrote it.
-fn came(line: &Line) -> Option<Way> {
+fn came(line: &LogLine) -> Option<Way> {
     match (line.event.as_str(), line.text("origin")) {
         ("opened", Some("Passed")) => Some(Way::Passed),
         ("opened" | "passed_on", _) => Some(Way::Placed),
@@ -135,7 +135,7 @@
 }
 
 /// When each run first received a copy of an opening datagram.
-fn received(runs: &[Run]) -> BTreeMap<(usize, Way, Identity<'_>), i64> {
+fn received(runs: &[Incarnation]) -> BTreeMap<(usize, Way, Identity<'_>), i64> {
     let mut received = BTreeMap::new();
     for (n, run) in runs.iter().enumerate() {
         for line in &run.lines {
--- a/crates/trace/src/process/collection.rs
+++ b/crates/trace/src/process/collection.rs
@@ -5,13 +5,13 @@
     io::{BufRead, BufReader, Read},
 };
 
-use super::{Run, clock};
-use crate::{Around, Entry, Error, Line, Result, Timeline, request::DECISIVE};
+use super::{Incarnation, clock};
+use crate::{ContextWindow, Error, LogLine, Result, Timeline, TimelineEntry, request::DECISIVE};
 
 /// The lines of all processes.
 #[derive(Debug, Default)]
 pub struct LogCollection {
-    runs: Vec<Run>,
+    runs: Vec<Incarnation>,
     /// Lines that are not in the form of this project.
     unrecognized_lines: u64,
 }
@@ -23,23 +23,25 @@
     ///
     /// The source cannot be read.
     pub fn read_source(&mut self, name: &str, source: impl Read) -> Result<()> {
-        let mut run: Option<Run> = None;
+        let mut run: Option<Incarnation> = None;
         for text in BufReader::new(source).split(b'\n') {
             let text = text.map_err(|source| Error {
-                name: name.to_owned(),
+                source_name: name.to_owned(),
                 source,
             })?;
             let text = String::from_utf8_lossy(&text);
             if text.trim().is_empty() {
                 continue;
             }
-            let Some(line) = Line::parse(&text) else {
+            let Some(line) = LogLine::parse(&text) else {
                 self.unrecognized_lines += 1;
                 continue;
             };
             match &mut run {
                 Some(run) if !run.is_over_at(&line) => run.lines.push(line),
-                _ => self.runs.extend(run.replace(Run::begin(name, line))),
+                _ => self
+                    .runs
+                    .extend(run.replace(Incarnation::begin(name, line))),
             }
         }
         self.runs.extend(run);
@@ -55,7 +57,7 @@
     /// What happened to a flow or request, with what the processes involved
     /// believed around that time.
     #[must_use]
-    pub fn timeline(&self, id: &str, around: Around) -> Timeline {
+    pub fn timeline(&self, id: &str, window: ContextWindow) -> Timeline {
         let mut runs = self.runs.clone();
         clock::align(&mut runs);
         let hosts = hosts(&runs, id);
@@ -70,7 +72,7 @@
         let (Some(first), Some(last)) = (times.iter().min(), times.iter().max()) else {
             return Timeline::default();
         };
-        let span = i64::try_from(around.span.as_millis()).unwrap_or(i64::MAX);
+        let span = i64::try_from(window.margin.as_millis()).unwrap_or(i64::MAX);
         let shown = first.saturating_sub(span)..=last.saturating_add(span);
         let mut timeline = Timeline::default();
         let mut left_out = BTreeSet::new();
@@ -88,7 +90,7 @@
                     continue;
                 }
                 left_out.extend(kinds_left_out(line));
-                timeline.entries.push(Entry {
+                timeline.entries.push(TimelineEntry {
                     at_ms: at - first,
                     process: run.name.clone(),
                     event: line.event.clone(),
@@ -106,7 +108,7 @@
 }
 
 /// The hosts of the processes that wrote of an id, and those that they name.
-fn hosts<'a>(runs: &'a [Run], id: &str) -> BTreeSet<&'a str> {
+fn hosts<'a>(runs: &'a [Incarnation], id: &str) -> BTreeSet<&'a str> {
     let mut hosts = BTreeSet::new();
     for run in runs {
         for line in run.lines.iter().filter(|line| line.concerns(id)) {
@@ -118,7 +120,7 @@
 }
 
 /// The runs that wrote of an id, and those at the hosts involved.
-fn involved(runs: &[Run], id: &str, hosts: &BTreeSet<&str>) -> BTreeSet<usize> {
+fn involved(runs: &[Incarnation], id: &str, hosts: &BTreeSet<&str>) -> BTreeSet<usize> {
     let runs = runs.iter().enumerate().filter(|(_, run)| {
         let at_host = run.ip.as_deref().is_some_and(|ip| hosts.contains(ip));
         at_host || run.lines.iter().any(|line| line.concerns(id))
@@ -139,12 +141,12 @@
 
 /// Whether a line says what a process believes, not what it did with one flow.
 /// What it believes of hosts that are not involved is left out.
-fn is_belief(line: &Line, hosts: &BTreeSet<&str>) -> bool {
+fn is_belief(line: &LogLine, hosts: &BTreeSet<&str>) -> bool {
     let mut named = NAMING.into_iter().filter_map(|field| line.host(field));
     !is_per_flow(&line.event) && named.all(|host| hosts.contains(host))
 }
 
-fn kinds_left_out(line: &Line) -> Vec<String> {
+fn kinds_left_out(line: &LogLine) -> Vec<String> {
     let counts = line.fields.get("counts").and_then(|c| c.as_object());
     let kinds = counts.into_iter().flat_map(|counts| counts.keys());
     kinds.filter(|kind| is_per_flow(kind)).cloned().collect()
--- a/crates/trace/src/process/mod.rs
+++ b/crates/trace/src/process/mod.rs
@@ -2,7 +2,7 @@
 
 mod clock;
 mod collection;
-mod run;
+mod incarnation;
 
 pub use collection::LogCollection;
-pub use run::Run;
+pub use incarnation::Incarnation;
--- a/crates/trace/src/request/line.rs
+++ b/crates/trace/src/request/log_line.rs
@@ -7,7 +7,7 @@
 
 /// One log line of a process.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Line {
+pub struct LogLine {
     /// Time of day in RFC 3339; it may be stepped.
     time: String,
     /// Milliseconds since the process started, by the steady clock.
@@ -26,13 +26,13 @@
 /// Fields that say where in the program a line was written.
 const PLACE: [&str; 2] = ["level", "target"];
 
-impl Line {
+impl LogLine {
     /// Reads a line; `None` if it is not one of this project.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
         // A collector may have put a prefix before the object.
         let text = &text[text.find('{')?..];
-        let line: Line = serde_json::from_str(text).ok()?;
+        let line: LogLine = serde_json::from_str(text).ok()?;
         line.wall()?;
         Some(line)
     }
--- a/crates/trace/src/request/mod.rs
+++ b/crates/trace/src/request/mod.rs
@@ -1,8 +1,8 @@
 //! What lasts for one question: lines and the timeline of an id.
 
-mod line;
+mod log_line;
 mod timeline;
 
-pub use line::Line;
+pub use log_line::LogLine;
 pub(crate) use timeline::DECISIVE;
-pub use timeline::{Around, Entry, Timeline};
+pub use timeline::{ContextWindow, Timeline, TimelineEntry};
--- a/crates/trace/src/request/timeline.rs
+++ b/crates/trace/src/request/timeline.rs
@@ -6,22 +6,22 @@
 
 /// How much of the life of the processes is shown around the lines of an id.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Around {
+pub struct ContextWindow {
     /// Time before the first and after the last line of the id.
-    pub span: Duration,
+    pub margin: Duration,
 }
 
-impl Default for Around {
+impl Default for ContextWindow {
     fn default() -> Self {
-        Around {
-            span: Duration::from_secs(2),
+        ContextWindow {
+            margin: Duration::from_secs(2),
         }
     }
 }
 
 /// A line in its place.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-pub struct Entry {
+pub struct TimelineEntry {
     /// Milliseconds after the first line of the id; negative before it.
     pub at_ms: i64,
     /// Source of the line.
@@ -40,7 +40,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize)]
 pub struct Timeline {
     /// The lines in order.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<TimelineEntry>,
     /// Sources whose time of day was wrong, and by how many milliseconds.
     pub corrected: Vec<(String, i64)>,
     /// Kinds of lines of this id that may be missing, because processes left
@@ -52,7 +52,8 @@
     /// What became of it, by the last line that decides.
     #[must_use]
     pub fn outcome(&self) -> String {
-        let decisive = |entry: &&Entry| entry.concerns && DECISIVE.contains(&entry.event.as_str());
+        let decisive =
+            |entry: &&TimelineEntry| entry.concerns && DECISIVE.contains(&entry.event.as_str());
         let Some(last) = self.entries.iter().rev().find(decisive) else {
             return "no process decided about it; its datagrams reached no balancer, or the lines \
                     were left out"
--- a/crates/trace/tests/timeline.rs
+++ b/crates/trace/tests/timeline.rs
@@ -2,7 +2,7 @@
 
 use std::{fmt::Write, time::Duration};
 
-use trace::{Around, LogCollection, Timeline};
+use trace::{ContextWindow, LogCollection, Timeline};
 
 const FLOW: &str = "100.64.0.7:40001-198.18.0.1:443";
 
@@ -75,7 +75,7 @@
     for (name, process) in [("a2", &second), ("b", &balancer), ("a1", &first)] {
         logs.read_source(name, process.text.as_bytes()).unwrap();
     }
-    logs.timeline(FLOW, Around::default())
+    logs.timeline(FLOW, ContextWindow::default())
 }
 
 fn events(timeline: &Timeline) -> Vec<(&str, &str)> {
@@ -144,7 +144,7 @@
     let text = format!("{}{}", process.text, again.text);
     let mut logs = LogCollection::default();
     logs.read_source("a", text.as_bytes()).unwrap();
-    let timeline = logs.timeline(FLOW, Around::default());
+    let timeline = logs.timeline(FLOW, ContextWindow::default());
     assert_eq!(events(&timeline), [("a", "opened")]);
     assert!(timeline.entries.iter().all(|entry| entry.at_ms <= 0));
 }
@@ -156,5 +156,8 @@
     let text = "plain text\n{\"time\":\"noon\"}\n\n[1,2]\n{\"half\":";
     logs.read_source("x", text.as_bytes()).unwrap();
     assert_eq!(logs.unrecognized_lines(), 4);
-    assert_eq!(logs.timeline(FLOW, Around::default()), Timeline::default());
+    assert_eq!(
+        logs.timeline(FLOW, ContextWindow::default()),
+        Timeline::default()
+    );
 }
