--- a/crates/logs/src/output.rs
+++ b/crates/logs/src/output.rs
@@ -1,4 +1,4 @@
-//! Where lines go.
+//! Writes log lines to an output without blocking.
 
 use std::{
     io::{self, Write},
@@ -13,16 +13,18 @@
 use env_logger::{Builder, Env, Target};
 use nix::poll::{PollFd, PollFlags, PollTimeout, poll};
 
-use crate::{Budget, line};
+use crate::{RateLimiter, line};
 
-/// Longest line in bytes. A pipe that can be written to takes this much
-/// without blocking.
-const LONGEST: usize = 4096;
+/// `PIPE_BUF` of Linux: a pipe that polls as writable takes this much without
+/// blocking. Longer lines are dropped and counted.
+const MAX_LINE_BYTES: usize = 4096;
 
-/// Kind under which lines are counted that the reader did not take in time.
-const NOT_READ: &str = "output_not_read";
+/// Kind under which lines are reported that were longer than
+/// [`MAX_LINE_BYTES`], or that would have blocked because the output is not
+/// read fast enough.
+const UNWRITTEN_KIND: &str = "output_not_read";
 
-/// Where lines go.
+/// The stream that log lines are written to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Output {
     /// Standard output.
@@ -32,19 +34,19 @@
 }
 
 /// Writes a line if that does not block, and counts it otherwise.
-struct NonBlocking {
+struct NonBlockingWriter {
     output: Output,
-    not_read: Arc<AtomicU64>,
+    unwritten_lines: Arc<AtomicU64>,
 }
 
-impl Write for NonBlocking {
+impl Write for NonBlockingWriter {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         let written = match self.output {
-            Output::Stdout => write_to(&mut io::stdout(), line)?,
-            Output::Stderr => write_to(&mut io::stderr(), line)?,
+            Output::Stdout => try_write(&mut io::stdout(), line)?,
+            Output::Stderr => try_write(&mut io::stderr(), line)?,
         };
         if !written {
-            self.not_read.fetch_add(1, Ordering::Relaxed);
+            self.unwritten_lines.fetch_add(1, Ordering::Relaxed);
         }
         Ok(line.len())
     }
@@ -54,8 +56,9 @@
     }
 }
 
-fn write_to<W: Write + AsFd>(to: &mut W, line: &[u8]) -> io::Result<bool> {
-    if line.len() > LONGEST || !is_writable(to.as_fd()) {
+/// Returns `false` if the line was not written.
+fn try_write<W: Write + AsFd>(to: &mut W, line: &[u8]) -> io::Result<bool> {
+    if line.len() > MAX_LINE_BYTES || !is_writable(to.as_fd()) {
         return Ok(false);
     }
     to.write_all(line)?;
@@ -69,37 +72,37 @@
     ready && fds[0].any().unwrap_or(false)
 }
 
-/// Starts the log. `LIMPET_LOG` sets the level; `info` is the default. Only the
-/// first call in a process has an effect.
+/// Installs the logger. `LIMPET_LOG` sets the level filter; the default is
+/// `info`. Only the first call in a process has an effect.
 pub fn init(output: Output) {
-    line::start_clock();
-    let budget = Mutex::new(Budget::new(Instant::now()));
-    let not_read = Arc::new(AtomicU64::new(0));
-    let pipe = NonBlocking {
+    line::init_start_time();
+    let limiter = Mutex::new(RateLimiter::new(Instant::now()));
+    let unwritten_lines = Arc::new(AtomicU64::new(0));
+    let writer = NonBlockingWriter {
         output,
-        not_read: not_read.clone(),
+        unwritten_lines: unwritten_lines.clone(),
     };
-    let started = Builder::from_env(Env::new().filter_or("LIMPET_LOG", "info"))
-        .target(Target::Pipe(Box::new(pipe)))
+    let installed = Builder::from_env(Env::new().filter_or("LIMPET_LOG", "info"))
+        .target(Target::Pipe(Box::new(writer)))
         .format(move |buf, record| {
             let now = Instant::now();
             let kind = line::kind(record);
-            // A thread that panicked while it logged leaves the counts usable.
-            let mut budget = budget.lock().unwrap_or_else(PoisonError::into_inner);
-            let mut left_out = budget.take_left_out(now);
-            if !left_out.is_empty() {
-                let not_read = not_read.swap(0, Ordering::Relaxed);
-                if not_read > 0 {
-                    left_out.insert(NOT_READ.to_owned(), not_read);
+            // The counters stay valid if a thread panics while it logs.
+            let mut limiter = limiter.lock().unwrap_or_else(PoisonError::into_inner);
+            let mut suppressed = limiter.take_suppressed(now);
+            if !suppressed.is_empty() {
+                let unwritten_lines = unwritten_lines.swap(0, Ordering::Relaxed);
+                if unwritten_lines > 0 {
+                    suppressed.insert(UNWRITTEN_KIND.to_owned(), unwritten_lines);
                 }
-                buf.write_all(line::format_left_out(&left_out).as_bytes())?;
+                buf.write_all(line::encode_suppressed(&suppressed).as_bytes())?;
             }
-            if budget.take(&kind, now) {
-                buf.write_all(line::format(record).as_bytes())?;
+            if limiter.allow(&kind, now) {
+                buf.write_all(line::encode_record(record).as_bytes())?;
             }
             Ok(())
         })
         .try_init();
-    // A second call finds the log started.
-    let _ = started;
+    // An error means that a logger is installed already.
+    let _ = installed;
 }
