--- a/crates/trace/src/error.rs
+++ b/crates/trace/src/error.rs
@@ -1,16 +1,16 @@
-//! The error of this crate.
+//! Errors of this crate.
 
 use std::io;
 
 /// A [`std::result::Result`] with this crate's [`Error`].
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// The lines of a source cannot be read.
+/// A log source cannot be read.
 #[derive(Debug, thiserror::Error)]
 #[error("cannot read {source_name}: {source}")]
 pub struct Error {
-    /// Name of the source.
+    /// Name of the log source.
     pub source_name: String,
-    /// What went wrong.
+    /// Cause of the failure.
     pub source: io::Error,
 }
--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -1,18 +1,19 @@
-//! What the log lines of several processes say of one flow or request.
+//! Builds the timeline of a flow or request from the logs of several processes.
 //!
 //! Each process writes JSON lines in its own order and by its own clock. A
-//! [`LogCollection`] collects them, splits each source into the [`Incarnation`]s of its
-//! process, and finds the runs whose time of day is wrong: within a run, lines
-//! are ordered by the steady clock (`up_ms`), and between runs a line that
-//! sends something comes before the line that receives it. The [`Timeline`] of
-//! an id is in that order, so a clock that was stepped does not spoil it.
+//! [`LogCollection`] reads them, splits each source into the [`Incarnation`]s of
+//! its process, and corrects wall clocks that are wrong: lines of one
+//! incarnation are ordered by the monotonic clock (`up_ms`), and a line that
+//! reports a send comes before the line that reports its receipt in another
+//! incarnation. The [`Timeline`] of an id has that order, so a wall clock that
+//! was stepped does not change it.
 //!
 //! ```
 //! let balancer = concat!(
 //!     r#"{"time":"2026-12-04T10:00:00.000Z","up_ms":0,"event":"started","role":"Balancer","ip":"192.0.2.1"}"#, "\n",
 //!     r#"{"time":"2026-12-04T10:00:01.000Z","up_ms":1000,"event":"placed","flow":"F","copy":0,"agent":"192.0.2.9:7082"}"#, "\n",
 //! );
-//! // Three seconds behind, and the flow seems to arrive before it was sent.
+//! // The clock is three seconds behind: the flow seems to arrive before it is sent.
 //! let agent = concat!(
 //!     r#"{"time":"2026-12-04T09:59:57.000Z","up_ms":0,"event":"started","role":"Agent","ip":"192.0.2.9"}"#, "\n",
 //!     r#"{"time":"2026-12-04T09:59:58.001Z","up_ms":1001,"event":"opened","flow":"F","copy":0}"#, "\n",
--- a/crates/trace/src/process/collection.rs
+++ b/crates/trace/src/process/collection.rs
@@ -1,32 +1,35 @@
-//! The lines of all processes.
+//! Collects the logs of several processes.
 
 use std::{
     collections::BTreeSet,
     io::{BufRead, BufReader, Read},
 };
 
-use super::{Incarnation, clock};
-use crate::{ContextWindow, Error, LogLine, Result, Timeline, TimelineEntry, request::DECISIVE};
+use super::{Incarnation, clock_correction};
+use crate::{
+    ContextWindow, Error, LogLine, Result, Timeline, TimelineEntry, request::OUTCOME_EVENTS,
+};
 
-/// The lines of all processes.
+/// The log lines of several processes.
 #[derive(Debug, Default)]
 pub struct LogCollection {
-    runs: Vec<Incarnation>,
-    /// Lines that are not in the form of this project.
+    incarnations: Vec<Incarnation>,
+    /// Lines that are not in the log format of this project.
     unrecognized_lines: u64,
 }
 
 impl LogCollection {
-    /// Takes the lines of a source, which may hold several runs of a process.
+    /// Adds the lines of a source, which may hold several incarnations of a
+    /// process.
     ///
     /// # Errors
     ///
-    /// The source cannot be read.
-    pub fn read_source(&mut self, name: &str, source: impl Read) -> Result<()> {
-        let mut run: Option<Incarnation> = None;
+    /// Returns an error if the source cannot be read.
+    pub fn read_source(&mut self, source_name: &str, source: impl Read) -> Result<()> {
+        let mut incarnation: Option<Incarnation> = None;
         for text in BufReader::new(source).split(b'\n') {
             let text = text.map_err(|source| Error {
-                source_name: name.to_owned(),
+                source_name: source_name.to_owned(),
                 source,
             })?;
             let text = String::from_utf8_lossy(&text);
@@ -37,62 +40,70 @@
                 self.unrecognized_lines += 1;
                 continue;
             };
-            match &mut run {
-                Some(run) if !run.is_over_at(&line) => run.lines.push(line),
+            match &mut incarnation {
+                Some(incarnation) if !incarnation.ended_before(&line) => {
+                    incarnation.lines.push(line)
+                }
                 _ => self
-                    .runs
-                    .extend(run.replace(Incarnation::begin(name, line))),
+                    .incarnations
+                    .extend(incarnation.replace(Incarnation::from_first_line(source_name, line))),
             }
         }
-        self.runs.extend(run);
+        self.incarnations.extend(incarnation);
         Ok(())
     }
 
-    /// Lines that are not in the form of this project.
+    /// Number of lines read that are not in the log format of this project.
     #[must_use]
     pub fn unrecognized_lines(&self) -> u64 {
         self.unrecognized_lines
     }
 
-    /// What happened to a flow or request, with what the processes involved
-    /// believed around that time.
+    /// Builds the timeline of a flow or request, with lines on the state of the
+    /// processes involved within the context window.
     #[must_use]
     pub fn timeline(&self, id: &str, window: ContextWindow) -> Timeline {
-        let mut runs = self.runs.clone();
-        clock::align(&mut runs);
-        let hosts = hosts(&runs, id);
-        let involved = involved(&runs, id, &hosts);
-        let times = runs
-            .iter()
-            .flat_map(|run| run.lines.iter().map(move |line| (run, line)));
+        let mut incarnations = self.incarnations.clone();
+        clock_correction::correct_clocks(&mut incarnations);
+        let hosts = involved_hosts(&incarnations, id);
+        let involved = involved_incarnations(&incarnations, id, &hosts);
+        let times = incarnations.iter().flat_map(|incarnation| {
+            incarnation
+                .lines
+                .iter()
+                .map(move |line| (incarnation, line))
+        });
         let times: Vec<i64> = times
-            .filter(|(_, line)| line.concerns(id))
-            .map(|(run, line)| run.at_ms(line))
+            .filter(|(_, line)| line.mentions(id))
+            .map(|(incarnation, line)| incarnation.corrected_time_ms(line))
             .collect();
         let (Some(first), Some(last)) = (times.iter().min(), times.iter().max()) else {
             return Timeline::default();
         };
-        let span = i64::try_from(window.margin.as_millis()).unwrap_or(i64::MAX);
-        let shown = first.saturating_sub(span)..=last.saturating_add(span);
+        let margin_ms = i64::try_from(window.margin.as_millis()).unwrap_or(i64::MAX);
+        let shown_ms = first.saturating_sub(margin_ms)..=last.saturating_add(margin_ms);
         let mut timeline = Timeline::default();
-        let mut left_out = BTreeSet::new();
-        for (n, run) in runs.iter().enumerate() {
+        let mut suppressed = BTreeSet::new();
+        for (n, incarnation) in incarnations.iter().enumerate() {
             if !involved.contains(&n) {
                 continue;
             }
-            if run.shift_ms != 0 {
-                timeline.corrected.push((run.name.clone(), run.shift_ms));
+            if incarnation.clock_correction_ms != 0 {
+                timeline.corrected.push((
+                    incarnation.source_name.clone(),
+                    incarnation.clock_correction_ms,
+                ));
             }
-            for line in &run.lines {
-                let at = run.at_ms(line);
-                let concerns = line.concerns(id);
-                if !shown.contains(&at) || !(concerns || is_belief(line, &hosts)) {
+            for line in &incarnation.lines {
+                let at = incarnation.corrected_time_ms(line);
+                let concerns = line.mentions(id);
+                if !shown_ms.contains(&at) || !(concerns || is_state_line(line, &hosts)) {
                     continue;
                 }
-                left_out.extend(kinds_left_out(line));
+                suppressed.extend(suppressed_kinds(line));
                 timeline.entries.push(TimelineEntry {
                     at_ms: at - first,
-                    process: run.name.clone(),
+                    process: incarnation.source_name.clone(),
                     event: line.event.clone(),
                     message: line.message.clone(),
                     inputs: line.inputs(),
@@ -100,54 +111,74 @@
                 });
             }
         }
-        // Stable: lines of one run stay in the order in which they were written.
+        // The sort is stable: lines of one incarnation that have the same time stay
+        // in the order in which they were written.
         timeline.entries.sort_by_key(|entry| entry.at_ms);
-        timeline.left_out = left_out.into_iter().collect();
+        timeline.left_out = suppressed.into_iter().collect();
         timeline
     }
 }
 
-/// The hosts of the processes that wrote of an id, and those that they name.
-fn hosts<'a>(runs: &'a [Incarnation], id: &str) -> BTreeSet<&'a str> {
+/// The hosts of the processes that mention an id, and the hosts that they name
+/// in these lines.
+fn involved_hosts<'a>(incarnations: &'a [Incarnation], id: &str) -> BTreeSet<&'a str> {
     let mut hosts = BTreeSet::new();
-    for run in runs {
-        for line in run.lines.iter().filter(|line| line.concerns(id)) {
-            hosts.extend(run.ip.as_deref());
-            hosts.extend(NAMING.into_iter().filter_map(|field| line.host(field)));
+    for incarnation in incarnations {
+        for line in incarnation.lines.iter().filter(|line| line.mentions(id)) {
+            hosts.extend(incarnation.ip.as_deref());
+            hosts.extend(
+                ADDRESS_FIELDS
+                    .into_iter()
+                    .filter_map(|field| line.host_field(field)),
+            );
         }
     }
     hosts
 }
 
-/// The runs that wrote of an id, and those at the hosts involved.
-fn involved(runs: &[Incarnation], id: &str, hosts: &BTreeSet<&str>) -> BTreeSet<usize> {
-    let runs = runs.iter().enumerate().filter(|(_, run)| {
-        let at_host = run.ip.as_deref().is_some_and(|ip| hosts.contains(ip));
-        at_host || run.lines.iter().any(|line| line.concerns(id))
+/// Indices of the incarnations that mention an id or ran on a host involved.
+fn involved_incarnations(
+    incarnations: &[Incarnation],
+    id: &str,
+    hosts: &BTreeSet<&str>,
+) -> BTreeSet<usize> {
+    let incarnations = incarnations.iter().enumerate().filter(|(_, incarnation)| {
+        let on_host = incarnation
+            .ip
+            .as_deref()
+            .is_some_and(|ip| hosts.contains(ip));
+        on_host || incarnation.lines.iter().any(|line| line.mentions(id))
     });
-    runs.map(|(n, _)| n).collect()
+    incarnations.map(|(n, _)| n).collect()
 }
 
-/// Fields that name a process on another host.
-const NAMING: [&str; 3] = ["address", "agent", "to"];
+/// Fields with the address of a process on another host.
+const ADDRESS_FIELDS: [&str; 3] = ["address", "agent", "to"];
 
-/// Kinds of lines of the search for a flow, and of its datagrams.
-const SEARCHING: [&str; 5] = ["searching", "claim", "not_held", "learned", "link_full"];
+/// Events of single datagrams, and of the search for the agent that holds a
+/// flow.
+const SEARCH_EVENTS: [&str; 5] = ["searching", "claim", "not_held", "learned", "link_full"];
 
-/// Whether lines of a kind are written for each flow, request or datagram.
-fn is_per_flow(kind: &str) -> bool {
-    DECISIVE.contains(&kind) || SEARCHING.contains(&kind)
+/// Whether lines of a kind are logged for each flow, request or datagram.
+fn is_per_flow_kind(kind: &str) -> bool {
+    OUTCOME_EVENTS.contains(&kind) || SEARCH_EVENTS.contains(&kind)
 }
 
-/// Whether a line says what a process believes, not what it did with one flow.
-/// What it believes of hosts that are not involved is left out.
-fn is_belief(line: &LogLine, hosts: &BTreeSet<&str>) -> bool {
-    let mut named = NAMING.into_iter().filter_map(|field| line.host(field));
-    !is_per_flow(&line.event) && named.all(|host| hosts.contains(host))
+/// Whether a line reports the state of a process rather than what it did with
+/// one flow. Lines on hosts that are not involved do not count.
+fn is_state_line(line: &LogLine, hosts: &BTreeSet<&str>) -> bool {
+    let mut named = ADDRESS_FIELDS
+        .into_iter()
+        .filter_map(|field| line.host_field(field));
+    !is_per_flow_kind(&line.event) && named.all(|host| hosts.contains(host))
 }
 
-fn kinds_left_out(line: &LogLine) -> Vec<String> {
+/// The per-flow kinds in a line that reports suppressed lines.
+fn suppressed_kinds(line: &LogLine) -> Vec<String> {
     let counts = line.fields.get("counts").and_then(|c| c.as_object());
     let kinds = counts.into_iter().flat_map(|counts| counts.keys());
-    kinds.filter(|kind| is_per_flow(kind)).cloned().collect()
+    kinds
+        .filter(|kind| is_per_flow_kind(kind))
+        .cloned()
+        .collect()
 }
--- a/crates/trace/src/process/incarnation.rs
+++ b/crates/trace/src/process/incarnation.rs
@@ -1,55 +1,61 @@
-//! One run of a process.
+//! The log lines of one incarnation of a process.
 
 use std::time::Duration;
 
 use crate::LogLine;
 
-/// One run of a process, from its start to its end.
+/// The log lines of a process from its start to its end.
 #[derive(Debug, Clone)]
 pub struct Incarnation {
-    /// Source of its lines.
-    pub name: String,
-    /// Its host's address, if its first line says so.
+    /// Name of the log source.
+    pub source_name: String,
+    /// Address of the host, if the first line is a start event.
     pub ip: Option<String>,
-    /// What the process does, if its first line says so.
+    /// Role of the process, if the first line is a start event.
     pub role: Option<String>,
-    /// Its lines in the order in which they were written; never empty.
+    /// The lines in the order in which they were written; never empty.
     pub lines: Vec<LogLine>,
-    /// Milliseconds to add to its times so that they agree with the others'.
-    pub(crate) shift_ms: i64,
+    /// Milliseconds to add to wall-clock times so that they agree with those of
+    /// the other incarnations.
+    pub(crate) clock_correction_ms: i64,
 }
 
 impl Incarnation {
-    /// A run that begins with this line.
-    pub(crate) fn begin(name: &str, line: LogLine) -> Self {
-        let started = line.event == STARTED;
+    /// Creates an incarnation from its first line.
+    pub(crate) fn from_first_line(source_name: &str, line: LogLine) -> Self {
+        let started = line.event == START_EVENT;
         Incarnation {
-            name: name.to_owned(),
-            ip: line.text("ip").filter(|_| started).map(str::to_owned),
-            role: line.text("role").filter(|_| started).map(str::to_owned),
+            source_name: source_name.to_owned(),
+            ip: line.str_field("ip").filter(|_| started).map(str::to_owned),
+            role: line
+                .str_field("role")
+                .filter(|_| started)
+                .map(str::to_owned),
             lines: vec![line],
-            shift_ms: 0,
+            clock_correction_ms: 0,
         }
     }
 
-    /// Whether a line was written by a later run of the process.
-    pub(crate) fn is_over_at(&self, line: &LogLine) -> bool {
+    /// Whether a line was written by a later incarnation: it is a start event,
+    /// or the uptime went back.
+    pub(crate) fn ended_before(&self, line: &LogLine) -> bool {
         let last = self.lines.last().and_then(|last| last.up_ms);
-        line.event == STARTED || line.up_ms < last
+        line.event == START_EVENT || line.up_ms < last
     }
 
-    /// When a line was written: the time of day at the start of the run, and
-    /// the steady clock from then on.
-    pub(crate) fn at_ms(&self, line: &LogLine) -> i64 {
+    /// Corrected time of a line in Unix milliseconds: the wall-clock time of the
+    /// first line plus the monotonic time since then. Lines without an uptime
+    /// use their own wall-clock time.
+    pub(crate) fn corrected_time_ms(&self, line: &LogLine) -> i64 {
         let first = &self.lines[0];
-        let wall = |line: &LogLine| line.wall().unwrap_or(Duration::ZERO).as_millis();
+        let unix_ms = |line: &LogLine| line.unix_time().unwrap_or(Duration::ZERO).as_millis();
         let at = match (first.up_ms, line.up_ms) {
-            (Some(from), Some(to)) => wall(first) + u128::from(to.saturating_sub(from)),
-            _ => wall(line),
+            (Some(from), Some(to)) => unix_ms(first) + u128::from(to.saturating_sub(from)),
+            _ => unix_ms(line),
         };
-        i64::try_from(at).unwrap_or(i64::MAX) + self.shift_ms
+        i64::try_from(at).unwrap_or(i64::MAX) + self.clock_correction_ms
     }
 }
 
-/// The kind of a process's first line.
-const STARTED: &str = "started";
+/// Event of the first line of a process.
+const START_EVENT: &str = "started";
--- a/crates/trace/src/process/mod.rs
+++ b/crates/trace/src/process/mod.rs
@@ -1,6 +1,6 @@
-//! What lasts as long as a process that wrote lines.
+//! The logs of processes, split into incarnations.
 
-mod clock;
+mod clock_correction;
 mod collection;
 mod incarnation;
 
--- a/crates/trace/src/request/log_line.rs
+++ b/crates/trace/src/request/log_line.rs
@@ -1,4 +1,4 @@
-//! One log line.
+//! Parses log lines.
 
 use std::time::{Duration, SystemTime};
 
@@ -8,66 +8,66 @@
 /// One log line of a process.
 #[derive(Debug, Clone, Deserialize)]
 pub struct LogLine {
-    /// Time of day in RFC 3339; it may be stepped.
+    /// Wall-clock time in RFC 3339; the clock may be stepped.
     time: String,
-    /// Milliseconds since the process started, by the steady clock.
+    /// Milliseconds since the process started, by the monotonic clock.
     pub up_ms: Option<u64>,
-    /// The kind of line.
+    /// Name of the event; empty if the line has none.
     #[serde(default)]
     pub event: String,
-    /// What happened, for people.
+    /// Message for human readers.
     #[serde(default)]
     pub message: String,
-    /// Everything else.
+    /// All other fields.
     #[serde(flatten)]
     pub fields: Map<String, Value>,
 }
 
-/// Fields that say where in the program a line was written.
-const PLACE: [&str; 2] = ["level", "target"];
+/// Fields that say where in the program a line was logged.
+const LOCATION_FIELDS: [&str; 2] = ["level", "target"];
 
 impl LogLine {
-    /// Reads a line; `None` if it is not one of this project.
+    /// Parses a line; `None` if it is not in the log format of this project.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
-        // A collector may have put a prefix before the object.
+        // A log collector may have put a prefix before the JSON object.
         let text = &text[text.find('{')?..];
         let line: LogLine = serde_json::from_str(text).ok()?;
-        line.wall()?;
+        line.unix_time()?;
         Some(line)
     }
 
-    /// Time of day since the Unix epoch.
+    /// Wall-clock time since the Unix epoch.
     #[must_use]
-    pub fn wall(&self) -> Option<Duration> {
+    pub fn unix_time(&self) -> Option<Duration> {
         let time = humantime::parse_rfc3339(&self.time).ok()?;
         time.duration_since(SystemTime::UNIX_EPOCH).ok()
     }
 
-    /// Whether a field has this value.
+    /// Whether the value of a field is this id.
     #[must_use]
-    pub fn concerns(&self, id: &str) -> bool {
+    pub fn mentions(&self, id: &str) -> bool {
         self.fields.values().any(|value| value.as_str() == Some(id))
     }
 
-    /// The text of a field.
+    /// The value of a field that holds a string.
     #[must_use]
-    pub fn text(&self, field: &str) -> Option<&str> {
+    pub fn str_field(&self, field: &str) -> Option<&str> {
         self.fields.get(field)?.as_str()
     }
 
-    /// The host in a field that holds an address.
+    /// The host part of a field that holds an address, without its port.
     #[must_use]
-    pub fn host(&self, field: &str) -> Option<&str> {
-        let address = self.text(field)?;
+    pub fn host_field(&self, field: &str) -> Option<&str> {
+        let address = self.str_field(field)?;
         Some(address.rsplit_once(':').map_or(address, |(host, _)| host))
     }
 
-    /// The inputs of the decision, as `name=value`.
+    /// All fields but the location, as `name=value`.
     #[must_use]
     pub fn inputs(&self) -> String {
         let fields = self.fields.iter();
-        let fields = fields.filter(|(name, _)| !PLACE.contains(&name.as_str()));
+        let fields = fields.filter(|(name, _)| !LOCATION_FIELDS.contains(&name.as_str()));
         let fields: Vec<String> = fields
             .map(|(name, value)| match value {
                 Value::String(text) => format!("{name}={text}"),
--- a/crates/trace/src/request/timeline.rs
+++ b/crates/trace/src/request/timeline.rs
@@ -1,10 +1,11 @@
-//! What happened to one flow or request, in order.
+//! The timeline of a flow or request.
 
 use std::time::Duration;
 
 use serde::Serialize;
 
-/// How much of the life of the processes is shown around the lines of an id.
+/// The time range around the lines of an id in which other lines of the
+/// processes involved are shown too.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ContextWindow {
     /// Time before the first and after the last line of the id.
@@ -19,52 +20,55 @@
     }
 }
 
-/// A line in its place.
+/// A log line of a timeline.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct TimelineEntry {
     /// Milliseconds after the first line of the id; negative before it.
     pub at_ms: i64,
-    /// Source of the line.
+    /// Name of the log source.
     pub process: String,
-    /// The kind of line.
+    /// Name of the event.
     pub event: String,
-    /// What happened.
+    /// Message of the line.
     pub message: String,
-    /// The inputs of the decision.
+    /// Fields of the line, as `name=value`.
     pub inputs: String,
-    /// Whether it names the id, or tells what a process believed at the time.
+    /// Whether the line mentions the id; otherwise it reports the state of a
+    /// process at that time.
     pub concerns: bool,
 }
 
-/// What happened to one flow or request.
+/// The log lines of one flow or request in causal order.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize)]
 pub struct Timeline {
-    /// The lines in order.
+    /// The lines, ordered by corrected time.
     pub entries: Vec<TimelineEntry>,
-    /// Sources whose time of day was wrong, and by how many milliseconds.
+    /// Log sources whose wall clock was wrong, with the milliseconds that were
+    /// added to correct it.
     pub corrected: Vec<(String, i64)>,
-    /// Kinds of lines of this id that may be missing, because processes left
-    /// out lines of these kinds at that time.
+    /// Kinds of lines of this id that may be missing, because the rate limit of
+    /// a log suppressed lines of these kinds at that time.
     pub left_out: Vec<String>,
 }
 
 impl Timeline {
-    /// What became of it, by the last line that decides.
+    /// Describes the last line of the id that has an outcome event.
     #[must_use]
     pub fn outcome(&self) -> String {
-        let decisive =
-            |entry: &&TimelineEntry| entry.concerns && DECISIVE.contains(&entry.event.as_str());
-        let Some(last) = self.entries.iter().rev().find(decisive) else {
-            return "no process decided about it; its datagrams reached no balancer, or the lines \
-                    were left out"
+        let has_outcome = |entry: &&TimelineEntry| {
+            entry.concerns && OUTCOME_EVENTS.contains(&entry.event.as_str())
+        };
+        let Some(last) = self.entries.iter().rev().find(has_outcome) else {
+            return "no process logged an outcome: its datagrams reached no balancer, or the log \
+                    lines were suppressed"
                 .to_owned();
         };
         format!("{} by {}: {}", last.event, last.process, last.inputs)
     }
 }
 
-/// Kinds of lines that say what becomes of a flow or request.
-pub(crate) const DECISIVE: [&str; 9] = [
+/// Events that decide how a flow or request goes on or ends.
+pub(crate) const OUTCOME_EVENTS: [&str; 9] = [
     "placed",
     "opened",
     "passed_on",
--- a/crates/trace/tests/timeline.rs
+++ b/crates/trace/tests/timeline.rs
@@ -1,4 +1,4 @@
-//! The timeline of an id, from lines of several processes.
+//! Timelines from the logs of several processes.
 
 use std::{fmt::Write, time::Duration};
 
@@ -6,25 +6,25 @@
 
 const FLOW: &str = "100.64.0.7:40001-198.18.0.1:443";
 
-/// Start of all processes in the tests, in milliseconds since the Unix epoch.
-const EPOCH_MS: i64 = 1_780_000_000_000;
+/// Start of all processes in Unix milliseconds.
+const START_TIME_MS: i64 = 1_780_000_000_000;
 
-/// Writes the lines of a process whose time of day is off by `step` milliseconds
-/// from the uptime `stepped_at` on.
-struct Process {
+/// Writes the log of a process whose wall clock is wrong by `step_ms` from the
+/// uptime `stepped_at_ms` on.
+struct ProcessLog {
     text: String,
-    step: i64,
-    stepped_at: i64,
+    step_ms: i64,
+    stepped_at_ms: i64,
 }
 
-impl Process {
-    fn start(role: &str, ip: &str, step: i64, stepped_at: i64) -> Self {
-        let mut process = Process {
+impl ProcessLog {
+    fn start(role: &str, ip: &str, step_ms: i64, stepped_at_ms: i64) -> Self {
+        let mut process = ProcessLog {
             text: String::new(),
-            step,
-            stepped_at,
+            step_ms,
+            stepped_at_ms,
         };
-        process.line(
+        process.write_line(
             0,
             "started",
             &format!(r#""role":"{role}","ip":"{ip}","message":"process starts""#),
@@ -32,11 +32,15 @@
         process
     }
 
-    fn line(&mut self, up: i64, event: &str, fields: &str) {
-        let step = if up >= self.stepped_at { self.step } else { 0 };
-        let wall = u64::try_from(EPOCH_MS + up + step).unwrap();
-        let wall = std::time::UNIX_EPOCH + Duration::from_millis(wall);
-        let time = humantime::format_rfc3339_millis(wall);
+    fn write_line(&mut self, up: i64, event: &str, fields: &str) {
+        let step_ms = if up >= self.stepped_at_ms {
+            self.step_ms
+        } else {
+            0
+        };
+        let unix_time = u64::try_from(START_TIME_MS + up + step_ms).unwrap();
+        let unix_time = std::time::UNIX_EPOCH + Duration::from_millis(unix_time);
+        let time = humantime::format_rfc3339_millis(unix_time);
         writeln!(
             self.text,
             r#"{{"time":"{time}","up_ms":{up},"event":"{event}",{fields}}}"#
@@ -45,28 +49,29 @@
     }
 }
 
-fn flow(rest: &str) -> String {
+fn flow_fields(rest: &str) -> String {
     format!(r#""flow":"{FLOW}",{rest}"#)
 }
 
-/// A flow that is placed at one agent, passed on to another and broken off.
-fn timeline(step: i64, stepped_at: i64) -> Timeline {
-    let mut balancer = Process::start("Balancer", "192.0.2.1", 0, 0);
-    let placed = flow(r#""copy":0,"agent":"192.0.2.8:7082""#);
-    balancer.line(1000, "placed", &placed);
-    balancer.line(1006, "taken", &flow(r#""agent":"192.0.2.9:7082""#));
-    let mut first = Process::start("Agent", "192.0.2.8", 0, 0);
-    let passed = flow(r#""copy":0,"to":"192.0.2.9:7082","full":1"#);
-    first.line(1002, "passed_on", &passed);
-    let mut second = Process::start("Agent", "192.0.2.9", step, stepped_at);
-    let opened = flow(r#""copy":0,"origin":"Passed","busy":3"#);
-    second.line(1004, "opened", &opened);
-    second.line(1500, "upstream", r#""accepting":0"#);
-    balancer.line(1510, "agent", r#""agent":"192.0.2.9:7082","accepting":0"#);
-    balancer.line(1511, "agent", r#""agent":"192.0.2.77:7082","accepting":0"#);
-    let lost = flow(r#""cause":"upstream_lost_flow""#);
-    second.line(1600, "reset", &lost);
-    second.line(
+/// The timeline of a flow that a balancer places at one agent, which passes it on
+/// to another, which resets it.
+fn timeline(step_ms: i64, stepped_at_ms: i64) -> Timeline {
+    let mut balancer = ProcessLog::start("Balancer", "192.0.2.1", 0, 0);
+    let placed = flow_fields(r#""copy":0,"agent":"192.0.2.8:7082""#);
+    balancer.write_line(1000, "placed", &placed);
+    balancer.write_line(1006, "taken", &flow_fields(r#""agent":"192.0.2.9:7082""#));
+    let mut first = ProcessLog::start("Agent", "192.0.2.8", 0, 0);
+    let passed = flow_fields(r#""copy":0,"to":"192.0.2.9:7082","full":1"#);
+    first.write_line(1002, "passed_on", &passed);
+    let mut second = ProcessLog::start("Agent", "192.0.2.9", step_ms, stepped_at_ms);
+    let opened = flow_fields(r#""copy":0,"origin":"Passed","busy":3"#);
+    second.write_line(1004, "opened", &opened);
+    second.write_line(1500, "upstream", r#""accepting":0"#);
+    balancer.write_line(1510, "agent", r#""agent":"192.0.2.9:7082","accepting":0"#);
+    balancer.write_line(1511, "agent", r#""agent":"192.0.2.77:7082","accepting":0"#);
+    let lost = flow_fields(r#""cause":"upstream_lost_flow""#);
+    second.write_line(1600, "reset", &lost);
+    second.write_line(
         2100,
         "lines_left_out",
         r#""counts":{"opened":17,"routes":1}"#,
@@ -84,7 +89,8 @@
     entries.collect()
 }
 
-/// Guards against a timeline that a stepped or wrong clock puts out of order.
+/// Guards against a timeline that is out of order because a wall clock was wrong
+/// or stepped.
 #[test]
 fn stepped_clocks_do_not_change_the_order() {
     let cases = [
@@ -94,8 +100,8 @@
         ("stepped back while it ran", -4000, 1000, false),
         ("stepped ahead while it ran", 9000, 1550, false),
     ];
-    for (what, step, stepped_at, corrected) in cases {
-        let timeline = timeline(step, stepped_at);
+    for (what, step_ms, stepped_at_ms, corrected) in cases {
+        let timeline = timeline(step_ms, stepped_at_ms);
         let expected = [
             ("b", "placed"),
             ("a1", "passed_on"),
@@ -108,7 +114,7 @@
     }
 }
 
-/// Guards against an outcome that does not name what ended the flow.
+/// Guards against an outcome that is not the event that ended the flow.
 #[test]
 fn the_outcome_is_the_last_decision() {
     let timeline = timeline(0, 0);
@@ -117,30 +123,30 @@
     assert!(outcome.contains("cause=upstream_lost_flow"), "{outcome}");
 }
 
-/// Guards against a gap in the lines that looks like a gap in what happened.
+/// Guards against suppressed lines that look as if nothing had happened.
 #[test]
-fn lines_that_were_left_out_are_told() {
+fn suppressed_kinds_are_reported() {
     assert_eq!(timeline(0, 0).left_out, ["opened"]);
 }
 
-/// Guards against a change of belief that is missing between the decisions.
+/// Guards against a missing line on a state that the decisions depend on.
 #[test]
-fn beliefs_of_the_processes_involved_are_shown() {
+fn states_of_the_processes_involved_are_shown() {
     let timeline = timeline(0, 0);
-    let beliefs = timeline.entries.iter().filter(|entry| !entry.concerns);
-    let beliefs: Vec<&str> = beliefs.map(|entry| entry.event.as_str()).collect();
-    assert!(beliefs.contains(&"upstream"), "{beliefs:?}");
-    // Only what it believes of an agent that is involved.
-    let agents = beliefs.iter().filter(|event| **event == "agent");
-    assert_eq!(agents.count(), 1, "{beliefs:?}");
+    let states = timeline.entries.iter().filter(|entry| !entry.concerns);
+    let states: Vec<&str> = states.map(|entry| entry.event.as_str()).collect();
+    assert!(states.contains(&"upstream"), "{states:?}");
+    // Only the state of the agent that is involved.
+    let agents = states.iter().filter(|event| **event == "agent");
+    assert_eq!(agents.count(), 1, "{states:?}");
 }
 
-/// Guards against runs of a restarted process that are taken for one.
+/// Guards against taking the incarnations of a restarted process for one.
 #[test]
-fn a_restart_begins_a_new_run() {
-    let mut process = Process::start("Agent", "192.0.2.9", 0, 0);
-    process.line(5000, "opened", &flow(r#""copy":0"#));
-    let again = Process::start("Agent", "192.0.2.9", 0, 0);
+fn a_restart_begins_a_new_incarnation() {
+    let mut process = ProcessLog::start("Agent", "192.0.2.9", 0, 0);
+    process.write_line(5000, "opened", &flow_fields(r#""copy":0"#));
+    let again = ProcessLog::start("Agent", "192.0.2.9", 0, 0);
     let text = format!("{}{}", process.text, again.text);
     let mut logs = LogCollection::default();
     logs.read_source("a", text.as_bytes()).unwrap();
