--- a/crates/limpetctl/src/process/exit.rs
+++ b/crates/limpetctl/src/process/exit.rs
@@ -2,10 +2,10 @@
 
 use std::process::ExitCode;
 
-/// How a command ended.
+/// Exit status of a command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Exit {
-    /// Answered, or the change was accepted (and is in force with `--wait`).
+    /// Success: answered, or the change was accepted (with `--wait`: is in force).
     Done = 0,
     /// Nothing was changed: no answer to a query, or no leader for a change.
     Failed = 1,
@@ -13,12 +13,12 @@
     Usage = 2,
     /// The change was refused; it was not made and never will be.
     Refused = 3,
-    /// Another change of the same object came first.
+    /// Another change of the same object was made first.
     Conflict = 4,
     /// The change may or may not take effect.
     Unknown = 5,
-    /// The change was accepted, but was not complete or not everywhere in
-    /// force by the deadline.
+    /// The change was accepted, but is not complete or not in force everywhere
+    /// by the deadline.
     Pending = 6,
 }
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// Exit codes as `--help` lists them.
+/// Text of `--help` on the exit codes.
 pub const EXIT_CODES: &str = "\
 Exit codes:
   0  answered; for changes: accepted (with --wait: in force on every live node)
--- a/crates/limpetctl/src/process/mod.rs
+++ b/crates/limpetctl/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as the process: settings, output and exit status.
+//! Process-wide state: settings, output and exit status.
 
 mod exit;
 mod output;
@@ -6,9 +6,9 @@
 mod settings;
 
 pub use exit::Exit;
-pub use output::{Format, Output, Report, message, table};
+pub use output::{Format, Output, Report, print_stderr, table};
 pub use parse::{Body, RuleArg};
 pub use settings::{
-    CallArgs, ChangeFlags, Command, ControlCommand, ExplainArgs, Global, KeyCommand, RoutesCommand,
-    ServiceCommand, Settings, TargetCommand, UpstreamCommand, usage,
+    CallArgs, ChangeFlags, Command, ControlCommand, ExplainArgs, GlobalFlags, KeyCommand,
+    RoutesCommand, ServiceCommand, Settings, TargetCommand, UpstreamCommand, exit_with_usage_error,
 };
--- a/crates/limpetctl/src/process/output.rs
+++ b/crates/limpetctl/src/process/output.rs
@@ -1,4 +1,4 @@
-//! Results for people and for scripts.
+//! Output of results as tables or JSON.
 
 use std::{
     fmt::Display,
@@ -10,30 +10,30 @@
 
 use crate::error::Result;
 
-/// How results are written.
+/// Output format.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, clap::ValueEnum)]
 pub enum Format {
-    /// Tables for people.
+    /// Tables for reading.
     Table,
     /// JSON for scripts.
     Json,
 }
 
-/// A result that has a form for people besides its JSON.
+/// A result that can be written as text besides JSON.
 pub trait Report: Serialize {
-    /// The form for people, without a line feed at its end.
+    /// The result as text, without a trailing line feed.
     fn text(&self) -> String;
 }
 
-/// Where results and messages go.
+/// Writes results to the standard output.
 #[derive(Debug, Clone, Copy)]
 pub struct Output {
     pub format: Format,
 }
 
 impl Output {
-    /// Writes the result of a command to the standard output.
-    pub fn result(self, report: &impl Report) -> Result<()> {
+    /// Writes the result of a command.
+    pub fn write_result(self, report: &impl Report) -> Result<()> {
         let text = match self.format {
             Format::Table => report.text(),
             Format::Json => serde_json::to_string_pretty(report)?,
@@ -41,8 +41,9 @@
         Ok(writeln!(stdout(), "{text}")?)
     }
 
-    /// Writes a failure for scripts; people have its message.
-    pub fn failure(self, report: &impl Serialize) -> Result<()> {
+    /// Writes a failure if the format is JSON; in the table format, the message
+    /// on the standard error reports it.
+    pub fn write_failure(self, report: &impl Serialize) -> Result<()> {
         if self.format == Format::Json {
             writeln!(stdout(), "{}", serde_json::to_string_pretty(report)?)?;
         }
@@ -51,8 +52,8 @@
 }
 
 /// Writes a message to the standard error.
-pub fn message(message: impl Display) {
-    // The exit status still says how the command ended.
+pub fn print_stderr(message: impl Display) {
+    // If this fails, the exit status still reports how the command ended.
     let _ = writeln!(stderr(), "{message}");
 }
 
--- a/crates/limpetctl/src/process/parse.rs
+++ b/crates/limpetctl/src/process/parse.rs
@@ -1,4 +1,4 @@
-//! Readers of flag values, each with the range that it accepts.
+//! Parsers of flag values.
 
 use std::{
     fmt::{self, Display, Formatter},
@@ -13,22 +13,24 @@
 use types::{Revision, ServiceName};
 use url::Url;
 
-/// Shortest and longest time that `--deadline` accepts.
-const DEADLINES: RangeInclusive<Duration> = Duration::from_millis(100)..=Duration::from_hours(1);
+/// Accepted values of `--deadline`.
+const DEADLINE_RANGE: RangeInclusive<Duration> =
+    Duration::from_millis(100)..=Duration::from_hours(1);
 
-/// Shortest and longest time that `--leave-within` accepts.
-const LEAVES: RangeInclusive<Duration> = Duration::from_millis(1)..=Duration::from_hours(1);
+/// Accepted values of `--leave-within`.
+const LEAVE_WITHIN_RANGE: RangeInclusive<Duration> =
+    Duration::from_millis(1)..=Duration::from_hours(1);
 
-/// Shortest and longest time that `--around` accepts.
-const AROUND: RangeInclusive<Duration> = Duration::ZERO..=Duration::from_hours(1);
+/// Accepted values of `--around`.
+const AROUND_RANGE: RangeInclusive<Duration> = Duration::ZERO..=Duration::from_hours(1);
 
-/// A flag has a value that is not accepted.
+/// The value of a flag is invalid.
 #[derive(Debug, thiserror::Error)]
-pub enum Invalid {
+pub enum ParseError {
     #[error("expected IP:PORT with a port of 1 to 65535, such as 192.0.2.1:7100")]
     Address,
     #[error("expected a time of {0} to {1}, such as 5s or 500ms")]
-    Span(humantime::FormattedDuration, humantime::FormattedDuration),
+    DurationRange(humantime::FormattedDuration, humantime::FormattedDuration),
     #[error("expected a revision of 0 to {max}", max = u64::MAX)]
     Revision,
     #[error("expected https://HOST[:PORT]/PATH")]
@@ -39,85 +41,87 @@
     Header,
 }
 
-/// One part of the rule of an address.
+/// Weight of a service among the services that take the new flows of an address.
 #[derive(Debug, Clone)]
 pub struct RuleArg {
     pub address: SocketAddr,
     pub service: ServiceName,
-    pub part: u32,
+    pub weight: u32,
 }
 
 impl FromStr for RuleArg {
-    type Err = Invalid;
+    type Err = ParseError;
 
-    fn from_str(s: &str) -> Result<Self, Invalid> {
-        let (at, service) = s.split_once('=').ok_or(Invalid::Rule)?;
-        let (service, part) = service.split_once(':').unwrap_or((service, "1"));
+    fn from_str(s: &str) -> Result<Self, ParseError> {
+        let (at, service) = s.split_once('=').ok_or(ParseError::Rule)?;
+        let (service, weight) = service.split_once(':').unwrap_or((service, "1"));
         Ok(RuleArg {
             address: address(at)?,
-            service: service.parse().map_err(|_| Invalid::Rule)?,
-            part: part.parse().map_err(|_| Invalid::Rule)?,
+            service: service.parse().map_err(|_| ParseError::Rule)?,
+            weight: weight.parse().map_err(|_| ParseError::Rule)?,
         })
     }
 }
 
 impl Display for RuleArg {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
-        write!(f, "{}={}:{}", self.address, self.service, self.part)
+        write!(f, "{}={}:{}", self.address, self.service, self.weight)
     }
 }
 
-/// Body of a request.
+/// Source of the body of a request.
 #[derive(Debug, Clone)]
 pub enum Body {
     Text(String),
     File(PathBuf),
 }
 
-pub fn address(s: &str) -> Result<SocketAddr, Invalid> {
-    let address: SocketAddr = s.parse().map_err(|_| Invalid::Address)?;
+pub fn address(s: &str) -> Result<SocketAddr, ParseError> {
+    let address: SocketAddr = s.parse().map_err(|_| ParseError::Address)?;
     if address.port() == 0 {
-        return Err(Invalid::Address);
+        return Err(ParseError::Address);
     }
     Ok(address)
 }
 
-pub fn deadline(s: &str) -> Result<Duration, Invalid> {
-    span(s, &DEADLINES)
+pub fn deadline(s: &str) -> Result<Duration, ParseError> {
+    duration_in_range(s, &DEADLINE_RANGE)
 }
 
-pub fn leave_within(s: &str) -> Result<Duration, Invalid> {
-    span(s, &LEAVES)
+pub fn leave_within(s: &str) -> Result<Duration, ParseError> {
+    duration_in_range(s, &LEAVE_WITHIN_RANGE)
 }
 
-pub fn around(s: &str) -> Result<Duration, Invalid> {
-    span(s, &AROUND)
+pub fn around(s: &str) -> Result<Duration, ParseError> {
+    duration_in_range(s, &AROUND_RANGE)
 }
 
-fn span(s: &str, range: &RangeInclusive<Duration>) -> Result<Duration, Invalid> {
-    let span = humantime::parse_duration(s).ok();
-    span.filter(|span| range.contains(span)).ok_or_else(|| {
-        let format = humantime::format_duration;
-        Invalid::Span(format(*range.start()), format(*range.end()))
-    })
+fn duration_in_range(s: &str, range: &RangeInclusive<Duration>) -> Result<Duration, ParseError> {
+    let duration = humantime::parse_duration(s).ok();
+    duration
+        .filter(|duration| range.contains(duration))
+        .ok_or_else(|| {
+            let format = humantime::format_duration;
+            ParseError::DurationRange(format(*range.start()), format(*range.end()))
+        })
 }
 
-pub fn revision(s: &str) -> Result<Revision, Invalid> {
-    s.parse().map_err(|_| Invalid::Revision)
+pub fn revision(s: &str) -> Result<Revision, ParseError> {
+    s.parse().map_err(|_| ParseError::Revision)
 }
 
-pub fn url(s: &str) -> Result<Url, Invalid> {
-    let url = Url::parse(s).map_err(|_| Invalid::Url)?;
+pub fn url(s: &str) -> Result<Url, ParseError> {
+    let url = Url::parse(s).map_err(|_| ParseError::Url)?;
     if url.scheme() != "https" || url.host().is_none() {
-        return Err(Invalid::Url);
+        return Err(ParseError::Url);
     }
     Ok(url)
 }
 
-pub fn header(s: &str) -> Result<(HeaderName, HeaderValue), Invalid> {
-    let (name, value) = s.split_once(':').ok_or(Invalid::Header)?;
-    let name = name.trim().parse().map_err(|_| Invalid::Header)?;
-    let value = value.trim().parse().map_err(|_| Invalid::Header)?;
+pub fn header(s: &str) -> Result<(HeaderName, HeaderValue), ParseError> {
+    let (name, value) = s.split_once(':').ok_or(ParseError::Header)?;
+    let name = name.trim().parse().map_err(|_| ParseError::Header)?;
+    let value = value.trim().parse().map_err(|_| ParseError::Header)?;
     Ok((name, value))
 }
 
--- a/crates/limpetctl/src/process/settings.rs
+++ b/crates/limpetctl/src/process/settings.rs
@@ -1,4 +1,4 @@
-//! Settings in flags and environment.
+//! Settings from flags and environment variables.
 
 use std::{net::SocketAddr, path::PathBuf, time::Duration};
 
@@ -13,26 +13,26 @@
 
 use super::{Format, exit::EXIT_CODES, parse};
 
-/// Operators' tool of limpetplank, and an HTTP/3 client.
+/// Command-line tool for operators of limpetplank, and an HTTP/3 client.
 ///
 /// Example: limpetctl --control 192.0.2.1:7100 status
 #[derive(Debug, Parser)]
 #[command(name = "limpetctl", version, after_help = EXIT_CODES, propagate_version = true)]
 pub struct Settings {
     #[command(flatten)]
-    pub global: Global,
+    pub global: GlobalFlags,
     #[command(subcommand)]
     pub command: Command,
 }
 
-/// Flags of every command.
+/// Flags that every command has.
 #[derive(Debug, Clone, Args)]
-pub struct Global {
+pub struct GlobalFlags {
     /// Control hosts, for example --control 192.0.2.1:7100,192.0.2.2:7100
     #[arg(long, env = "LIMPET_CONTROL", global = true, value_name = "IP:PORT,…",
         value_delimiter = ',', value_parser = parse::address)]
     pub control: Vec<SocketAddr>,
-    /// How results are written, for example --output json
+    /// Output format, for example --output json
     #[arg(
         long,
         env = "LIMPET_OUTPUT",
@@ -41,11 +41,12 @@
         default_value = "table"
     )]
     pub output: Format,
-    /// Who asks, for the audit trail; needed for changes, for example --operator alice
+    /// Name of the operator in the audit trail; needed for changes, for example
+    /// --operator alice
     #[arg(long, env = "LIMPET_OPERATOR", global = true, value_name = "NAME")]
     pub operator: Option<OperatorName>,
-    /// Time for the whole command (10s) or until a call is answered (5s), for
-    /// example --deadline 30s
+    /// Time limit of the whole command (default 10s), or of a call until its
+    /// answer begins (default 5s), for example --deadline 30s
     #[arg(long, env = "LIMPET_DEADLINE", global = true, value_name = "TIME",
         value_parser = parse::deadline)]
     pub deadline: Option<Duration>,
@@ -69,9 +70,9 @@
     pub tls_key: Option<PathBuf>,
 }
 
-impl Global {
-    /// Flags and values of mutual TLS, as they are given.
-    pub fn tls(&self) -> [(&'static str, Option<&PathBuf>); 3] {
+impl GlobalFlags {
+    /// The flags of mutual TLS and the files that they name.
+    pub fn tls_files(&self) -> [(&'static str, Option<&PathBuf>); 3] {
         [
             ("--tls-ca", self.tls_ca.as_ref()),
             ("--tls-certificate", self.tls_certificate.as_ref()),
@@ -79,16 +80,17 @@
         ]
     }
 
-    /// Reads the files of mutual TLS; ends the process with status 2 if one
-    /// cannot be used. Clap checks `requires` before it hands global flags on
-    /// to subcommands, so that all are given is checked here.
+    /// Reads the files of mutual TLS; exits with status 2 if one cannot be used.
+    ///
+    /// Clap checks `requires` before it propagates global flags to subcommands,
+    /// so this checks that all three flags are set.
     pub fn credentials(&self) -> Option<Credentials> {
-        let given = self.tls();
+        let given = self.tls_files();
         let [(_, Some(ca)), (_, Some(certificate)), (_, Some(key))] = given else {
             let missing = given.iter().find(|(_, file)| file.is_none());
             if let Some((flag, _)) = missing.filter(|_| given.iter().any(|(_, f)| f.is_some())) {
                 let message = format!("{flag} <FILE> is needed with the other --tls flags");
-                usage(ErrorKind::MissingRequiredArgument, message);
+                exit_with_usage_error(ErrorKind::MissingRequiredArgument, message);
             }
             return None;
         };
@@ -97,8 +99,8 @@
             certificate: certificate.clone(),
             key: key.clone(),
         };
-        let credentials =
-            Credentials::read(&files).unwrap_or_else(|e| usage(ErrorKind::ValueValidation, e));
+        let credentials = Credentials::read(&files)
+            .unwrap_or_else(|e| exit_with_usage_error(ErrorKind::ValueValidation, e));
         if let Some(operator) = &self.operator
             && !credentials.names().operators.contains(operator)
         {
@@ -106,7 +108,7 @@
                 "invalid value '{operator}' for '--operator <NAME>': expected a name that the \
                  certificate of --tls-certificate holds, as NAME.operator.limpetplank.internal"
             );
-            usage(ErrorKind::ValueValidation, message);
+            exit_with_usage_error(ErrorKind::ValueValidation, message);
         }
         Some(credentials)
     }
@@ -171,7 +173,7 @@
     /// Example: `limpetctl call https://vouchers.example/feed --resolve
     /// 198.51.100.1:443 --ca roots.pem`
     Call(Box<CallArgs>),
-    /// Shows what the log lines of several processes say of one flow or request
+    /// Shows the timeline of one flow or request from the logs of several processes
     ///
     /// Example: limpetctl explain 100.64.0.7:40001-198.18.0.1:443 logs/*.log
     Explain(ExplainArgs),
@@ -309,7 +311,7 @@
         #[command(flatten)]
         flags: ChangeFlags,
     },
-    /// Takes the mark of a drain back
+    /// Removes the drain mark of a host
     ///
     /// Example: limpetctl upstream undrain booking-3
     Undrain {
@@ -325,8 +327,8 @@
     /// Adds a random key, waits until it is in force on every live node, and
     /// activates it
     ///
-    /// Runs on from where an earlier run ended. --change-id and --base resend
-    /// the activation.
+    /// Continues a rotation that an earlier run did not finish. --change-id and
+    /// --base resend the activation.
     ///
     /// Example: limpetctl key rotate --deadline 1m
     Rotate {
@@ -376,11 +378,11 @@
 pub struct ExplainArgs {
     /// Id of the flow or request, for example 100.64.0.7:40001-198.18.0.1:443
     pub id: String,
-    /// Files with the log lines of one process each; - is the standard input
+    /// Log files of one process each; - is the standard input
     #[arg(required = true, value_name = "FILE")]
     pub files: Vec<PathBuf>,
-    /// Time before and after the lines of the id for which what the processes
-    /// believed is shown too, for example --around 5s
+    /// Time before and after the lines of the id in which lines on the state of
+    /// the processes are shown too, for example --around 5s
     #[arg(long, env = "LIMPET_AROUND", value_name = "TIME", default_value = "2s",
         value_parser = parse::around)]
     pub around: Duration,
@@ -389,7 +391,7 @@
 #[derive(Debug, Args)]
 #[command(group = ArgGroup::new("trust").required(true).args(["insecure", "ca"]))]
 pub struct CallArgs {
-    /// What to ask for, for example `https://vouchers.example/feed`
+    /// URL of the request, for example `https://vouchers.example/feed`
     #[arg(value_parser = parse::url)]
     pub url: Url,
     /// Method of the request, for example --method POST
@@ -416,18 +418,18 @@
 }
 
 impl Settings {
-    /// Reads the settings; ends the process with status 2 if one is wrong.
+    /// Reads the settings; exits with status 2 if one is invalid.
     pub fn read() -> Self {
         let settings = Settings::parse();
-        settings.check();
+        settings.validate();
         settings
     }
 
-    /// Checks what a command needs beyond its own flags.
-    fn check(&self) {
+    /// Checks the global flags that a command requires.
+    fn validate(&self) {
         let missing = |flag, example| {
             let message = format!("{flag} is needed for this command, for example {example}");
-            usage(ErrorKind::MissingRequiredArgument, message)
+            exit_with_usage_error(ErrorKind::MissingRequiredArgument, message)
         };
         if self.needs_control() && self.global.control.is_empty() {
             missing("--control <IP:PORT,…>", "--control 192.0.2.1:7100");
@@ -462,7 +464,7 @@
     }
 }
 
-/// Ends the process with status 2.
-pub fn usage(kind: ErrorKind, message: impl std::fmt::Display) -> ! {
+/// Prints a usage error and exits with status 2.
+pub fn exit_with_usage_error(kind: ErrorKind, message: impl std::fmt::Display) -> ! {
     Settings::command().error(kind, message).exit()
 }
--- a/crates/limpetctl/src/request/audit.rs
+++ b/crates/limpetctl/src/request/audit.rs
@@ -23,7 +23,7 @@
 #[derive(Debug, Serialize)]
 struct RecordView {
     index: u64,
-    /// Time of the log, in RFC 3339.
+    /// Time of the log entry in RFC 3339.
     at: String,
     author: String,
     change_id: String,
@@ -31,21 +31,21 @@
     change: String,
     /// `accepted`, `conflict` or `refused`.
     answer: &'static str,
-    /// The revision, the winner or the reason.
+    /// The accepted revision, the conflicting revision or the reason of a refusal.
     detail: String,
     resend: bool,
 }
 
 impl From<&Record> for RecordView {
     fn from(record: &Record) -> Self {
-        let (answer, detail) = answer(&record.answer);
+        let (answer, detail) = describe_answer(&record.answer);
         RecordView {
             index: record.index.0,
-            at: time(record.at),
+            at: format_time(record.at),
             author: record.author.to_string(),
             change_id: record.id.to_string(),
             base: record.base.0,
-            change: change(&record.change),
+            change: describe_change(&record.change),
             answer,
             detail,
             resend: record.resend,
@@ -86,21 +86,21 @@
 pub async fn run(cx: &Context<'_>, limit: u32) -> Result<Exit> {
     let limit = usize::try_from(limit).unwrap_or(usize::MAX);
     let QueryReply::Audit(records) = cx.query(&Query::Audit { limit }).await? else {
-        return Err(Error::Mismatch);
+        return Err(Error::UnexpectedReply);
     };
-    cx.show(&AuditView {
+    cx.show_result(&AuditView {
         records: records.iter().map(RecordView::from).collect(),
     })
 }
 
-fn time(at: UnixMillis) -> String {
+fn format_time(at: UnixMillis) -> String {
     let at = std::time::UNIX_EPOCH.checked_add(Duration::from_millis(at.0));
     at.map_or_else(String::new, |at| {
         humantime::format_rfc3339_millis(at).to_string()
     })
 }
 
-fn answer(answer: &Answer) -> (&'static str, String) {
+fn describe_answer(answer: &Answer) -> (&'static str, String) {
     match answer {
         Answer::Accepted(revision) => ("accepted", format!("revision {revision}")),
         Answer::Conflict(c) => ("conflict", format!("revision {} by {}", c.winner, c.author)),
@@ -108,7 +108,7 @@
     }
 }
 
-fn change(change: &Summary) -> String {
+fn describe_change(change: &Summary) -> String {
     match change {
         Summary::CreateService(name, address) => format!("create service {name} at {address}"),
         Summary::DeleteService(name) => format!("delete service {name}"),
--- a/crates/limpetctl/src/request/call.rs
+++ b/crates/limpetctl/src/request/call.rs
@@ -20,35 +20,35 @@
 
 use crate::{
     error::{Error, Result},
-    process::{Body, CallArgs, Exit, message, usage},
+    process::{Body, CallArgs, Exit, exit_with_usage_error, print_stderr},
 };
 
-/// Error code of HTTP/3 for a connection that ends as planned.
+/// HTTP/3 error code of a connection that is closed without an error.
 const H3_NO_ERROR: u32 = 0x100;
 
-/// Time for the socket's task to send the last packet.
-const CLOSE: Duration = Duration::from_millis(10);
+/// Delay after closing, in which the task of the socket sends the last packet.
+const CLOSE_DELAY: Duration = Duration::from_millis(10);
 
 pub async fn run(args: &CallArgs, deadline: Instant) -> Result<Exit> {
-    let trust = trust(args);
-    let body = body(args);
+    let trust = read_trust(args);
+    let body = read_body(args);
     let Ok(connected) = timeout_at(deadline.into(), connect(args, trust)).await else {
-        message("limpetctl: not run: no connection by the deadline; check the address");
+        print_stderr("limpetctl: not run: no connection by the deadline; check the address");
         return Ok(Exit::Refused);
     };
     let mut caller = match connected {
         Ok(caller) => caller,
         Err(e) => {
-            message(format_args!("limpetctl: not run: {e}"));
+            print_stderr(format_args!("limpetctl: not run: {e}"));
             return Ok(Exit::Refused);
         }
     };
-    let request = request(args, body, deadline);
+    let request = build_request(args, body, deadline);
     let exit = match timeout_at(deadline.into(), caller.send(request)).await {
-        Ok(Ok(answer)) => receive(answer, args.verbose).await,
-        Ok(Err(e)) => Ok(failed(&e)),
+        Ok(Ok(answer)) => stream_answer(answer, args.verbose).await,
+        Ok(Err(e)) => Ok(report_failure(&e)),
         Err(_) => {
-            message("limpetctl: outcome unknown: no answer by the deadline");
+            print_stderr("limpetctl: outcome unknown: no answer by the deadline");
             Ok(Exit::Unknown)
         }
     };
@@ -56,30 +56,30 @@
     exit
 }
 
-fn failed(error: &caller::Error) -> Exit {
+fn report_failure(error: &caller::Error) -> Exit {
     match error.category() {
         Category::NotRun => {
-            message(format_args!(
+            print_stderr(format_args!(
                 "limpetctl: not run: {error}; it is safe to try again"
             ));
             Exit::Refused
         }
         Category::Unknown => {
-            message(format_args!("limpetctl: outcome unknown: {error}"));
+            print_stderr(format_args!("limpetctl: outcome unknown: {error}"));
             Exit::Unknown
         }
     }
 }
 
-/// Closes the connection, so that the upstream does not count it until it
-/// times out.
+/// Closes the connection, as the upstream would otherwise count it until the
+/// idle timeout.
 async fn close(caller: &Caller) {
     caller.connection().close(H3_NO_ERROR.into(), b"");
-    sleep(CLOSE).await;
+    sleep(CLOSE_DELAY).await;
 }
 
-/// The certificates to trust; a file that cannot be used ends the process.
-fn trust(args: &CallArgs) -> Trust {
+/// Reads the certificates to trust; exits with status 2 if the file is invalid.
+fn read_trust(args: &CallArgs) -> Trust {
     let Some(path) = &args.ca else {
         return Trust::Any;
     };
@@ -89,12 +89,12 @@
             "invalid value '{path}' for '--ca <FILE>': expected a readable PEM file with at least \
              one certificate: {reason}"
         );
-        usage(ErrorKind::ValueValidation, message)
+        exit_with_usage_error(ErrorKind::ValueValidation, message)
     };
     let read = CertificateDer::pem_file_iter(path).and_then(Iterator::collect::<Result<Vec<_>, _>>);
     let certificates = read.unwrap_or_else(|e| invalid(&e));
     if certificates.is_empty() {
-        invalid(&"it holds none");
+        invalid(&"it contains no certificate");
     }
     for certificate in &certificates {
         if let Err(e) = RootCertStore::empty().add(certificate.clone()) {
@@ -104,8 +104,8 @@
     Trust::Roots(certificates)
 }
 
-/// The body to send; a file that cannot be read ends the process.
-fn body(args: &CallArgs) -> Bytes {
+/// Reads the body to send; exits with status 2 if the file cannot be read.
+fn read_body(args: &CallArgs) -> Bytes {
     match &args.body {
         None => Bytes::new(),
         Some(Body::Text(text)) => Bytes::copy_from_slice(text.as_bytes()),
@@ -117,7 +117,7 @@
                     "invalid value '@{path}' for '--body <TEXT|@FILE>': expected a readable \
                      file: {e}"
                 );
-                usage(ErrorKind::ValueValidation, message)
+                exit_with_usage_error(ErrorKind::ValueValidation, message)
             }
         },
     }
@@ -147,13 +147,13 @@
         None => "",
     };
     let found = tokio::net::lookup_host((name, port)).await;
-    let mut found = found.map_err(|e| Error::Resolve(name.to_owned(), e))?;
-    found
+    let mut addresses = found.map_err(|e| Error::Resolve(name.to_owned(), e))?;
+    addresses
         .next()
         .ok_or_else(|| Error::NoAddress(name.to_owned()))
 }
 
-fn request(args: &CallArgs, body: Bytes, deadline: Instant) -> Request<Bytes> {
+fn build_request(args: &CallArgs, body: Bytes, deadline: Instant) -> Request<Bytes> {
     let mut request = Request::new(body);
     *request.method_mut() = args.method.clone();
     if let Ok(uri) = args.url.as_str().parse() {
@@ -169,8 +169,11 @@
     if length > 0 {
         headers.insert(CONTENT_LENGTH, HeaderValue::from(length));
     }
-    let left = deadline.saturating_duration_since(Instant::now());
-    headers.insert(ClaimHeader::TIMEOUT_MS, HeaderValue::from(millis(left)));
+    let remaining = deadline.saturating_duration_since(Instant::now());
+    headers.insert(
+        ClaimHeader::TIMEOUT_MS,
+        HeaderValue::from(millis(remaining)),
+    );
     request
 }
 
@@ -178,14 +181,14 @@
     u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Streams an answer to the standard output. Its end has no deadline, as a
-/// feed may stay open.
-async fn receive(mut answer: Answer, verbose: bool) -> Result<Exit> {
+/// Streams an answer to the standard output. The deadline does not apply to its
+/// body, as a feed may stay open.
+async fn stream_answer(mut answer: Answer, verbose: bool) -> Result<Exit> {
     if verbose {
-        message(format_args!("HTTP/3 {}", answer.status));
+        print_stderr(format_args!("HTTP/3 {}", answer.status));
         for (name, value) in &answer.headers {
             let value = String::from_utf8_lossy(value.as_bytes());
-            message(format_args!("{name}: {value}"));
+            print_stderr(format_args!("{name}: {value}"));
         }
     }
     loop {
@@ -194,33 +197,33 @@
                 stdout().write_all(&part)?;
                 stdout().flush()?;
             }
-            Ok(None) => return Ok(judge(&answer)),
+            Ok(None) => return Ok(report_outcome(&answer)),
             Err(e) => {
-                message(format_args!("limpetctl: the answer broke off: {e}"));
+                print_stderr(format_args!("limpetctl: the answer broke off: {e}"));
                 return Ok(match answer.outcome() {
                     Outcome::Answered => Exit::Failed,
-                    _ => judge(&answer),
+                    _ => report_outcome(&answer),
                 });
             }
         }
     }
 }
 
-fn judge(answer: &Answer) -> Exit {
+fn report_outcome(answer: &Answer) -> Exit {
     match answer.outcome() {
         Outcome::NotRun => {
-            message("limpetctl: not run; it is safe to try again");
+            print_stderr("limpetctl: not run; it is safe to try again");
             Exit::Refused
         }
         Outcome::Unknown => {
-            message("limpetctl: outcome unknown: the service may have run the request");
+            print_stderr("limpetctl: outcome unknown: the service may have run the request");
             Exit::Unknown
         }
         Outcome::Answered if answer.status.is_success() || answer.status.is_redirection() => {
             Exit::Done
         }
         Outcome::Answered => {
-            message(format_args!(
+            print_stderr(format_args!(
                 "limpetctl: answered with status {}",
                 answer.status
             ));
--- a/crates/limpetctl/src/request/change.rs
+++ b/crates/limpetctl/src/request/change.rs
@@ -9,37 +9,37 @@
 
 use super::{
     Context,
-    resend::{Identity, words},
+    resend::{ChangeIdentity, command_args},
 };
 use crate::{
     error::{Error, Result},
-    process::{ChangeFlags, Exit, Report, message, usage},
-    version::{NodeView, lagging_hosts},
+    process::{ChangeFlags, Exit, Report, exit_with_usage_error, print_stderr},
+    version::{NodeView, format_nodes},
 };
 
-/// Pause between two questions whether a change is in force.
-const POLL: Duration = Duration::from_millis(200);
+/// Interval between queries whether a change is in force.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A change to be sent.
-pub struct Ask<'a> {
+/// A change that a command submits.
+pub struct Submission<'a> {
     pub change: Change,
     pub flags: &'a ChangeFlags,
     pub base: Revision,
-    /// The command's own words and flags, for the line that resends it.
-    pub words: Vec<String>,
+    /// Arguments of the command, for the command line that resends it.
+    pub command_args: Vec<String>,
 }
 
-/// How far a revision has come.
-pub enum Spread {
+/// Whether a revision is in force on the nodes.
+pub enum Rollout {
     /// In force on every live node.
     InForce,
-    /// Not in force on these by the deadline.
+    /// Not in force on these nodes by the deadline.
     Lagging(Vec<NodeReport>),
-    /// No control host said so by the deadline.
-    NotLearned,
+    /// No control host reported it by the deadline.
+    Unconfirmed,
 }
 
-/// Outcome of a change.
+/// The result of a change with its id and base.
 #[derive(Debug, Serialize)]
 pub struct ChangeView {
     pub change_id: String,
@@ -48,11 +48,11 @@
     pub outcome: Outcome,
 }
 
-/// What became of a change.
+/// Outcome of a change.
 #[derive(Debug, Serialize)]
 #[serde(tag = "outcome", rename_all = "snake_case")]
 pub enum Outcome {
-    /// Part of the configuration from `revision` on.
+    /// Made at `revision`.
     Accepted {
         revision: u64,
         /// Whether every live node has it in force; absent without `--wait`.
@@ -63,15 +63,15 @@
     },
     /// Not made.
     Refused { reason: String },
-    /// Another change came first.
+    /// Not made, as another change of the object was made first.
     Conflict { winner: u64, author: String },
-    /// Not made, as no control host could take it.
+    /// Not made, as no control host could accept it.
     Unavailable,
     /// May or may not take effect.
     Unknown {
         reason: String,
-        /// The command that sends the change again; absent if only the audit
-        /// trail can tell.
+        /// The command that resends the change; absent if only the audit trail
+        /// holds the outcome.
         #[serde(skip_serializing_if = "Option::is_none")]
         resend: Option<String>,
     },
@@ -105,7 +105,7 @@
             Outcome::Refused { reason } => format!("refused, the change was not made: {reason}"),
             Outcome::Conflict { winner, author } => format!(
                 "conflict, the change was not made: {author} made revision {winner} first; look \
-                 at it, then ask again without --base"
+                 at it, then try again without --base"
             ),
             Outcome::Unavailable => "unavailable, the change was not made: no control host could \
                 take it; check --control and that a majority of the group runs, then \
@@ -123,9 +123,9 @@
     }
 }
 
-impl Ask<'_> {
-    fn identity(&self) -> Identity {
-        Identity {
+impl Submission<'_> {
+    fn identity(&self) -> ChangeIdentity {
+        ChangeIdentity {
             id: self.flags.change_id.unwrap_or_else(ChangeId::generate),
             base: self.base,
         }
@@ -133,8 +133,8 @@
 }
 
 impl Context<'_> {
-    /// The base that the flags give, or the one that `read` finds.
-    pub(super) async fn base(
+    /// The base in the flags, or the revision that `read` returns.
+    pub(super) async fn resolve_base(
         &self,
         flags: &ChangeFlags,
         read: impl Future<Output = Result<Option<Revision>>>,
@@ -145,51 +145,55 @@
         }
     }
 
-    /// Sends a change, waits until it is in force if asked, and shows the
+    /// Submits a change, waits until it is in force with `--wait`, and shows the
     /// outcome.
-    pub(super) async fn change(&self, ask: Ask<'_>) -> Exit {
-        let view = self.send(&ask).await;
-        self.finish(&ask, view).await
+    pub(super) async fn submit_and_show(&self, submission: Submission<'_>) -> Exit {
+        let view = self.submit(&submission).await;
+        self.wait_and_show(&submission, view).await
     }
 
-    /// Waits for an accepted change if asked, and shows the outcome.
-    pub(super) async fn finish(&self, ask: &Ask<'_>, mut view: ChangeView) -> Exit {
+    /// Waits for an accepted change with `--wait`, and shows the outcome.
+    pub(super) async fn wait_and_show(
+        &self,
+        submission: &Submission<'_>,
+        mut view: ChangeView,
+    ) -> Exit {
         if let Outcome::Accepted {
             revision,
             in_force,
             lagging,
         } = &mut view.outcome
-            && ask.flags.wait
+            && submission.flags.wait
         {
             let revision = Revision(*revision);
-            message(format_args!(
+            print_stderr(format_args!(
                 "accepted at revision {revision}; waiting until it is in force"
             ));
-            let spread = self.spread(revision).await;
-            *in_force = Some(matches!(spread, Spread::InForce));
-            *lagging = explain(revision, &spread);
+            let rollout = self.wait_until_in_force(revision).await;
+            *in_force = Some(matches!(rollout, Rollout::InForce));
+            *lagging = report_lagging(revision, &rollout);
         }
         self.show_change(&view)
     }
 
-    /// Shows the outcome of a change; people get all but an acceptance as an
-    /// error message.
+    /// Shows the outcome of a change; in the table format, every outcome but an
+    /// acceptance is an error message.
     pub(super) fn show_change(&self, view: &ChangeView) -> Exit {
         let exit = view.outcome.exit();
         if matches!(view.outcome, Outcome::Accepted { .. }) {
-            return self.outcome(view, exit);
+            return self.show_outcome(view, exit);
         }
-        message(format_args!("limpetctl: {}", view.text()));
-        if let Err(e) = self.out.failure(view) {
-            message(format_args!("limpetctl: {e}"));
+        print_stderr(format_args!("limpetctl: {}", view.text()));
+        if let Err(e) = self.out.write_failure(view) {
+            print_stderr(format_args!("limpetctl: {e}"));
         }
         exit
     }
 
-    /// Who asks for a change.
+    /// The operator who submits a change.
     pub(super) fn author(&self) -> OperatorName {
         let Some(author) = self.global.operator.clone() else {
-            usage(
+            exit_with_usage_error(
                 clap::error::ErrorKind::MissingRequiredArgument,
                 "--operator <NAME> is needed for this command, for example --operator alice",
             );
@@ -197,21 +201,21 @@
         author
     }
 
-    /// Sends a change until it has an outcome.
-    pub(super) async fn send(&self, ask: &Ask<'_>) -> ChangeView {
+    /// Sends a change, with retries, until it has an outcome.
+    pub(super) async fn submit(&self, submission: &Submission<'_>) -> ChangeView {
         let author = self.author();
-        let identity = ask.identity();
+        let identity = submission.identity();
         let req = ChangeRequest {
             id: identity.id,
             author,
             base: identity.base,
-            change: ask.change.clone(),
+            change: submission.change.clone(),
         };
-        // Written before anything is sent, so that the change can be sent
-        // again even if this process is killed before the answer comes.
-        message(format_args!("change id {}, base {}", req.id, req.base));
-        // An id that the operator gives may have been sent by an earlier run.
-        let reply = if ask.flags.change_id.is_some() {
+        // Printed before the change is sent, so that it can be resent even if
+        // this process is killed before the answer arrives.
+        print_stderr(format_args!("change id {}, base {}", req.id, req.base));
+        // An earlier run may have sent the id that the operator gives.
+        let reply = if submission.flags.change_id.is_some() {
             self.operator.resend(&req, self.deadline).await
         } else {
             self.operator.change(&req, self.deadline).await
@@ -219,12 +223,17 @@
         ChangeView {
             change_id: identity.id.to_string(),
             base: identity.base.0,
-            outcome: self.judge(ask, identity, reply),
+            outcome: self.outcome_of_reply(submission, identity, reply),
         }
     }
 
-    fn judge(&self, ask: &Ask<'_>, identity: Identity, reply: ChangeReply) -> Outcome {
-        let audit = words!["audit", "--limit", 10_000];
+    fn outcome_of_reply(
+        &self,
+        submission: &Submission<'_>,
+        identity: ChangeIdentity,
+        reply: ChangeReply,
+    ) -> Outcome {
+        let audit = command_args!["audit", "--limit", 10_000];
         match reply {
             ChangeReply::Final(Answer::Accepted(revision)) => Outcome::Accepted {
                 revision: revision.0,
@@ -235,10 +244,11 @@
                 winner: conflict.winner.0,
                 author: conflict.author.to_string(),
             },
-            // These say nothing of an earlier request with the id.
+            // These refusals do not tell the outcome of an earlier request with
+            // the id.
             ChangeReply::Final(Answer::Refused(
                 refusal @ (Refusal::IdReused(_) | Refusal::IdExpired(_)),
-            )) if ask.flags.change_id.is_some() => Outcome::Unknown {
+            )) if submission.flags.change_id.is_some() => Outcome::Unknown {
                 reason: format!(
                     "{refusal}; the answer to the first request with this id is in the audit \
                      trail: {}",
@@ -251,57 +261,59 @@
             },
             ChangeReply::NotLeader { .. } | ChangeReply::Unavailable => Outcome::Unavailable,
             ChangeReply::Unknown => Outcome::Unknown {
-                reason: "a control host may have received the change, its answer is lost".into(),
-                resend: Some(self.again(ask, identity)),
+                reason: "a control host may have received the change, but its answer was lost"
+                    .into(),
+                resend: Some(self.retry_command_line(submission, identity)),
             },
         }
     }
 
-    /// The command line that takes up a change whose outcome is unknown.
-    fn again(&self, ask: &Ask<'_>, identity: Identity) -> String {
-        match ask.change {
-            // A key cannot be sent again: it is random and never written
-            // down. The next run sees whether it was added.
-            Change::AddKey { .. } => self.command_line(&ask.words),
-            _ => self.resend_line(&ask.words, ask.flags, identity),
+    /// The command line that retries a change whose outcome is unknown.
+    fn retry_command_line(&self, submission: &Submission<'_>, identity: ChangeIdentity) -> String {
+        match submission.change {
+            // A key cannot be resent: it is random and never stored by this
+            // program. The next run queries whether it was added.
+            Change::AddKey { .. } => self.command_line(&submission.command_args),
+            _ => self.resend_command_line(&submission.command_args, submission.flags, identity),
         }
     }
 
     /// Waits until a revision is in force on every live node.
-    pub(super) async fn spread(&self, revision: Revision) -> Spread {
-        let mut last = Spread::NotLearned;
+    pub(super) async fn wait_until_in_force(&self, revision: Revision) -> Rollout {
+        let mut last = Rollout::Unconfirmed;
         loop {
             match self.lagging(revision).await {
-                Ok(nodes) if nodes.is_empty() => return Spread::InForce,
-                Ok(nodes) => last = Spread::Lagging(nodes),
-                // Its message would say that nothing was changed.
-                Err(Error::Query(e)) => message(format_args!("limpetctl: {e}")),
-                Err(e) => message(format_args!("limpetctl: {e}")),
+                Ok(nodes) if nodes.is_empty() => return Rollout::InForce,
+                Ok(nodes) => last = Rollout::Lagging(nodes),
+                // The message of `Error::Query` would wrongly say that nothing was
+                // changed.
+                Err(Error::Query(e)) => print_stderr(format_args!("limpetctl: {e}")),
+                Err(e) => print_stderr(format_args!("limpetctl: {e}")),
             }
-            if Instant::now() + POLL >= self.deadline {
+            if Instant::now() + POLL_INTERVAL >= self.deadline {
                 return last;
             }
-            sleep(POLL).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 }
 
-/// Tells people who lags; returns the same for scripts.
-pub fn explain(revision: Revision, spread: &Spread) -> Vec<NodeView> {
-    match spread {
-        Spread::InForce => Vec::new(),
-        Spread::Lagging(nodes) => {
-            message(format_args!(
+/// Reports the nodes that lag as a message; returns them for the JSON output.
+pub fn report_lagging(revision: Revision, rollout: &Rollout) -> Vec<NodeView> {
+    match rollout {
+        Rollout::InForce => Vec::new(),
+        Rollout::Lagging(nodes) => {
+            print_stderr(format_args!(
                 "limpetctl: revision {revision} is accepted, but not yet in force on {}; \
                  `limpetctl status` shows when it is",
-                lagging_hosts(nodes)
+                format_nodes(nodes)
             ));
             nodes.iter().map(NodeView::lagging).collect()
         }
-        Spread::NotLearned => {
-            message(format_args!(
-                "limpetctl: revision {revision} is accepted, but no control host said by the \
-                 deadline where it is in force; `limpetctl status` shows it"
+        Rollout::Unconfirmed => {
+            print_stderr(format_args!(
+                "limpetctl: revision {revision} is accepted, but no control host reported by \
+                 the deadline where it is in force; `limpetctl status` shows it"
             ));
             Vec::new()
         }
--- a/crates/limpetctl/src/request/control.rs
+++ b/crates/limpetctl/src/request/control.rs
@@ -13,28 +13,28 @@
     GroupChangeRequest, GroupRefusal, GroupReport, GroupRequest, Hello, HelloReply,
 };
 
-use super::{Context, resend::words};
+use super::{Context, resend::command_args};
 use crate::{
     error::{Error, Result},
-    process::{ControlCommand, Exit, Report, message},
+    process::{ControlCommand, Exit, Report, print_stderr},
     version::GroupView,
 };
 
-/// Pause between two looks at the group.
-const POLL: Duration = Duration::from_millis(200);
+/// Interval between queries of the group.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Why a command ended before the group was as asked.
+/// Why a command stopped before the group had the requested members.
 #[derive(Debug, thiserror::Error)]
-enum Stop {
+enum StopReason {
     #[error(transparent)]
     Refused(#[from] GroupRefusal),
     #[error("the host at {0} was part of a group before; stop it, empty its data folder, start it")]
     NotBlank(SocketAddr),
     #[error("the host at {0} is the member that is to be replaced")]
-    Same(SocketAddr),
+    SameMember(SocketAddr),
     #[error("no control host took the change; check that a majority of the group runs")]
     Unavailable,
-    #[error("the answer is lost; the same command sees what became of it and goes on from there")]
+    #[error("the answer was lost; the same command checks the group and continues from there")]
     Unknown,
 }
 
@@ -43,11 +43,11 @@
 struct OutcomeView {
     /// `done`, `refused`, `unavailable`, `incomplete` or `unknown`.
     outcome: &'static str,
-    /// The steps that are in force.
+    /// The steps that this run completed.
     steps: Vec<String>,
     #[serde(skip_serializing_if = "Option::is_none")]
     reason: Option<String>,
-    /// The command that goes on.
+    /// The command that continues.
     #[serde(skip_serializing_if = "Option::is_none")]
     resume: Option<String>,
 }
@@ -55,37 +55,37 @@
 impl Report for OutcomeView {
     fn text(&self) -> String {
         if self.steps.is_empty() {
-            return "nothing to do: the group is already as asked".to_owned();
+            return "nothing to do: the group already has the requested members".to_owned();
         }
         self.steps.join("\n")
     }
 }
 
-/// How far one change of the group has come.
-struct Course {
-    /// Whether a request was sent whose answer is lost.
-    sent: bool,
-    /// Why the change was not made so far.
-    stop: Stop,
+/// Progress of one group change over its attempts.
+struct Progress {
+    /// Whether the answer to a request was lost.
+    answer_lost: bool,
+    /// Why the last attempt did not make the change.
+    stop: StopReason,
 }
 
-impl Default for Course {
+impl Default for Progress {
     fn default() -> Self {
-        Course {
-            sent: false,
-            stop: Stop::Unavailable,
+        Progress {
+            answer_lost: false,
+            stop: StopReason::Unavailable,
         }
     }
 }
 
-impl Course {
-    /// Notes the outcome of an attempt; `true` if the change is in force.
-    fn note(&mut self, outcome: GroupOutcome) -> Result<bool, Stop> {
+impl Progress {
+    /// Records the outcome of an attempt; `true` if the change is in force.
+    fn record(&mut self, outcome: GroupOutcome) -> Result<bool, StopReason> {
         match outcome {
             GroupOutcome::Done => return Ok(true),
-            GroupOutcome::Unknown => self.sent = true,
-            GroupOutcome::Unavailable => self.stop = Stop::Unavailable,
-            GroupOutcome::Refused(refusal) if self.sent || passes(refusal) => {
+            GroupOutcome::Unknown => self.answer_lost = true,
+            GroupOutcome::Unavailable => self.stop = StopReason::Unavailable,
+            GroupOutcome::Refused(refusal) if self.answer_lost || is_transient(refusal) => {
                 self.stop = refusal.into();
             }
             GroupOutcome::Refused(refusal) => return Err(refusal.into()),
@@ -93,58 +93,62 @@
         Ok(false)
     }
 
-    /// Why the change ends here.
-    fn end(self) -> Stop {
-        if self.sent { Stop::Unknown } else { self.stop }
+    /// The reason to report when no further attempt is made.
+    fn into_stop_reason(self) -> StopReason {
+        if self.answer_lost {
+            StopReason::Unknown
+        } else {
+            self.stop
+        }
     }
 }
 
-/// The steps of one command.
-struct Steps<'a> {
+/// Runs the steps of one command.
+struct StepRunner<'a> {
     cx: &'a Context<'a>,
-    /// Steps that this run has made, for the report.
-    made: Vec<String>,
+    /// Steps that this run has completed, for the report.
+    completed: Vec<String>,
 }
 
 pub async fn run(cx: &Context<'_>, command: &ControlCommand) -> Result<Exit> {
-    let mut steps = Steps {
+    let mut runner = StepRunner {
         cx,
-        made: Vec::new(),
+        completed: Vec::new(),
     };
-    let (ended, words) = match command {
+    let (result, command_args) = match command {
         ControlCommand::List => {
-            return cx.show(&GroupView::from(&cx.status().await?.group));
+            return cx.show_result(&GroupView::from(&cx.status().await?.group));
         }
         ControlCommand::Add { address } => {
-            let ended = steps.add(*address, None).await?;
-            (ended, words!["control", "add", address])
+            let result = runner.add(*address, None).await?;
+            (result, command_args!["control", "add", address])
         }
         ControlCommand::Remove { member } => {
-            let ended = steps.run(GroupRequest::Remove(*member)).await;
-            (ended, words!["control", "remove", member])
+            let result = runner.run(GroupRequest::Remove(*member)).await;
+            (result, command_args!["control", "remove", member])
         }
         ControlCommand::Replace { member, address } => {
-            let ended = steps.replace(*member, *address).await?;
-            (ended, words!["control", "replace", member, address])
+            let result = runner.replace(*member, *address).await?;
+            (result, command_args!["control", "replace", member, address])
         }
     };
-    Ok(steps.report(ended, &words))
+    Ok(runner.report(result, &command_args))
 }
 
-impl Steps<'_> {
+impl StepRunner<'_> {
     /// Makes the blank host at `address` a voter.
     async fn add(
         &mut self,
         address: SocketAddr,
         old: Option<MemberId>,
-    ) -> Result<Result<(), Stop>> {
+    ) -> Result<Result<(), StopReason>> {
         let post = self
             .cx
             .http
             .post(address, "/v1/hello", &Hello, self.cx.deadline);
         let hello: HelloReply = post.await.map_err(|e| Error::Hello(address, e))?;
         let group = self.cx.status().await?.group;
-        if let Err(stop) = admissible(&group, &hello, address, old) {
+        if let Err(stop) = check_admissible(&group, &hello, address, old) {
             return Ok(Err(stop));
         }
         if let Err(stop) = self.run(GroupRequest::AddLearner(hello.id, address)).await {
@@ -153,68 +157,75 @@
         Ok(self.run(GroupRequest::Promote(hello.id)).await)
     }
 
-    async fn replace(&mut self, old: MemberId, address: SocketAddr) -> Result<Result<(), Stop>> {
+    async fn replace(
+        &mut self,
+        old: MemberId,
+        address: SocketAddr,
+    ) -> Result<Result<(), StopReason>> {
         match self.add(address, Some(old)).await? {
             Ok(()) => Ok(self.run(GroupRequest::Remove(old)).await),
             Err(stop) => Ok(Err(stop)),
         }
     }
 
-    /// Asks for one change until the group shows it.
+    /// Requests one change until the group status shows it.
     ///
-    /// Group changes have no id: after a lost answer only the group itself
-    /// tells what became of the change, never the refusal of a second attempt.
-    async fn run(&mut self, req: GroupRequest) -> Result<(), Stop> {
-        let mut course = Course::default();
+    /// Group changes have no id: after a lost answer, only the group status tells
+    /// whether the change was made, never the refusal of a second attempt.
+    async fn run(&mut self, req: GroupRequest) -> Result<(), StopReason> {
+        let mut progress = Progress::default();
         loop {
             let Ok(status) = self.cx.status().await else {
-                return Err(course.end());
+                return Err(progress.into_stop_reason());
             };
             if in_force(&req, &status.group) {
-                self.made.extend(course.sent.then(|| describe(&req)));
+                self.completed
+                    .extend(progress.answer_lost.then(|| describe_step(&req)));
                 return Ok(());
             }
-            if ready(&req, &status.group) {
+            if can_request(&req, &status.group) {
                 let call = GroupChangeRequest {
                     author: self.cx.author(),
                     change: req,
                 };
                 let outcome = self.cx.operator.change_group(&call, self.cx.deadline);
-                if course.note(outcome.await)? {
-                    self.made.push(describe(&req));
+                if progress.record(outcome.await)? {
+                    self.completed.push(describe_step(&req));
                     return Ok(());
                 }
             } else {
-                course.stop = GroupRefusal::NotCaughtUp.into();
+                progress.stop = GroupRefusal::NotCaughtUp.into();
             }
-            if Instant::now() + POLL >= self.cx.deadline {
-                return Err(course.end());
+            if Instant::now() + POLL_INTERVAL >= self.cx.deadline {
+                return Err(progress.into_stop_reason());
             }
-            sleep(POLL).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
-    fn report(self, ended: Result<(), Stop>, words: &[String]) -> Exit {
-        let Err(stop) = ended else {
-            return self.cx.outcome(&self.view("done", None, None), Exit::Done);
+    fn report(self, result: Result<(), StopReason>, command_args: &[String]) -> Exit {
+        let Err(stop) = result else {
+            return self
+                .cx
+                .show_outcome(&self.view("done", None, None), Exit::Done);
         };
         let (outcome, exit) = match stop {
-            Stop::Unknown => ("unknown", Exit::Unknown),
-            // Some of the steps are in force, so this is no plain refusal.
-            _ if !self.made.is_empty() => ("incomplete", Exit::Pending),
-            Stop::Unavailable => ("unavailable", Exit::Failed),
+            StopReason::Unknown => ("unknown", Exit::Unknown),
+            // Some steps are in force, so the command is not refused as a whole.
+            _ if !self.completed.is_empty() => ("incomplete", Exit::Pending),
+            StopReason::Unavailable => ("unavailable", Exit::Failed),
             _ => ("refused", Exit::Refused),
         };
-        for step in &self.made {
-            message(step);
+        for step in &self.completed {
+            print_stderr(step);
         }
-        let resume = self.cx.command_line(words);
-        message(format_args!(
+        let resume = self.cx.command_line(command_args);
+        print_stderr(format_args!(
             "limpetctl: {outcome}: {stop}\nrun again by: {resume}"
         ));
         let view = self.view(outcome, Some(stop.to_string()), Some(resume));
-        if let Err(e) = self.cx.out.failure(&view) {
-            message(format_args!("limpetctl: {e}"));
+        if let Err(e) = self.cx.out.write_failure(&view) {
+            print_stderr(format_args!("limpetctl: {e}"));
         }
         exit
     }
@@ -227,28 +238,29 @@
     ) -> OutcomeView {
         OutcomeView {
             outcome,
-            steps: self.made.clone(),
+            steps: self.completed.clone(),
             reason,
             resume,
         }
     }
 }
 
-/// Checks that a host may join, or has joined already.
-fn admissible(
+/// Checks that a host may join the group, or is a member already.
+fn check_admissible(
     group: &GroupReport,
     hello: &HelloReply,
     address: SocketAddr,
     old: Option<MemberId>,
-) -> Result<(), Stop> {
+) -> Result<(), StopReason> {
     let member = |id| group.voters.contains_key(id) || group.learners.contains_key(id);
     if old == Some(hello.id) {
-        return Err(Stop::Same(address));
+        return Err(StopReason::SameMember(address));
     }
     if !hello.blank && !member(&hello.id) {
-        return Err(Stop::NotBlank(address));
+        return Err(StopReason::NotBlank(address));
     }
-    // An earlier run removes the old member only after the new one votes.
+    // The old member may be absent only if the new one is a voter: an earlier run
+    // removes the old member after that.
     match old {
         Some(old) if !member(&old) && !group.voters.contains_key(&hello.id) => {
             Err(GroupRefusal::NoSuchMember.into())
@@ -257,7 +269,7 @@
     }
 }
 
-/// Whether the group already is as the request asks.
+/// Whether the group already shows the effect of the request.
 fn in_force(req: &GroupRequest, group: &GroupReport) -> bool {
     let votes = |id| group.voters.contains_key(id);
     let member = |id| votes(id) || group.learners.contains_key(id);
@@ -268,20 +280,21 @@
     }
 }
 
-/// Whether the request can be made now.
-fn ready(req: &GroupRequest, group: &GroupReport) -> bool {
+/// Whether the group can accept the request now: a learner is promoted only
+/// once it has caught up.
+fn can_request(req: &GroupRequest, group: &GroupReport) -> bool {
     match req {
         GroupRequest::Promote(id) => group.caught_up.contains(id),
         _ => true,
     }
 }
 
-/// Whether a refusal ends by itself.
-fn passes(refusal: GroupRefusal) -> bool {
+/// Whether a retry may succeed after this refusal.
+fn is_transient(refusal: GroupRefusal) -> bool {
     matches!(refusal, GroupRefusal::Busy | GroupRefusal::NotCaughtUp)
 }
 
-fn describe(req: &GroupRequest) -> String {
+fn describe_step(req: &GroupRequest) -> String {
     match req {
         GroupRequest::AddLearner(id, address) => format!("added {id} at {address} as a learner"),
         GroupRequest::Promote(id) => format!("made {id} a voter"),
--- a/crates/limpetctl/src/request/explain.rs
+++ b/crates/limpetctl/src/request/explain.rs
@@ -1,4 +1,4 @@
-//! What became of a flow or request, from the log lines of several processes.
+//! The timeline of a flow or request, from the logs of several processes.
 
 use std::{fmt::Write, fs::File, io::stdin, path::Path};
 
@@ -10,10 +10,10 @@
     process::{Exit, ExplainArgs, Output, Report, table},
 };
 
-/// The file name that stands for the standard input.
-const STDIN: &str = "-";
+/// The file name that means the standard input.
+const STDIN_NAME: &str = "-";
 
-/// A timeline with its outcome.
+/// A timeline and its outcome.
 #[derive(Debug, Serialize)]
 struct ExplainView {
     id: String,
@@ -37,12 +37,15 @@
         });
         let mut text = table(&["", "AT", "PROCESS", "EVENT", "MESSAGE", "INPUTS"], rows);
         for (process, shift) in &self.timeline.corrected {
-            // Writing to a string does not fail.
+            // Writing to a string cannot fail.
             let _ = write!(text, "\nclock of {process} corrected by {shift} ms");
         }
         if !self.timeline.left_out.is_empty() {
             let kinds = self.timeline.left_out.join(", ");
-            let _ = write!(text, "\nlines left out at that time, of the kinds: {kinds}");
+            let _ = write!(
+                text,
+                "\nlog lines suppressed at that time, by event: {kinds}"
+            );
         }
         let _ = write!(text, "\noutcome: {}", self.outcome);
         text
@@ -52,19 +55,19 @@
 pub fn run(args: &ExplainArgs, out: Output) -> Result<Exit> {
     let mut logs = LogCollection::default();
     for file in &args.files {
-        read(&mut logs, file)?;
+        read_file(&mut logs, file)?;
     }
     let window = ContextWindow {
         margin: args.around,
     };
     let timeline = logs.timeline(&args.id, window);
     if timeline.entries.is_empty() {
-        return Err(Error::NotFound {
+        return Err(Error::NoLogLines {
             id: args.id.clone(),
-            lines: logs.unrecognized_lines(),
+            unrecognized_lines: logs.unrecognized_lines(),
         });
     }
-    out.result(&ExplainView {
+    out.write_result(&ExplainView {
         id: args.id.clone(),
         outcome: timeline.outcome(),
         timeline,
@@ -72,9 +75,9 @@
     Ok(Exit::Done)
 }
 
-fn read(logs: &mut LogCollection, file: &Path) -> Result<()> {
-    if file.as_os_str() == STDIN {
-        return Ok(logs.read_source(STDIN, stdin().lock())?);
+fn read_file(logs: &mut LogCollection, file: &Path) -> Result<()> {
+    if file.as_os_str() == STDIN_NAME {
+        return Ok(logs.read_source(STDIN_NAME, stdin().lock())?);
     }
     let name = file.file_stem().unwrap_or(file.as_os_str());
     let name = name.to_string_lossy();
--- a/crates/limpetctl/src/request/key.rs
+++ b/crates/limpetctl/src/request/key.rs
@@ -7,19 +7,19 @@
 
 use super::{
     Context,
-    change::{Ask, Outcome, Spread, explain},
-    resend::words,
+    change::{Outcome, Rollout, Submission, report_lagging},
+    resend::command_args,
 };
 use crate::{
     error::Result,
-    process::{ChangeFlags, Exit, KeyCommand, Report, message},
+    process::{ChangeFlags, Exit, KeyCommand, Report, print_stderr},
 };
 
 /// Generations of the keys.
 #[derive(Debug, Serialize)]
 struct KeysView {
     current: Option<u8>,
-    /// Generation of a key that waits for its activation.
+    /// Generation of a key that is added but not activated.
     pending: Option<u8>,
     revision: u64,
 }
@@ -51,31 +51,33 @@
 
 pub async fn run(cx: &Context<'_>, command: &KeyCommand) -> Result<Exit> {
     match command {
-        KeyCommand::Show => cx.show(&KeysView::from(cx.keys().await?)),
+        KeyCommand::Show => cx.show_result(&KeysView::from(cx.keys().await?)),
         KeyCommand::Rotate { flags } => rotate(cx, flags).await,
     }
 }
 
-/// Takes the rotation on from where it is.
+/// Continues the rotation from its current state.
 async fn rotate(cx: &Context<'_>, flags: &ChangeFlags) -> Result<Exit> {
-    // Only the activation can be sent again by its id.
+    // Only the activation can be resent by its change id.
     if let (Some(_), Some(base)) = (flags.change_id, flags.base) {
-        return Ok(cx.change(activation(flags, base)).await);
+        return Ok(cx
+            .submit_and_show(activate_key_submission(flags, base))
+            .await);
     }
     let Some(keys) = cx.keys().await? else {
         return Ok(cx
-            .change(addition(flags, KeyGeneration(0), Revision(0)))
+            .submit_and_show(add_key_submission(flags, KeyGeneration(0), Revision(0)))
             .await);
     };
     let base = flags.base.unwrap_or(keys.revision);
     if keys.pending.is_some() {
         return Ok(activate(cx, flags, base).await);
     }
-    let ask = addition(flags, keys.current.next(), base);
-    let view = cx.send(&ask).await;
+    let submission = add_key_submission(flags, keys.current.next(), base);
+    let view = cx.submit(&submission).await;
     match view.outcome {
         Outcome::Accepted { revision, .. } => {
-            message(format_args!(
+            print_stderr(format_args!(
                 "key of generation {} added at revision {revision}; waiting until it is in force",
                 keys.current.next()
             ));
@@ -85,71 +87,75 @@
     }
 }
 
-/// Activates the key that was added in revision `added`.
+/// Activates the key that was added at revision `added`.
 ///
-/// A node without the key would drop packets whose ids it made, so nothing
-/// is activated before the key is in force on every live node.
+/// A node without the key drops packets whose connection ids were made with it,
+/// so the key is activated only once it is in force on every live node.
 async fn activate(cx: &Context<'_>, flags: &ChangeFlags, added: Revision) -> Exit {
-    let spread = cx.spread(added).await;
-    explain(added, &spread);
-    if let Spread::InForce = spread {
-        let ask = activation(flags, added);
-        let view = cx.send(&ask).await;
+    let rollout = cx.wait_until_in_force(added).await;
+    report_lagging(added, &rollout);
+    if let Rollout::InForce = rollout {
+        let submission = activate_key_submission(flags, added);
+        let view = cx.submit(&submission).await;
         if !matches!(view.outcome, Outcome::Unavailable) {
-            return cx.finish(&ask, view).await;
+            return cx.wait_and_show(&submission, view).await;
         }
     }
-    let resume = cx.command_line(&rotate_words(flags));
-    message(format_args!(
-        "limpetctl: the new key is not activated yet; go on by: {resume}"
+    let resume = cx.command_line(&rotate_command_args(flags));
+    print_stderr(format_args!(
+        "limpetctl: the new key is not activated yet; continue with: {resume}"
     ));
-    let view = Paused {
+    let view = PausedRotation {
         outcome: "key_added",
         revision: added.0,
         activated: false,
         resume,
     };
-    cx.outcome(&view, Exit::Pending)
+    cx.show_outcome(&view, Exit::Pending)
 }
 
-fn rotate_words(flags: &ChangeFlags) -> Vec<String> {
-    let mut words = words!["key", "rotate"];
-    words.extend(flags.wait.then(|| "--wait".to_owned()));
-    words
+fn rotate_command_args(flags: &ChangeFlags) -> Vec<String> {
+    let mut command_args = command_args!["key", "rotate"];
+    command_args.extend(flags.wait.then(|| "--wait".to_owned()));
+    command_args
 }
 
-fn addition(flags: &ChangeFlags, generation: KeyGeneration, base: Revision) -> Ask<'_> {
+fn add_key_submission(
+    flags: &ChangeFlags,
+    generation: KeyGeneration,
+    base: Revision,
+) -> Submission<'_> {
     let key = CidKey {
         generation,
         secret: rand::rng().random(),
     };
-    Ask {
+    Submission {
         change: Change::AddKey { key },
         flags,
         base,
-        words: rotate_words(flags),
+        command_args: rotate_command_args(flags),
     }
 }
 
-fn activation(flags: &ChangeFlags, base: Revision) -> Ask<'_> {
-    Ask {
+fn activate_key_submission(flags: &ChangeFlags, base: Revision) -> Submission<'_> {
+    Submission {
         change: Change::ActivateKey,
         flags,
         base,
-        words: words!["key", "rotate"],
+        command_args: command_args!["key", "rotate"],
     }
 }
 
-/// A rotation that waits for nodes.
+/// A rotation whose key is added but not activated.
 #[derive(Debug, Serialize)]
-struct Paused {
+struct PausedRotation {
     outcome: &'static str,
     revision: u64,
     activated: bool,
     resume: String,
 }
 
-impl Report for Paused {
+impl Report for PausedRotation {
     fn text(&self) -> String {
         format!("key added at revision {}, not activated", self.revision)
     }
--- a/crates/limpetctl/src/request/mod.rs
+++ b/crates/limpetctl/src/request/mod.rs
@@ -1,4 +1,4 @@
-//! One command.
+//! The commands.
 
 mod audit;
 mod call;
@@ -23,18 +23,18 @@
 
 use crate::{
     error::{Error, Result},
-    process::{Command, Exit, Global, Output, Report, Settings, message},
+    process::{Command, Exit, GlobalFlags, Output, Report, Settings, print_stderr},
 };
 
-/// Time for a command, unless set.
-const DEADLINE: Duration = Duration::from_secs(10);
+/// Time limit of a command without `--deadline`.
+const DEFAULT_COMMAND_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Time until a call is answered, unless set.
-const CALL_DEADLINE: Duration = Duration::from_secs(5);
+/// Time limit of a call until its answer begins, without `--deadline`.
+const DEFAULT_CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What a command works with.
+/// Settings and connections of a command.
 struct Context<'a> {
-    global: &'a Global,
+    global: &'a GlobalFlags,
     http: Http,
     operator: Operator,
     out: Output,
@@ -48,18 +48,18 @@
     }
 
     /// Writes the result of a command that changed nothing.
-    fn show(&self, report: &impl Report) -> Result<Exit> {
-        self.out.result(report)?;
+    fn show_result(&self, report: &impl Report) -> Result<Exit> {
+        self.out.write_result(report)?;
         Ok(Exit::Done)
     }
 
     /// Writes the outcome of a change.
     ///
-    /// A failure to write it must not stand for the outcome, so the exit
-    /// status stays that of the change.
-    fn outcome(&self, report: &impl Report, exit: Exit) -> Exit {
-        if let Err(e) = self.out.result(report) {
-            message(format_args!("limpetctl: {e}"));
+    /// The exit status stays that of the change even if the output cannot be
+    /// written, as it must not report a change that was made as failed.
+    fn show_outcome(&self, report: &impl Report, exit: Exit) -> Exit {
+        if let Err(e) = self.out.write_result(report) {
+            print_stderr(format_args!("limpetctl: {e}"));
         }
         exit
     }
@@ -71,8 +71,8 @@
         format: settings.global.output,
     };
     dispatch(settings, out).await.unwrap_or_else(|e| {
-        message(format_args!("limpetctl: {e}"));
-        let _ = out.failure(&Failed {
+        print_stderr(format_args!("limpetctl: {e}"));
+        let _ = out.write_failure(&FailureView {
             outcome: "failed",
             reason: e.to_string(),
         });
@@ -88,7 +88,7 @@
             clap_complete::generate(*shell, &mut command, "limpetctl", &mut std::io::stdout());
             return Ok(Exit::Done);
         }
-        Command::Call(args) => return call::run(args, deadline(CALL_DEADLINE)).await,
+        Command::Call(args) => return call::run(args, deadline(DEFAULT_CALL_TIMEOUT)).await,
         Command::Explain(args) => return explain::run(args, out),
         _ => {}
     }
@@ -98,7 +98,7 @@
         operator: Operator::new(http.clone(), settings.global.control.clone()),
         http,
         out,
-        deadline: deadline(DEADLINE),
+        deadline: deadline(DEFAULT_COMMAND_TIMEOUT),
     };
     match &settings.command {
         Command::Service(command) => service::run(&cx, command).await,
@@ -112,9 +112,9 @@
     }
 }
 
-/// A command failed and nothing was changed.
+/// A command that failed without a change.
 #[derive(Serialize)]
-struct Failed {
+struct FailureView {
     outcome: &'static str,
     reason: String,
 }
--- a/crates/limpetctl/src/request/query.rs
+++ b/crates/limpetctl/src/request/query.rs
@@ -1,4 +1,4 @@
-//! Queries for one kind of reply each.
+//! Typed queries of the control group.
 
 use config::DrainMark;
 use types::{HostName, Revision, Service, ServiceName};
@@ -11,35 +11,35 @@
     pub(super) async fn service(&self, name: &ServiceName) -> Result<Option<Service>> {
         match self.query(&Query::Service(name.clone())).await? {
             QueryReply::Service(service) => Ok(service),
-            _ => Err(Error::Mismatch),
+            _ => Err(Error::UnexpectedReply),
         }
     }
 
     pub(super) async fn drain_mark(&self, host: &HostName) -> Result<Option<DrainMark>> {
         match self.query(&Query::Drain(host.clone())).await? {
             QueryReply::Drain(mark) => Ok(mark),
-            _ => Err(Error::Mismatch),
+            _ => Err(Error::UnexpectedReply),
         }
     }
 
     pub(super) async fn keys(&self) -> Result<Option<KeysReport>> {
         match self.query(&Query::Keys).await? {
             QueryReply::Keys(keys) => Ok(keys),
-            _ => Err(Error::Mismatch),
+            _ => Err(Error::UnexpectedReply),
         }
     }
 
     pub(super) async fn status(&self) -> Result<StatusReport> {
         match self.query(&Query::Status).await? {
             QueryReply::Status(status) => Ok(*status),
-            _ => Err(Error::Mismatch),
+            _ => Err(Error::UnexpectedReply),
         }
     }
 
     pub(super) async fn lagging(&self, revision: Revision) -> Result<Vec<NodeReport>> {
         match self.query(&Query::Lagging(revision)).await? {
             QueryReply::Lagging(nodes) => Ok(nodes),
-            _ => Err(Error::Mismatch),
+            _ => Err(Error::UnexpectedReply),
         }
     }
 }
--- a/crates/limpetctl/src/request/resend.rs
+++ b/crates/limpetctl/src/request/resend.rs
@@ -5,19 +5,20 @@
 use super::Context;
 use crate::process::{ChangeFlags, Format};
 
-/// Identity of a change: what a resend has to repeat besides the change.
+/// ChangeIdentity of a change, which a resend must repeat so that the change is made
+/// at most once.
 #[derive(Debug, Clone, Copy)]
-pub struct Identity {
+pub struct ChangeIdentity {
     pub id: ChangeId,
     pub base: Revision,
 }
 
 impl Context<'_> {
-    /// The command line of `words` with the flags that every command has.
+    /// The command line of `command_args` with the global flags.
     ///
-    /// Settings from the environment are written out, so that the line means
-    /// the same in another shell.
-    pub(super) fn command_line(&self, words: &[String]) -> String {
+    /// Settings from the environment are written as flags, so that the line has
+    /// the same effect in another shell.
+    pub(super) fn command_line(&self, command_args: &[String]) -> String {
         let control: Vec<_> = self
             .global
             .control
@@ -36,32 +37,32 @@
             let deadline = humantime::format_duration(deadline).to_string();
             line.extend(["--deadline".to_owned(), deadline.replace(' ', "")]);
         }
-        for (flag, file) in self.global.tls() {
+        for (flag, file) in self.global.tls_files() {
             line.extend(file.map(|file| format!("{flag}={}", file.display())));
         }
-        line.extend_from_slice(words);
-        // No value can hold a zero byte, the one thing that cannot be quoted.
+        line.extend_from_slice(command_args);
+        // Quoting fails only on a zero byte, which no value can contain.
         shlex::try_join(line.iter().map(String::as_str)).unwrap_or_else(|_| line.join(" "))
     }
 
-    /// The command line that sends the change of `words` again.
-    pub(super) fn resend_line(
+    /// The command line that resends the change of `command_args`.
+    pub(super) fn resend_command_line(
         &self,
-        words: &[String],
+        command_args: &[String],
         flags: &ChangeFlags,
-        identity: Identity,
+        identity: ChangeIdentity,
     ) -> String {
-        let mut words = words.to_vec();
-        words.extend(["--change-id".to_owned(), identity.id.to_string()]);
-        words.extend(["--base".to_owned(), identity.base.to_string()]);
-        words.extend(flags.wait.then(|| "--wait".to_owned()));
-        self.command_line(&words)
+        let mut command_args = command_args.to_vec();
+        command_args.extend(["--change-id".to_owned(), identity.id.to_string()]);
+        command_args.extend(["--base".to_owned(), identity.base.to_string()]);
+        command_args.extend(flags.wait.then(|| "--wait".to_owned()));
+        self.command_line(&command_args)
     }
 }
 
-/// Words of a command line.
-macro_rules! words {
+/// Builds the arguments of a command line as strings.
+macro_rules! command_args {
     ($($word:expr),* $(,)?) => { vec![$($word.to_string()),*] };
 }
 
-pub(super) use words;
+pub(super) use command_args;
--- a/crates/limpetctl/src/request/routes.rs
+++ b/crates/limpetctl/src/request/routes.rs
@@ -1,4 +1,4 @@
-//! Routing sets: which services take the flows to an address.
+//! Routing sets: the services that take the new flows of each address.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
@@ -8,7 +8,7 @@
 };
 use wire::request::{Query, QueryReply};
 
-use super::{Context, change::Ask, resend::words};
+use super::{Context, change::Submission, resend::command_args};
 use crate::{
     error::{Error, Result},
     process::{Exit, Report, RoutesCommand, RuleArg, table},
@@ -24,23 +24,25 @@
 
 impl From<&RoutingSet> for RoutesView {
     fn from(set: &RoutingSet) -> Self {
-        let parts = |rule: &RoutingRule| {
-            let parts = rule.weights.iter();
-            parts.map(|(name, part)| (name.clone(), part.0)).collect()
+        let weights = |rule: &RoutingRule| {
+            let weights = rule.weights.iter();
+            weights
+                .map(|(name, weight)| (name.clone(), weight.0))
+                .collect()
         };
         let rules = set.rules.iter();
         RoutesView {
             number: set.number.0,
-            rules: rules.map(|(at, rule)| (*at, parts(rule))).collect(),
+            rules: rules.map(|(at, rule)| (*at, weights(rule))).collect(),
         }
     }
 }
 
 impl Report for RoutesView {
     fn text(&self) -> String {
-        let rows = self.rules.iter().flat_map(|(address, parts)| {
-            let rows = parts.iter();
-            rows.map(|(name, part)| [address.to_string(), name.to_string(), part.to_string()])
+        let rows = self.rules.iter().flat_map(|(address, weights)| {
+            let rows = weights.iter();
+            rows.map(|(name, weight)| [address.to_string(), name.to_string(), weight.to_string()])
         });
         let table = table(&["ADDRESS", "SERVICE", "PART"], rows);
         format!("set {}\n{table}", self.number)
@@ -49,45 +51,45 @@
 
 pub async fn run(cx: &Context<'_>, command: &RoutesCommand) -> Result<Exit> {
     match command {
-        RoutesCommand::Show => show(cx).await,
+        RoutesCommand::Show => show_routes(cx).await,
         RoutesCommand::Set {
             number,
             rules,
             flags,
         } => {
-            let mut words = words!["routes", "set", number];
+            let mut command_args = command_args!["routes", "set", number];
             for rule in rules {
-                words.extend(words!["--rule", rule]);
+                command_args.extend(command_args!["--rule", rule]);
             }
-            let ask = Ask {
+            let submission = Submission {
                 change: Change::ReplaceRoutes(Box::new(routing_set(*number, rules))),
                 flags,
-                // Sets are ordered by their numbers, not by revisions.
+                // Routing sets are ordered by number, not by revision.
                 base: flags.base.unwrap_or(Revision(0)),
-                words,
+                command_args,
             };
-            Ok(cx.change(ask).await)
+            Ok(cx.submit_and_show(submission).await)
         }
     }
 }
 
-async fn show(cx: &Context<'_>) -> Result<Exit> {
+async fn show_routes(cx: &Context<'_>) -> Result<Exit> {
     let QueryReply::Routes(set) = cx.query(&Query::Routes).await? else {
-        return Err(Error::Mismatch);
+        return Err(Error::UnexpectedReply);
     };
-    let none = RoutingSet::default();
-    cx.show(&RoutesView::from(set.as_deref().unwrap_or(&none)))
+    let empty = RoutingSet::default();
+    cx.show_result(&RoutesView::from(set.as_deref().unwrap_or(&empty)))
 }
 
-/// Several rules of one address make one with a part for each service.
+/// Merges the arguments of one address into a rule with a weight for each service.
 fn routing_set(number: RoutingSetNumber, rules: &[RuleArg]) -> RoutingSet {
     let mut set = RoutingSet {
         number,
         ..RoutingSet::default()
     };
     for rule in rules {
-        let parts = &mut set.rules.entry(rule.address).or_default().weights;
-        parts.insert(rule.service.clone(), RouteWeight(rule.part));
+        let weights = &mut set.rules.entry(rule.address).or_default().weights;
+        weights.insert(rule.service.clone(), RouteWeight(rule.weight));
     }
     set
 }
--- a/crates/limpetctl/src/request/service.rs
+++ b/crates/limpetctl/src/request/service.rs
@@ -3,7 +3,7 @@
 use types::{Change, Revision, ServiceName};
 use wire::request::{Query, QueryReply};
 
-use super::{Context, change::Ask, resend::words};
+use super::{Context, change::Submission, resend::command_args};
 use crate::{
     error::{Error, Result},
     process::{ChangeFlags, Exit, ServiceCommand},
@@ -17,50 +17,50 @@
             address,
             flags,
         } => {
-            let ask = Ask {
+            let submission = Submission {
                 change: Change::CreateService {
                     name: name.clone(),
                     address: *address,
                 },
                 flags,
                 base: flags.base.unwrap_or_default(),
-                words: words!["service", "create", name, "--address", address],
+                command_args: command_args!["service", "create", name, "--address", address],
             };
-            Ok(cx.change(ask).await)
+            Ok(cx.submit_and_show(submission).await)
         }
         ServiceCommand::List => list(cx).await,
         ServiceCommand::Show { name } => {
             let service = cx.service(name).await?;
-            let service = service.ok_or_else(|| Error::NoService(name.clone()))?;
-            cx.show(&ServiceView::from(&service))
+            let service = service.ok_or_else(|| Error::UnknownService(name.clone()))?;
+            cx.show_result(&ServiceView::from(&service))
         }
         ServiceCommand::Delete { name, flags } => {
-            let ask = Ask {
+            let submission = Submission {
                 change: Change::DeleteService { name: name.clone() },
                 flags,
                 base: service_base(cx, flags, name).await?,
-                words: words!["service", "delete", name],
+                command_args: command_args!["service", "delete", name],
             };
-            Ok(cx.change(ask).await)
+            Ok(cx.submit_and_show(submission).await)
         }
     }
 }
 
 async fn list(cx: &Context<'_>) -> Result<Exit> {
     let QueryReply::Services(services) = cx.query(&Query::Services).await? else {
-        return Err(Error::Mismatch);
+        return Err(Error::UnexpectedReply);
     };
-    cx.show(&ServicesView {
+    cx.show_result(&ServicesView {
         services: services.iter().map(ServiceView::from).collect(),
     })
 }
 
-/// The revision of a service that a change of it is based on.
+/// The base revision of a change to a service.
 pub async fn service_base(
     cx: &Context<'_>,
     flags: &ChangeFlags,
     name: &ServiceName,
 ) -> Result<Revision> {
     let read = async { Ok(cx.service(name).await?.map(|service| service.revision)) };
-    cx.base(flags, read).await
+    cx.resolve_base(flags, read).await
 }
--- a/crates/limpetctl/src/request/target.rs
+++ b/crates/limpetctl/src/request/target.rs
@@ -2,14 +2,14 @@
 
 use types::{Change, Connections, Slots, Target};
 
-use super::{Context, change::Ask, resend::words, service::service_base};
+use super::{Context, change::Submission, resend::command_args, service::service_base};
 use crate::{
     error::Result,
     process::{Exit, TargetCommand},
 };
 
 pub async fn run(cx: &Context<'_>, command: &TargetCommand) -> Result<Exit> {
-    let ask = match command {
+    let submission = match command {
         TargetCommand::Set {
             service,
             class,
@@ -18,7 +18,7 @@
             leave_within,
             path_prefix,
             flags,
-        } => Ask {
+        } => Submission {
             change: Change::SetTarget {
                 service: service.clone(),
                 class: class.clone(),
@@ -31,7 +31,7 @@
             },
             flags,
             base: service_base(cx, flags, service).await?,
-            words: words![
+            command_args: command_args![
                 "target",
                 "set",
                 service,
@@ -50,15 +50,15 @@
             service,
             class,
             flags,
-        } => Ask {
+        } => Submission {
             change: Change::DeleteTarget {
                 service: service.clone(),
                 class: class.clone(),
             },
             flags,
             base: service_base(cx, flags, service).await?,
-            words: words!["target", "delete", service, class],
+            command_args: command_args!["target", "delete", service, class],
         },
     };
-    Ok(cx.change(ask).await)
+    Ok(cx.submit_and_show(submission).await)
 }
--- a/crates/limpetctl/src/request/upstream.rs
+++ b/crates/limpetctl/src/request/upstream.rs
@@ -1,8 +1,8 @@
-//! Drains of upstreams.
+//! Draining of upstreams.
 
 use types::Change;
 
-use super::{Context, change::Ask, resend::words};
+use super::{Context, change::Submission, resend::command_args};
 use crate::{
     error::Result,
     process::{Exit, UpstreamCommand},
@@ -14,14 +14,14 @@
         UpstreamCommand::Undrain { host, flags } => (host, flags, false),
     };
     let read = async { Ok(cx.drain_mark(host).await?.map(|mark| mark.revision)) };
-    let ask = Ask {
+    let submission = Submission {
         change: Change::SetDrain {
             host: host.clone(),
             drain,
         },
         flags,
-        base: cx.base(flags, read).await?,
-        words: words!["upstream", if drain { "drain" } else { "undrain" }, host],
+        base: cx.resolve_base(flags, read).await?,
+        command_args: command_args!["upstream", if drain { "drain" } else { "undrain" }, host],
     };
-    Ok(cx.change(ask).await)
+    Ok(cx.submit_and_show(submission).await)
 }
--- a/crates/limpetctl/src/version/mod.rs
+++ b/crates/limpetctl/src/version/mod.rs
@@ -1,6 +1,7 @@
-//! What is shown of the configuration and of the membership.
+//! Views of the configuration and of the membership.
 //!
-//! The field names here are the JSON that scripts read; they stay as they are.
+//! The field names are those of the JSON output, which scripts depend on: do not
+//! rename them.
 
 mod group;
 mod node;
@@ -8,6 +9,6 @@
 mod status;
 
 pub use group::GroupView;
-pub use node::{NodeView, lagging_hosts};
+pub use node::{NodeView, format_nodes};
 pub use service::{ServiceView, ServicesView};
 pub use status::StatusView;
--- a/crates/limpetctl/src/version/node.rs
+++ b/crates/limpetctl/src/version/node.rs
@@ -22,7 +22,7 @@
 }
 
 impl NodeView {
-    /// A node beside the version that the leader publishes.
+    /// Compares the version of a node with the published one.
     pub fn new(node: &NodeReport, published: &Version) -> Self {
         NodeView {
             lags: node.version.is_none_or(|v| v.is_behind(published)),
@@ -30,7 +30,7 @@
         }
     }
 
-    /// A node that is known to lag.
+    /// Creates the view of a node that is known to lag.
     pub fn lagging(node: &NodeReport) -> Self {
         NodeView {
             role: node.role.to_string(),
@@ -62,8 +62,8 @@
     }
 }
 
-/// The nodes in one line.
-pub fn lagging_hosts(nodes: &[NodeReport]) -> String {
+/// The roles and hosts of nodes as a comma-separated list.
+pub fn format_nodes(nodes: &[NodeReport]) -> String {
     let name = |n: &NodeReport| format!("{} {}", n.role, n.host);
     nodes.iter().map(name).collect::<Vec<_>>().join(", ")
 }
--- a/crates/limpetctl/src/version/status.rs
+++ b/crates/limpetctl/src/version/status.rs
@@ -1,4 +1,4 @@
-//! Status of everything.
+//! Status of the whole system.
 
 use std::collections::BTreeMap;
 
@@ -19,14 +19,14 @@
     pub lagging: usize,
     pub group: GroupView,
     pub nodes: Vec<NodeView>,
-    pub services: Vec<LoadView>,
+    pub services: Vec<ServiceLoadView>,
 }
 
 /// Load of a service.
 #[derive(Debug, Serialize)]
-pub struct LoadView {
+pub struct ServiceLoadView {
     pub name: String,
-    pub classes: BTreeMap<String, ClassView>,
+    pub classes: BTreeMap<String, ClassLoadView>,
     pub upstreams: Vec<UpstreamView>,
     /// Connections that leaving upstreams still hold.
     pub leaving_connections: u64,
@@ -34,7 +34,7 @@
 
 /// Load of a class of work against its target.
 #[derive(Debug, Serialize)]
-pub struct ClassView {
+pub struct ClassLoadView {
     pub carry: u32,
     pub slots: u32,
     pub in_flight: u32,
@@ -47,7 +47,7 @@
     pub id: String,
     pub host: String,
     pub state: String,
-    /// Weight in the placement of new flows; `full_share` when warmed up.
+    /// Weight in the placement of new flows; `full_share` once warmed up.
     pub share: u32,
     pub full_share: u32,
 }
@@ -65,15 +65,15 @@
             lagging: nodes.iter().filter(|n| n.lags).count(),
             group: GroupView::from(&status.group),
             nodes,
-            services: status.services.iter().map(LoadView::from).collect(),
+            services: status.services.iter().map(ServiceLoadView::from).collect(),
         }
     }
 }
 
-impl From<&ServiceReport> for LoadView {
+impl From<&ServiceReport> for ServiceLoadView {
     fn from(service: &ServiceReport) -> Self {
         let classes = service.classes.iter();
-        LoadView {
+        ServiceLoadView {
             name: service.name.to_string(),
             classes: classes.map(|(c, l)| (c.to_string(), l.into())).collect(),
             upstreams: service.upstreams.iter().map(UpstreamView::from).collect(),
@@ -82,9 +82,9 @@
     }
 }
 
-impl From<&ClassReport> for ClassView {
+impl From<&ClassReport> for ClassLoadView {
     fn from(class: &ClassReport) -> Self {
-        ClassView {
+        ClassLoadView {
             carry: class.carry.0,
             slots: class.slots.0,
             in_flight: class.in_flight.0,
--- a/crates/limpetctl/tests/call.rs
+++ b/crates/limpetctl/tests/call.rs
@@ -1,4 +1,4 @@
-//! Golden file of requests to a service, with every exit code of `call`.
+//! Snapshot of requests to a service, with every exit code of `call`.
 
 #[path = "common/service.rs"]
 mod service;
@@ -7,12 +7,12 @@
 
 use insta::assert_snapshot;
 
-fn call(text: &mut String, line: &str, hidden: &str) {
+fn call(text: &mut String, line: &str, unrecorded_args: &str) {
     let words = line.split_whitespace();
     let output = Command::new(env!("CARGO_BIN_EXE_limpetctl"))
         .arg("call")
         .args(words)
-        .args(hidden.split_whitespace())
+        .args(unrecorded_args.split_whitespace())
         .output()
         .unwrap();
     let stdout = String::from_utf8(output.stdout).unwrap();
@@ -23,8 +23,8 @@
     writeln!(text, "exit code {}\n", output.status.code().unwrap()).unwrap();
 }
 
-/// Guards against a request that may have run and is reported as not run, and
-/// against a truncated answer that passes for a whole one.
+/// Guards against reporting a request as not run that may have run, and a
+/// truncated answer as complete.
 #[test]
 fn outcomes() {
     let (address, pem) = service::service();
--- a/crates/limpetctl/tests/common/host.rs
+++ b/crates/limpetctl/tests/common/host.rs
@@ -1,4 +1,4 @@
-//! A stand-in control host that keeps a real configuration.
+//! A fake control host that applies changes to a real configuration state.
 
 use std::{
     cell::RefCell,
@@ -22,87 +22,89 @@
     StatusReport, UpstreamReport,
 };
 
-/// What goes wrong with a request. All but the last two take it first.
+/// Fault of the answer to a request. All but the last two apply the request
+/// first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// The answer breaks off after its head.
+    /// The connection is closed after the head of the answer.
     CutOff,
     /// A status of 500.
     Status,
-    /// An answer that is no message.
+    /// An answer that cannot be decoded.
     Garbage,
     /// No answer within any deadline of the tests.
     Late,
-    /// The host says that it does not know.
+    /// The host answers that the outcome is unknown.
     Unknown,
     /// The host is not the leader.
     NotLeader,
-    /// The host cannot take changes.
+    /// The host cannot accept changes.
     Unavailable,
 }
 
-/// What a host says of a revision.
+/// What the host reports about a revision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Spread {
+pub enum Rollout {
     /// It is in force on every node.
     #[default]
     InForce,
-    /// A node never gets it.
+    /// It is never in force on one node.
     Lagging,
-    /// Nothing: the host is not the leader for this query.
-    NotSaid,
+    /// Nothing: the host answers that it is not the leader.
+    Unconfirmed,
 }
 
-/// A control host.
+/// Settings of a fake control host.
 #[derive(Debug, Clone, Default)]
 pub struct Host {
-    /// Fault of the first changes, and how many have it.
-    pub change: Option<(Fault, usize)>,
-    /// Changes that are answered before those with a fault.
-    pub answered: usize,
-    /// Leader that the host names when it is not the leader itself.
-    pub leader: Option<SocketAddr>,
-    /// Fault of the first group changes, and how many have it.
-    pub group: Option<(Fault, usize)>,
-    /// Reports of the status that do not show a lost group change yet.
-    pub hidden: usize,
-    /// What the host says of a revision.
-    pub spread: Spread,
+    /// Fault of the answers to changes, and how many changes have it.
+    pub change_fault: Option<(Fault, usize)>,
+    /// Number of changes that are answered before those with a fault.
+    pub changes_before_fault: usize,
+    /// Leader that the host names with the fault `NotLeader`.
+    pub named_leader: Option<SocketAddr>,
+    /// Fault of the answers to group changes, and how many have it.
+    pub group_fault: Option<(Fault, usize)>,
+    /// Number of status reports that do not yet show a group change whose answer
+    /// was lost.
+    pub stale_status_reports: usize,
+    /// What the host reports about a revision.
+    pub rollout: Rollout,
     /// Whether learners never catch up.
-    pub slow_learners: bool,
+    pub learners_never_catch_up: bool,
     /// Whether the host was part of a group.
-    pub used: bool,
-    /// Changes that were made before.
-    pub made: Vec<Change>,
+    pub was_member: bool,
+    /// Changes that are applied at the start.
+    pub initial_changes: Vec<Change>,
 }
 
-struct Running {
+struct HostState {
     host: Host,
     state: State,
     index: u64,
     voters: BTreeMap<MemberId, SocketAddr>,
     learners: BTreeMap<MemberId, SocketAddr>,
-    /// The group before a change whose answer was lost.
-    before: Option<GroupReport>,
+    /// The group before the last change, if its answer was lost.
+    group_before_lost_change: Option<GroupReport>,
 }
 
-type Shared = web::Data<RefCell<Running>>;
+type SharedState = web::Data<RefCell<HostState>>;
 
 impl Host {
-    /// Starts the host; it ends with the test's process.
+    /// Starts the host; it runs until the test process ends.
     pub fn start(self) -> SocketAddr {
         self.start_at(TcpListener::bind("127.0.0.1:0").unwrap())
     }
 
-    /// Starts the host on a socket whose address was needed before.
+    /// Starts the host on a socket that is already bound.
     pub fn start_at(self, listener: TcpListener) -> SocketAddr {
         let address = listener.local_addr().unwrap();
         thread::spawn(move || {
             actix_web::rt::System::new().block_on(async move {
                 let server = HttpServer::new(move || {
-                    // One worker, so there is one of these.
+                    // One worker, so there is one state.
                     App::new()
-                        .app_data(web::Data::new(RefCell::new(Running::new(self.clone()))))
+                        .app_data(web::Data::new(RefCell::new(HostState::new(self.clone()))))
                         .route("/v1/change", web::post().to(change))
                         .route("/v1/query", web::post().to(query))
                         .route("/v1/group", web::post().to(group))
@@ -116,27 +118,27 @@
     }
 }
 
-impl Running {
+impl HostState {
     fn new(host: Host) -> Self {
         let voter = |n: u64| (MemberId(n), format!("192.0.2.{n}:7100").parse().unwrap());
-        let made = host.made.clone();
-        let mut running = Running {
+        let changes = host.initial_changes.clone();
+        let mut host_state = HostState {
             host,
             state: State::default(),
             index: 0,
             voters: [1, 2, 3].map(voter).into(),
             learners: BTreeMap::new(),
-            before: None,
+            group_before_lost_change: None,
         };
-        for change in made {
-            running.apply(&ChangeRequest {
+        for change in changes {
+            host_state.apply(&ChangeRequest {
                 id: ChangeId::generate(),
                 author: "bob".parse().unwrap(),
-                base: running.state.revision(),
+                base: host_state.state.revision(),
                 change,
             });
         }
-        running
+        host_state
     }
 
     fn apply(&mut self, req: &ChangeRequest) -> types::Answer {
@@ -146,20 +148,20 @@
         self.state.apply(Revision(self.index), now, req)
     }
 
-    fn change_fault(&mut self) -> Option<Fault> {
-        if let Some(left) = self.host.answered.checked_sub(1) {
-            self.host.answered = left;
+    fn next_change_fault(&mut self) -> Option<Fault> {
+        if let Some(left) = self.host.changes_before_fault.checked_sub(1) {
+            self.host.changes_before_fault = left;
             return None;
         }
-        take(&mut self.host.change)
+        take_fault(&mut self.host.change_fault)
     }
 
-    /// The group as the status shows it.
-    fn shown(&mut self) -> GroupReport {
-        match self.host.hidden.checked_sub(1) {
-            Some(left) if self.before.is_some() => {
-                self.host.hidden = left;
-                self.before.clone().unwrap()
+    /// The group in the status report.
+    fn reported_group(&mut self) -> GroupReport {
+        match self.host.stale_status_reports.checked_sub(1) {
+            Some(left) if self.group_before_lost_change.is_some() => {
+                self.host.stale_status_reports = left;
+                self.group_before_lost_change.clone().unwrap()
             }
             _ => self.report(),
         }
@@ -181,10 +183,10 @@
             }
             Query::Routes => QueryReply::Routes(state.routes().cloned()),
             Query::Status => QueryReply::Status(Box::new(self.status())),
-            Query::Lagging(_) => match self.host.spread {
-                Spread::InForce => QueryReply::Lagging(Vec::new()),
-                Spread::Lagging => QueryReply::Lagging(vec![node("b2", 0)]),
-                Spread::NotSaid => QueryReply::NotLeader { leader: None },
+            Query::Lagging(_) => match self.host.rollout {
+                Rollout::InForce => QueryReply::Lagging(Vec::new()),
+                Rollout::Lagging => QueryReply::Lagging(vec![node("b2", 0)]),
+                Rollout::Unconfirmed => QueryReply::NotLeader { leader: None },
             },
         }
     }
@@ -215,12 +217,12 @@
         };
         StatusReport {
             version: version(revision),
-            group: self.shown(),
+            group: self.reported_group(),
             nodes: vec![
                 node("b1", revision),
                 node(
                     "b2",
-                    if self.host.spread == Spread::Lagging {
+                    if self.host.rollout == Rollout::Lagging {
                         0
                     } else {
                         revision
@@ -232,7 +234,10 @@
     }
 
     fn report(&self) -> GroupReport {
-        let learners = self.learners.keys().filter(|_| !self.host.slow_learners);
+        let learners = self
+            .learners
+            .keys()
+            .filter(|_| !self.host.learners_never_catch_up);
         let caught_up: BTreeSet<_> = self.voters.keys().chain(learners).copied().collect();
         GroupReport {
             leader: MemberId(2),
@@ -243,8 +248,8 @@
         }
     }
 
-    fn take_group(&mut self, req: GroupRequest, lost: bool) -> GroupReply {
-        self.before = lost.then(|| self.report());
+    fn apply_group(&mut self, req: GroupRequest, lost: bool) -> GroupReply {
+        self.group_before_lost_change = lost.then(|| self.report());
         self.change_group(req)
     }
 
@@ -252,8 +257,8 @@
         let refused = match req {
             GroupRequest::AddLearner(id, address) => {
                 let member = self.voters.contains_key(&id);
-                let taken = member || self.learners.insert(id, address).is_some();
-                taken.then_some(GroupRefusal::AlreadyMember)
+                let exists = member || self.learners.insert(id, address).is_some();
+                exists.then_some(GroupRefusal::AlreadyMember)
             }
             GroupRequest::Promote(id) => match self.learners.remove(&id) {
                 Some(address) => {
@@ -263,8 +268,8 @@
                 None => Some(GroupRefusal::NoSuchMember),
             },
             GroupRequest::Remove(id) => {
-                let gone = self.voters.remove(&id).or(self.learners.remove(&id));
-                gone.is_none().then_some(GroupRefusal::NoSuchMember)
+                let removed = self.voters.remove(&id).or(self.learners.remove(&id));
+                removed.is_none().then_some(GroupRefusal::NoSuchMember)
             }
         };
         refused.map_or(GroupReply::Done, GroupReply::Refused)
@@ -289,8 +294,8 @@
     }
 }
 
-/// Takes one of the faults that are left.
-fn take(faults: &mut Option<(Fault, usize)>) -> Option<Fault> {
+/// The fault of this request, if one is left; counts it.
+fn take_fault(faults: &mut Option<(Fault, usize)>) -> Option<Fault> {
     let (fault, left) = faults.as_mut()?;
     *left = left.checked_sub(1)?;
     Some(*fault)
@@ -300,8 +305,8 @@
     HttpResponse::Ok().body(wire::encode(message).unwrap())
 }
 
-/// The answer to a request that was taken and whose answer gets lost.
-async fn lost(fault: Fault, unknown: HttpResponse) -> HttpResponse {
+/// The answer to a request that was applied and whose answer is lost.
+async fn faulty_answer(fault: Fault, unknown: HttpResponse) -> HttpResponse {
     match fault {
         Fault::CutOff => {
             let part: Result<Bytes, std::io::Error> = Err(std::io::ErrorKind::Other.into());
@@ -317,44 +322,46 @@
     }
 }
 
-async fn change(running: Shared, body: Bytes) -> HttpResponse {
-    let fault = running.borrow_mut().change_fault();
+async fn change(host_state: SharedState, body: Bytes) -> HttpResponse {
+    let fault = host_state.borrow_mut().next_change_fault();
     match fault {
         Some(Fault::NotLeader) => {
-            let leader = running.borrow().host.leader;
+            let leader = host_state.borrow().host.named_leader;
             return reply(&ChangeReply::NotLeader { leader });
         }
         Some(Fault::Unavailable) => return reply(&ChangeReply::Unavailable),
         _ => {}
     }
-    let answer = running.borrow_mut().apply(&wire::decode(&body).unwrap());
+    let answer = host_state.borrow_mut().apply(&wire::decode(&body).unwrap());
     match fault {
-        Some(fault) => lost(fault, reply(&ChangeReply::Unknown)).await,
+        Some(fault) => faulty_answer(fault, reply(&ChangeReply::Unknown)).await,
         None => reply(&ChangeReply::Final(answer)),
     }
 }
 
-async fn group(running: Shared, body: Bytes) -> HttpResponse {
-    let fault = take(&mut running.borrow_mut().host.group);
+async fn group(host_state: SharedState, body: Bytes) -> HttpResponse {
+    let fault = take_fault(&mut host_state.borrow_mut().host.group_fault);
     if let Some(Fault::NotLeader | Fault::Unavailable) = fault {
         return reply(&GroupReply::NotLeader { leader: None });
     }
     let req: GroupChangeRequest = wire::decode(&body).unwrap();
-    let answer = running.borrow_mut().take_group(req.change, fault.is_some());
+    let answer = host_state
+        .borrow_mut()
+        .apply_group(req.change, fault.is_some());
     match fault {
-        Some(fault) => lost(fault, reply(&GroupReply::Unknown)).await,
+        Some(fault) => faulty_answer(fault, reply(&GroupReply::Unknown)).await,
         None => reply(&answer),
     }
 }
 
-async fn query(running: Shared, body: Bytes) -> HttpResponse {
-    reply(&running.borrow_mut().query(wire::decode(&body).unwrap()))
+async fn query(host_state: SharedState, body: Bytes) -> HttpResponse {
+    reply(&host_state.borrow_mut().query(wire::decode(&body).unwrap()))
 }
 
-async fn hello(running: Shared, body: Bytes) -> HttpResponse {
+async fn hello(host_state: SharedState, body: Bytes) -> HttpResponse {
     let Hello = wire::decode(&body).unwrap();
     reply(&HelloReply {
         id: MemberId(4),
-        blank: !running.borrow().host.used,
+        blank: !host_state.borrow().host.was_member,
     })
 }
--- a/crates/limpetctl/tests/common/mod.rs
+++ b/crates/limpetctl/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Dialogues of the real program with stand-in control hosts.
+//! Runs the real program against fake control hosts.
 
 #![allow(dead_code)]
 
@@ -13,25 +13,27 @@
 };
 
 /// An address that refuses connections.
-pub fn refusing() -> SocketAddr {
+pub fn refusing_address() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     listener.local_addr().unwrap()
 }
 
-/// A host that does not answer attempts to connect, as behind a partition.
-pub fn partitioned() -> (SocketAddr, (socket2::Socket, TcpStream)) {
+/// A host that does not answer connection attempts, as behind a network
+/// partition.
+pub fn unreachable_host() -> (SocketAddr, (socket2::Socket, TcpStream)) {
     let any = "127.0.0.1:0".parse::<SocketAddr>().unwrap();
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket.bind(&any.into()).unwrap();
     socket.listen(0).unwrap();
     let address = socket.local_addr().unwrap().as_socket().unwrap();
-    // Fills the queue of connections that nobody accepts.
+    // Fills the accept queue, which nothing accepts from.
     let queued = TcpStream::connect(address).unwrap();
     (address, (socket, queued))
 }
 
-/// A host that takes whole requests and closes without an answer.
-pub fn closing() -> SocketAddr {
+/// A host that receives whole requests and closes the connection without an
+/// answer.
+pub fn closing_host() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     thread::spawn(move || {
@@ -55,7 +57,7 @@
     command.args(args).output().unwrap()
 }
 
-/// A dialogue and its transcript.
+/// A sequence of commands and its transcript.
 pub struct Session {
     control: String,
     names: Vec<(String, &'static str)>,
@@ -73,8 +75,8 @@
         }
     }
 
-    /// Has `address` written as `name`.
-    pub fn name(&mut self, address: SocketAddr, name: &'static str) {
+    /// Replaces `address` by `name` in the transcript.
+    pub fn redact_as(&mut self, address: SocketAddr, name: &'static str) {
         self.names.push((address.to_string(), name));
     }
 
@@ -90,7 +92,7 @@
         self.add(operator, line, output)
     }
 
-    /// Runs a whole command line that the program printed.
+    /// Runs a command line that the program printed.
     pub fn run_printed(&mut self, line: &str) -> Output {
         let words = shlex::split(line).unwrap();
         let args: Vec<_> = words.iter().skip(1).map(String::as_str).collect();
@@ -112,7 +114,7 @@
         output
     }
 
-    /// The output without what differs from run to run.
+    /// Replaces the parts of the output that differ from run to run.
     pub fn redact(&self, output: &[u8]) -> String {
         let mut text = String::from_utf8_lossy(output).into_owned();
         for (address, name) in &self.names {
@@ -123,10 +125,10 @@
     }
 }
 
-/// Replaces what has the shape of `pattern`, where `_` is any hexadecimal
-/// digit, by `name`.
+/// Replaces each match of `pattern`, where `_` is any hexadecimal digit, by
+/// `name`.
 fn mask(text: &str, pattern: &str, name: &str) -> String {
-    let fits = |s: &str| {
+    let matches = |s: &str| {
         s.len() >= pattern.len()
             && s.bytes().zip(pattern.bytes()).all(|(b, p)| match p {
                 b'_' => b.is_ascii_hexdigit(),
@@ -136,7 +138,7 @@
     let mut masked = String::new();
     let mut rest = text;
     while let Some(c) = rest.chars().next() {
-        if fits(rest) {
+        if matches(rest) {
             masked.push_str(name);
             rest = &rest[pattern.len()..];
         } else {
--- a/crates/limpetctl/tests/common/service.rs
+++ b/crates/limpetctl/tests/common/service.rs
@@ -1,4 +1,4 @@
-//! A stand-in service that speaks HTTP/3.
+//! A fake HTTP/3 service.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -10,8 +10,8 @@
 
 type Stream = RequestStream<h3_quinn::BidiStream<Bytes>, Bytes>;
 
-/// Starts the service; it ends with the test's process. Returns its address
-/// and its certificate in PEM.
+/// Starts the service, which runs until the test process ends. Returns its
+/// address and its certificate in PEM.
 pub fn service() -> (SocketAddr, String) {
     let issued = rcgen::generate_simple_self_signed(["vouchers.example".to_owned()]).unwrap();
     let pem = issued.cert.pem();
--- a/crates/limpetctl/tests/dialogues.rs
+++ b/crates/limpetctl/tests/dialogues.rs
@@ -1,11 +1,11 @@
-//! Golden files of whole dialogues, with every exit code of changes.
+//! Snapshots of command sequences, with every exit code of changes.
 
 mod common;
 
 use common::{
     Session,
-    host::{Fault, Host, Spread},
-    refusing,
+    host::{Fault, Host, Rollout},
+    refusing_address,
 };
 use insta::assert_snapshot;
 use types::Change;
@@ -17,7 +17,8 @@
     }
 }
 
-/// Guards against a change, a refusal and a conflict that read alike.
+/// Guards against outputs that do not tell a change, a refusal and a conflict
+/// apart.
 #[test]
 fn changes_of_services() {
     let mut s = Session::new(&[Host::default().start()]);
@@ -38,7 +39,8 @@
     assert_snapshot!(s.text);
 }
 
-/// Guards against routing sets that the tool cannot give, split or show.
+/// Guards against routing sets that the tool cannot set, split among services or
+/// show.
 #[test]
 fn routing_sets() {
     let mut s = Session::new(&[Host::default().start()]);
@@ -57,7 +59,7 @@
     assert_snapshot!(s.text);
 }
 
-/// Guards against JSON whose fields change under the scripts that read it.
+/// Guards against changed JSON fields, which scripts depend on.
 #[test]
 fn json_for_scripts() {
     let mut s = Session::new(&[Host::default().start()]);
@@ -74,12 +76,12 @@
     assert_snapshot!(s.text);
 }
 
-/// Guards against an accepted change that passes for one in force.
+/// Guards against reporting an accepted change as in force.
 #[test]
 fn waits_for_a_node_that_lags() {
     let host = Host {
-        spread: Spread::Lagging,
-        made: vec![vouchers()],
+        rollout: Rollout::Lagging,
+        initial_changes: vec![vouchers()],
         ..Host::default()
     };
     let mut s = Session::new(&[host.start()]);
@@ -87,12 +89,12 @@
     s.run("upstream drain booking-3 --wait --deadline 1s --output json");
     s.run("status");
     let host = Host {
-        spread: Spread::NotSaid,
+        rollout: Rollout::Unconfirmed,
         ..Host::default()
     };
-    let mut mute = Session::new(&[host.start()]);
-    mute.run("upstream drain booking-3 --wait --deadline 1s");
-    assert_snapshot!(s.text + &mute.text);
+    let mut unconfirmed = Session::new(&[host.start()]);
+    unconfirmed.run("upstream drain booking-3 --wait --deadline 1s");
+    assert_snapshot!(s.text + &unconfirmed.text);
 }
 
 /// Guards against a key that is activated before every live node accepts it,
@@ -107,7 +109,7 @@
     s.run("key rotate --output json");
     s.run("audit");
     let host = Host {
-        spread: Spread::Lagging,
+        rollout: Rollout::Lagging,
         ..Host::default()
     };
     let mut lagging = Session::new(&[host.start()]);
@@ -122,15 +124,15 @@
     ));
 }
 
-/// Guards against a rotation that cannot go on after a lost answer to either
-/// of its changes, and against one that adds a second key instead.
+/// Guards against a rotation that cannot continue after the answer to either of
+/// its changes was lost, or that adds a second key then.
 #[test]
 fn resumes_a_rotation() {
     let mut text = String::new();
     for answered in [1, 2] {
         let host = Host {
-            change: Some((Fault::Late, 1)),
-            answered,
+            change_fault: Some((Fault::Late, 1)),
+            changes_before_fault: answered,
             ..Host::default()
         };
         let mut s = Session::new(&[host.start()]);
@@ -146,23 +148,23 @@
     assert_snapshot!(text);
 }
 
-/// Guards against a lost answer that looks final, and against a printed
-/// command that is not the same change again.
+/// Guards against reporting a lost answer as final, and against a printed
+/// command that does not resend the same change.
 #[test]
 fn resends_after_a_lost_answer() {
     let host = Host {
-        change: Some((Fault::CutOff, 100)),
-        made: vec![vouchers()],
+        change_fault: Some((Fault::CutOff, 100)),
+        initial_changes: vec![vouchers()],
         ..Host::default()
     };
     let broken = host.start();
     let working = Host {
-        made: vec![vouchers()],
+        initial_changes: vec![vouchers()],
         ..Host::default()
     };
     let working = working.start();
     let mut s = Session::new(&[broken]);
-    s.name(working, "WORKING");
+    s.redact_as(working, "WORKING");
     let lost = s.run("target set vouchers a --carry 7 --path-prefix /a&b --deadline 1s --wait");
     let stderr = String::from_utf8(lost.stderr).unwrap();
     let line = stderr.lines().find_map(|l| l.strip_prefix("resend by: "));
@@ -174,11 +176,11 @@
     assert_snapshot!(s.text);
 }
 
-/// Guards against a resend that denies the first request: with nobody there,
-/// with other contents, and with an id that is too old.
+/// Guards against a resend that reports the first request as not made: no host
+/// answers, the contents differ, or the id has expired.
 #[test]
-fn resends_that_learn_nothing() {
-    let mut s = Session::new(&[refusing()]);
+fn resends_without_an_outcome() {
+    let mut s = Session::new(&[refusing_address()]);
     let id = "--change-id 01890a5d-ac96-774b-bcce-b302099a8057";
     let short = "--deadline 300ms";
     let create = "service create vouchers --address 198.51.100.1:443";
@@ -195,18 +197,18 @@
     assert_snapshot!(s.text + &running.text);
 }
 
-/// Guards against commands that leave a group half changed without a word.
+/// Guards against commands that change a group in part and do not report it.
 #[test]
 fn changes_the_control_group() {
     let new = Host::default().start();
     let used = Host {
-        used: true,
+        was_member: true,
         ..Host::default()
     };
     let used = used.start();
     let mut s = Session::new(&[Host::default().start()]);
-    s.name(new, "NEW");
-    s.name(used, "USED");
+    s.redact_as(new, "NEW");
+    s.redact_as(used, "USED");
     s.run("control list");
     s.run(&format!("control add {used}"));
     s.run(&format!("control add {new}"));
@@ -219,38 +221,39 @@
     assert_snapshot!(s.text);
 }
 
-/// Guards against the refusal of a second attempt that denies the first.
+/// Guards against reporting a group change as refused because its second attempt
+/// was, although the first, whose answer was lost, made it.
 #[test]
 fn group_changes_survive_lost_answers() {
     let new = Host::default().start();
     let mut text = String::new();
     let faults = [Fault::CutOff, Fault::Status, Fault::Garbage, Fault::Unknown];
-    // One loss is followed by the refusal of a member that is already there.
+    // After one lost answer, the second attempt is refused as the member exists.
     for (fault, count) in faults.into_iter().flat_map(|f| [(f, 1), (f, 3)]) {
         let host = Host {
-            group: Some((fault, count)),
-            hidden: 1,
+            group_fault: Some((fault, count)),
+            stale_status_reports: 1,
             ..Host::default()
         };
         let mut s = Session::new(&[host.start()]);
-        s.name(new, "NEW");
+        s.redact_as(new, "NEW");
         s.run(&format!("control replace 0000000000000001 {new}"));
         text = format!("{text}{fault:?} x{count}\n{}", s.text);
     }
     let slow = Host {
-        slow_learners: true,
+        learners_never_catch_up: true,
         ..Host::default()
     };
     let mut s = Session::new(&[slow.start()]);
-    s.name(new, "NEW");
+    s.redact_as(new, "NEW");
     s.run(&format!("control add {new} --deadline 1s --output json"));
     assert_snapshot!(text + &s.text);
 }
 
-/// Guards against a failed query that passes for an empty answer.
+/// Guards against reporting a failed query as an empty result.
 #[test]
-fn nobody_answers() {
-    let mut s = Session::new(&[refusing()]);
+fn no_control_host_answers() {
+    let mut s = Session::new(&[refusing_address()]);
     s.run("status --deadline 300ms");
     s.run("service list --deadline 300ms --output json");
     s.run("control add 127.0.0.1:1 --deadline 300ms");
--- a/crates/limpetctl/tests/explain.rs
+++ b/crates/limpetctl/tests/explain.rs
@@ -1,4 +1,4 @@
-//! Explaining a flow from log files.
+//! `limpetctl explain` on log files.
 
 mod common;
 
@@ -35,8 +35,8 @@
     )
 }
 
-/// Guards against an explanation that leaves out a process, the correction of
-/// a clock or the outcome, in both forms.
+/// Guards against a timeline without one of the processes, the clock correction
+/// or the outcome, in both output formats.
 #[test]
 fn a_flow_is_explained_from_the_files_of_two_processes() {
     let dir = tempfile::tempdir().unwrap();
@@ -59,13 +59,16 @@
     assert_eq!(value["id"], FLOW);
 }
 
-/// Guards against a wrong id or file that looks like a flow without a failure.
+/// Guards against an unknown id or a missing file that is reported as a success.
 #[test]
-fn what_cannot_be_explained_fails_with_the_reason() {
+fn an_unknown_id_or_file_fails_with_the_reason() {
     let dir = tempfile::tempdir().unwrap();
     let [balancer, _] = logs(&dir);
     let cases = [
-        (["explain", "nothing", &balancer], "no line names nothing"),
+        (
+            ["explain", "nothing", &balancer],
+            "no log line mentions nothing",
+        ),
         (
             ["explain", FLOW, "/nonexistent.log"],
             "cannot read /nonexistent.log",
--- a/crates/limpetctl/tests/lost_answers.rs
+++ b/crates/limpetctl/tests/lost_answers.rs
@@ -1,4 +1,4 @@
-//! Each way to lose the answer to a change, with each thing that may follow.
+//! Each way to lose the answer to a change, with each event that may follow.
 
 mod common;
 
@@ -9,13 +9,13 @@
 };
 
 use common::{
-    closing,
+    closing_host,
     host::{Fault, Host},
-    limpetctl, partitioned, refusing,
+    limpetctl, refusing_address, unreachable_host,
 };
 
-/// Ways in which a host takes a change and does not say what became of it.
-const LOST: [Option<Fault>; 6] = [
+/// Ways to lose an answer; `None` closes the connection without one.
+const LOST_ANSWERS: [Option<Fault>; 6] = [
     None,
     Some(Fault::CutOff),
     Some(Fault::Status),
@@ -24,24 +24,24 @@
     Some(Fault::Unknown),
 ];
 
-fn always(fault: Fault) -> SocketAddr {
+fn host_with_fault(fault: Fault) -> SocketAddr {
     let host = Host {
-        change: Some((fault, usize::MAX)),
+        change_fault: Some((fault, usize::MAX)),
         ..Host::default()
     };
     host.start()
 }
 
-fn losing(fault: Option<Fault>) -> SocketAddr {
-    fault.map_or_else(closing, always)
+fn host_losing_answers(fault: Option<Fault>) -> SocketAddr {
+    fault.map_or_else(closing_host, host_with_fault)
 }
 
-/// Hosts that certainly have not made the change.
-fn declining() -> [SocketAddr; 3] {
+/// Hosts that certainly did not make the change.
+fn declining_hosts() -> [SocketAddr; 3] {
     [
-        refusing(),
-        always(Fault::NotLeader),
-        always(Fault::Unavailable),
+        refusing_address(),
+        host_with_fault(Fault::NotLeader),
+        host_with_fault(Fault::Unavailable),
     ]
 }
 
@@ -71,7 +71,7 @@
     assert!(stdout.contains("--change-id"), "{case}: {stdout}");
 }
 
-/// Time that lets a host that answers too late be given up first.
+/// A deadline long enough to try the next host after one that does not answer.
 fn deadline(fault: Option<Fault>) -> &'static str {
     if fault == Some(Fault::Late) {
         "2500ms"
@@ -80,33 +80,33 @@
     }
 }
 
-/// Guards against a change that may have been made and is reported as
-/// unavailable, because hosts that were asked later had not received it.
+/// Guards against reporting a change as unavailable that may have been made,
+/// because the hosts tried afterwards did not receive it.
 #[test]
 fn lost_then_declined() {
     thread::scope(|scope| {
-        for fault in LOST {
+        for fault in LOST_ANSWERS {
             scope.spawn(move || {
-                let lost = losing(fault);
-                for next in declining() {
+                let lost = host_losing_answers(fault);
+                for next in declining_hosts() {
                     let output = create(&[lost, next], deadline(fault));
                     assert_unknown(&output, &format!("{fault:?}, then {next}"));
                 }
-                let output = create(&[lost, losing(fault)], deadline(fault));
+                let output = create(&[lost, host_losing_answers(fault)], deadline(fault));
                 assert_unknown(&output, &format!("{fault:?} twice"));
             });
         }
     });
 }
 
-/// Guards against a loss that is overlooked because it came last.
+/// Guards against ignoring a lost answer because it was the last one.
 #[test]
 fn declined_then_lost() {
     thread::scope(|scope| {
-        for fault in LOST {
+        for fault in LOST_ANSWERS {
             scope.spawn(move || {
-                let lost = losing(fault);
-                for first in declining() {
+                let lost = host_losing_answers(fault);
+                for first in declining_hosts() {
                     let output = create(&[first, lost], deadline(fault));
                     assert_unknown(&output, &format!("{first}, then {fault:?}"));
                 }
@@ -115,89 +115,92 @@
     });
 }
 
-/// Guards against a deadline that ends during the only attempt or between two.
+/// Guards against a wrong outcome if the deadline passes during the only attempt
+/// or between two attempts.
 #[test]
 fn deadline_after_a_loss() {
-    for fault in LOST {
+    for fault in LOST_ANSWERS {
         for deadline in ["100ms", "150ms", "250ms"] {
-            let output = create(&[losing(fault)], deadline);
+            let output = create(&[host_losing_answers(fault)], deadline);
             assert_unknown(&output, &format!("{fault:?} within {deadline}"));
         }
     }
 }
 
-/// Guards against an unknown outcome while another host knows the answer.
+/// Guards against reporting an unknown outcome although another host has the
+/// answer.
 #[test]
 fn lost_then_answered() {
     thread::scope(|scope| {
-        for fault in LOST {
+        for fault in LOST_ANSWERS {
             scope.spawn(move || {
                 let leader = Host::default().start();
-                let output = create(&[losing(fault), leader], "5s");
+                let output = create(&[host_losing_answers(fault), leader], "5s");
                 assert_eq!(output.status.code(), Some(0), "{fault:?}: {output:?}");
             });
         }
     });
 }
 
-/// Guards against a caution that hides a plain answer: nobody took the change.
+/// Guards against reporting an unknown outcome although no host received the
+/// change.
 #[test]
 fn only_declined() {
-    for host in declining() {
+    for host in declining_hosts() {
         let output = create(&[host], "300ms");
         assert_eq!(output.status.code(), Some(1), "{output:?}");
         let stdout = String::from_utf8_lossy(&output.stdout);
         assert!(stdout.contains(r#""outcome": "unavailable""#), "{stdout}");
     }
-    let output = create(&declining(), "300ms");
+    let output = create(&declining_hosts(), "300ms");
     assert_eq!(output.status.code(), Some(1), "{output:?}");
 }
 
-/// Guards against a host behind a partition that makes every change that
-/// nobody has received an unknown one.
+/// Guards against reporting an unknown outcome because a host is unreachable,
+/// although no host received the change.
 #[test]
 fn only_unreachable() {
-    let (address, _queue) = partitioned();
+    let (address, _queue) = unreachable_host();
     let output = create(&[address], "3s");
     assert_eq!(output.status.code(), Some(1), "{output:?}");
 }
 
-/// Guards against a host that names a dead leader over and over, and so keeps
-/// the new leader from being asked.
+/// Guards against following a host that keeps naming a dead leader instead of
+/// trying the new leader.
 #[test]
 fn dead_leader_is_named() {
     let stale = Host {
-        change: Some((Fault::NotLeader, usize::MAX)),
-        leader: Some(refusing()),
+        change_fault: Some((Fault::NotLeader, usize::MAX)),
+        named_leader: Some(refusing_address()),
         ..Host::default()
     };
     let output = create(&[stale.start(), Host::default().start()], "2s");
     assert_eq!(output.status.code(), Some(0), "{output:?}");
 }
 
-/// Guards against a named leader that is asked too late or not at all.
+/// Guards against trying a named leader too late or not at all.
 #[test]
 fn live_leader_is_named() {
     let follower = Host {
-        change: Some((Fault::NotLeader, usize::MAX)),
-        leader: Some(Host::default().start()),
+        change_fault: Some((Fault::NotLeader, usize::MAX)),
+        named_leader: Some(Host::default().start()),
         ..Host::default()
     };
     let output = create(&[follower.start()], "2s");
     assert_eq!(output.status.code(), Some(0), "{output:?}");
 }
 
-/// Guards against a host that names itself and is asked without end, while
-/// the leader is not asked at all.
+/// Guards against retrying a host that names itself as the leader forever, and
+/// never trying the real leader.
 #[test]
 fn host_names_itself() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let confused = Host {
-        change: Some((Fault::NotLeader, usize::MAX)),
-        leader: Some(listener.local_addr().unwrap()),
+    let self_naming = Host {
+        change_fault: Some((Fault::NotLeader, usize::MAX)),
+        named_leader: Some(listener.local_addr().unwrap()),
         ..Host::default()
     };
-    let control = [confused.start_at(listener), Host::default().start()];
+    let control = [self_naming.start_at(listener), Host::default().start()];
     let output = create(&control, "2s");
     assert_eq!(output.status.code(), Some(0), "{output:?}");
 }
--- a/crates/limpetctl/tests/settings.rs
+++ b/crates/limpetctl/tests/settings.rs
@@ -1,13 +1,13 @@
-//! Wrong settings and the help.
+//! Invalid settings, the help and the environment.
 
 mod common;
 
 use std::fmt::Write;
 
-use common::{limpetctl, refusing};
+use common::{limpetctl, refusing_address};
 use insta::assert_snapshot;
 
-const WRONG: &[&str] = &[
+const INVALID_COMMANDS: &[&str] = &[
     "status",
     "--control localhost status",
     "--control 192.0.2.1:0 status",
@@ -48,12 +48,12 @@
     "--control 192.0.2.1:7100 --tls-ca Cargo.toml --tls-certificate a --tls-key b status",
 ];
 
-/// Guards against a wrong setting that is found after a socket was opened, or
-/// whose message does not name the flag, the value and the range.
+/// Guards against an invalid setting that is found only after a socket was
+/// opened, or whose message lacks the flag, the value or the accepted range.
 #[test]
 fn wrong_settings() {
     let mut text = String::new();
-    for line in WRONG {
+    for line in INVALID_COMMANDS {
         let args: Vec<_> = line.split_whitespace().collect();
         let output = limpetctl(&args);
         let stderr = String::from_utf8(output.stderr).unwrap();
@@ -67,7 +67,7 @@
 }
 
 /// Guards against flags without an environment variable or an example, and
-/// exit codes that the help does not name.
+/// against exit codes that the help does not list.
 #[test]
 fn help() {
     let mut text = String::new();
@@ -90,12 +90,12 @@
     assert_snapshot!(text);
 }
 
-/// Guards against a setting in the environment that is not read.
+/// Guards against ignoring a setting from the environment.
 #[test]
 fn environment() {
     let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_limpetctl"));
     let output = command
-        .env("LIMPET_CONTROL", refusing().to_string())
+        .env("LIMPET_CONTROL", refusing_address().to_string())
         .env("LIMPET_OPERATOR", "alice")
         .env("LIMPET_DEADLINE", "200ms")
         .env("LIMPET_CARRY", "7")
--- a/crates/limpetctl/tests/tls.rs
+++ b/crates/limpetctl/tests/tls.rs
@@ -1,13 +1,14 @@
-//! Mutual TLS of the tool.
+//! Mutual TLS of `limpetctl`.
 
 mod common;
 
 use std::{fs, path::Path};
 
-use common::{limpetctl, refusing};
+use common::{limpetctl, refusing_address};
 use rcgen::{CertificateParams, KeyPair};
 
-/// Writes a certificate of the operator `alice` that is its own CA.
+/// Writes a self-signed certificate of the operator `alice`; returns the flags
+/// that name it as CA and certificate.
 fn write_certificate(dir: &Path) -> [String; 6] {
     let names = vec!["alice.operator.limpetplank.internal".to_owned()];
     let params = CertificateParams::new(names).unwrap();
@@ -28,7 +29,7 @@
 }
 
 fn run(tls: &[String], operator: &str) -> (Option<i32>, String) {
-    let control = refusing().to_string();
+    let control = refusing_address().to_string();
     let change = [
         "--control",
         &control,
@@ -53,10 +54,10 @@
     )
 }
 
-/// Guards against an operator's name that the certificate does not hold and
-/// that is found only by the control hosts.
+/// Guards against an operator name that is not in the certificate and is refused
+/// only by the control hosts.
 #[test]
-fn the_operator_is_one_of_the_certificate() {
+fn the_operator_must_be_in_the_certificate() {
     let dir = tempfile::tempdir().unwrap();
     let tls = write_certificate(dir.path());
     let (code, text) = run(&tls, "bob");
@@ -65,9 +66,10 @@
     assert!(!text.contains("change id"), "{text}");
 }
 
-/// Guards against a printed command that cannot prove who resends.
+/// Guards against a printed resend command without the files of mutual TLS, which
+/// could not authenticate the operator.
 #[test]
-fn a_command_to_resend_names_the_files() {
+fn a_resend_command_names_the_tls_files() {
     let dir = tempfile::tempdir().unwrap();
     let tls = write_certificate(dir.path());
     let (code, text) = run(&tls, "alice");
