--- a/crates/trace/src/process/collection.rs
+++ b/crates/trace/src/process/collection.rs
@@ -42,7 +42,7 @@
             };
             match &mut incarnation {
                 Some(incarnation) if !incarnation.ended_before(&line) => {
-                    incarnation.lines.push(line)
+                    incarnation.lines.push(line);
                 }
                 _ => self
                     .incarnations
