--- a/crates/limpetd/src/main.rs
+++ b/crates/limpetd/src/main.rs
@@ -2,8 +2,8 @@
 //! agent`, and `limpetd local`, which runs all of them in one process.
 //!
 //! Settings come from flags and `LIMPET_…` environment variables and are
-//! checked before any socket is opened. SIGTERM or SIGINT ends a process
-//! gracefully, a second one at once.
+//! checked before any socket is opened. The first SIGTERM or SIGINT shuts the
+//! process down gracefully, the second one terminates it at once.
 
 mod error;
 mod process;
@@ -20,7 +20,7 @@
     match actix_rt::System::new().block_on(serve(cli)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
-            log::error!(event = "failed", error:% = e; "limpetd cannot go on");
+            log::error!(event = "failed", error:% = e; "limpetd exits because of an error");
             ExitCode::from(e.exit_status())
         }
     }
--- a/crates/limpetd/src/process/cli.rs
+++ b/crates/limpetd/src/process/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command line arguments.
 
 use std::{
     collections::BTreeSet,
@@ -61,8 +61,9 @@
     Local(LocalArgs),
 }
 
-/// A role whose settings are complete and whose files are read.
-pub enum Start {
+/// Complete settings of a role, with the contents of the files that the command
+/// line names.
+pub enum RoleSettings {
     Control(Box<control::Settings>),
     Balancer(Box<balancer::Settings>),
     Agent(Box<agent::Settings>, ServiceCertificate),
@@ -70,16 +71,16 @@
 }
 
 impl Role {
-    /// Reads the files that the settings name.
-    pub(super) fn read(self) -> Result<Start> {
+    /// Converts the arguments to settings and reads the files that they name.
+    pub(super) fn read_settings(self) -> Result<RoleSettings> {
         Ok(match self {
-            Role::Control(args) => Start::Control(Box::new(args.settings()?)),
-            Role::Balancer(args) => Start::Balancer(Box::new(args.settings()?)),
+            Role::Control(args) => RoleSettings::Control(Box::new(args.settings()?)),
+            Role::Balancer(args) => RoleSettings::Balancer(Box::new(args.settings()?)),
             Role::Agent(args) => {
-                let identity = args.identity()?;
-                Start::Agent(Box::new(args.settings()?), identity)
+                let certificate = args.service_certificate()?;
+                RoleSettings::Agent(Box::new(args.settings()?), certificate)
             }
-            Role::Local(args) => Start::Local(args),
+            Role::Local(args) => RoleSettings::Local(args),
         })
     }
 }
@@ -110,7 +111,7 @@
 #[derive(Debug, Args)]
 pub struct ControlArgs {
     /// Address for nodes, operators and the other members
-    #[arg(long, env = "LIMPET_LISTEN", value_name = "IP:PORT", value_parser = announced)]
+    #[arg(long, env = "LIMPET_LISTEN", value_name = "IP:PORT", value_parser = parse_advertised_address)]
     listen: SocketAddr,
 
     /// Folder for the state that must survive
@@ -134,7 +135,7 @@
 impl ControlArgs {
     pub(super) fn settings(self) -> Result<control::Settings> {
         Ok(control::Settings {
-            credentials: self.tls.control()?,
+            credentials: self.tls.control_credentials()?,
             listen: self.listen,
             data_dir: self.data_dir,
             group: self.group.into_iter().collect(),
@@ -155,7 +156,7 @@
     fabric_listen: Option<SocketAddr>,
 
     /// Address for answers and probes of agents
-    #[arg(long, env = "LIMPET_RETURN_LISTEN", value_name = "IP:PORT", value_parser = announced)]
+    #[arg(long, env = "LIMPET_RETURN_LISTEN", value_name = "IP:PORT", value_parser = parse_advertised_address)]
     return_listen: SocketAddr,
 
     /// Open only the addresses of services at this IP address
@@ -179,7 +180,7 @@
             control,
         } = self.node;
         Ok(balancer::Settings {
-            credentials: self.tls.node()?,
+            credentials: self.tls.node_credentials()?,
             fabric_listen: self.fabric_listen,
             return_listen: self.return_listen,
             services_listen: self.services_listen,
@@ -217,11 +218,11 @@
     load_path: Option<PathPrefix>,
 
     /// Address for datagrams of balancers
-    #[arg(long, env = "LIMPET_DATA_LISTEN", value_name = "IP:PORT", value_parser = announced)]
+    #[arg(long, env = "LIMPET_DATA_LISTEN", value_name = "IP:PORT", value_parser = parse_advertised_address)]
     data_listen: SocketAddr,
 
     /// Address for requests that peers hand off
-    #[arg(long, env = "LIMPET_PEER_LISTEN", value_name = "IP:PORT", value_parser = announced)]
+    #[arg(long, env = "LIMPET_PEER_LISTEN", value_name = "IP:PORT", value_parser = parse_advertised_address)]
     peer_listen: SocketAddr,
 
     /// Certificate chain of the service in PEM; self-signed if unset
@@ -243,7 +244,7 @@
     key: Option<PathBuf>,
 
     /// Longest time that a leaving agent stays for requests in progress
-    #[arg(long, env = "LIMPET_STAY_AT_MOST", value_name = "TIME", default_value = "1h", value_parser = stay)]
+    #[arg(long, env = "LIMPET_STAY_AT_MOST", value_name = "TIME", default_value = "1h", value_parser = parse_drain_timeout)]
     stay_at_most: Duration,
 
     #[command(flatten)]
@@ -251,9 +252,9 @@
 }
 
 impl AgentArgs {
-    pub(super) fn identity(&self) -> Result<ServiceCertificate> {
+    pub(super) fn service_certificate(&self) -> Result<ServiceCertificate> {
         if let (Some(certificate), Some(key)) = (&self.certificate, &self.key) {
-            return read_identity(certificate, key);
+            return read_service_certificate(certificate, key);
         }
         let names = vec![self.service.to_string(), "localhost".into()];
         Ok(ServiceCertificate::self_signed(names)?)
@@ -268,7 +269,7 @@
         let settings =
             agent::Settings::new(host, data_centre, control, self.service, self.upstream);
         Ok(agent::Settings {
-            credentials: self.tls.node()?,
+            credentials: self.tls.node_credentials()?,
             served_classes: self.classes.into_iter().collect::<BTreeSet<_>>(),
             load_path: self.load_path,
             data_listen: self.data_listen,
@@ -279,7 +280,7 @@
     }
 }
 
-fn read_identity(certificate: &Path, key: &Path) -> Result<ServiceCertificate> {
+fn read_service_certificate(certificate: &Path, key: &Path) -> Result<ServiceCertificate> {
     let chain = CertificateDer::pem_file_iter(certificate)
         .and_then(Iterator::collect)
         .map_err(|e| Error::Pem(certificate.into(), e))?;
@@ -322,33 +323,34 @@
     pub upstream: Option<SocketAddr>,
 }
 
-/// A setting that was not accepted.
+/// An argument whose value is not valid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-enum Invalid {
+enum ArgumentError {
     #[error(
         "expected IP:PORT with a specific IP address and a port from 1 to 65535, because other hosts are told this address"
     )]
-    Announced,
+    AdvertisedAddress,
     #[error("expected a time from 1s to 7days, for example 90s or 1h")]
-    Stay,
+    DrainTimeout,
 }
 
-/// Reads an address that other hosts are told.
-fn announced(text: &str) -> std::result::Result<SocketAddr, Invalid> {
-    let address: SocketAddr = text.parse().map_err(|_| Invalid::Announced)?;
+/// Parses an address that this process advertises to other hosts, which rules
+/// out wildcard addresses and port 0.
+fn parse_advertised_address(text: &str) -> std::result::Result<SocketAddr, ArgumentError> {
+    let address: SocketAddr = text.parse().map_err(|_| ArgumentError::AdvertisedAddress)?;
     if address.ip().is_unspecified() || address.port() == 0 {
-        return Err(Invalid::Announced);
+        return Err(ArgumentError::AdvertisedAddress);
     }
     Ok(address)
 }
 
-/// Reads how long a leaving agent stays.
-fn stay(text: &str) -> std::result::Result<Duration, Invalid> {
-    let time = humantime::parse_duration(text).map_err(|_| Invalid::Stay)?;
-    let range = Duration::from_secs(1)..=Duration::from_hours(7 * 24);
-    if range.contains(&time) {
-        Ok(time)
+/// Parses the maximum time that an agent drains, from 1 s to 7 days.
+fn parse_drain_timeout(text: &str) -> std::result::Result<Duration, ArgumentError> {
+    let timeout = humantime::parse_duration(text).map_err(|_| ArgumentError::DrainTimeout)?;
+    let allowed_range = Duration::from_secs(1)..=Duration::from_hours(7 * 24);
+    if allowed_range.contains(&timeout) {
+        Ok(timeout)
     } else {
-        Err(Invalid::Stay)
+        Err(ArgumentError::DrainTimeout)
     }
 }
--- a/crates/limpetd/src/process/local.rs
+++ b/crates/limpetd/src/process/local.rs
@@ -1,4 +1,4 @@
-//! Everything in one process, for a first look and for a small site.
+//! All roles in one process, to try the system out and for a small site.
 
 use std::{
     net::{Ipv4Addr, SocketAddr},
@@ -20,38 +20,40 @@
 use super::cli::LocalArgs;
 use crate::error::{Error, Result};
 
-/// Time for the embedded control host to answer.
-const CONTROL_ANSWER: Duration = Duration::from_secs(10);
+/// Timeout for an answer of the embedded control host.
+const CONTROL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Pause between two looks at whether the service is ready.
-const READY_INTERVAL: Duration = Duration::from_millis(200);
+/// Interval between two status queries while the service is not ready.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Slots of the embedded upstream.
-const CARRY: Slots = Slots(64);
+/// Slots of the local upstream.
+const UPSTREAM_SLOTS: Slots = Slots(64);
 
-/// Connections of the embedded upstream.
-const CONNECTIONS: Connections = Connections(2000);
+/// Maximum number of open connections of the local upstream.
+const MAX_UPSTREAM_CONNECTIONS: Connections = Connections(2000);
 
-/// Name of the embedded service.
-const SERVICE: &str = "local";
+/// Name of the local service, its host and its data centre.
+const SERVICE_NAME: &str = "local";
 
-/// Runs a control host, a balancer and an agent until `stop` changes.
+/// Runs a control host, a balancer and an agent until `stop` is set.
 pub async fn run(args: LocalArgs, registry: &Registry, stop: watch::Receiver<bool>) -> Result<()> {
     let upstream = match args.upstream {
         Some(address) => address,
         None => Upstream::start("the stand-in upstream", (Ipv4Addr::LOCALHOST, 0).into())?.address,
     };
-    // The parts outlive the agent, which needs them to drain.
-    let (parts_stop_tx, parts_stop) = watch::channel(false);
-    let control = control::run(control_settings(&args), registry, parts_stop.clone());
-    let balancer = balancer::run(balancer_settings(&args), registry, parts_stop);
+    // The control host and the balancer stop after the agent, which needs both
+    // of them to drain.
+    let (site_stop_tx, site_stop) = watch::channel(false);
+    let control = control::run(control_settings(&args), registry, site_stop.clone());
+    let balancer = balancer::run(balancer_settings(&args), registry, site_stop);
     let agent = async {
         let operator = Operator::new(Http::default(), vec![args.control]);
-        configure(&operator, args.listen).await?;
-        actix_rt::spawn(announce_ready(operator, args.listen));
-        let identity = ServiceCertificate::self_signed(vec![SERVICE.into(), "localhost".into()])?;
-        agent::run(agent_settings(&args, upstream), identity, registry, stop).await?;
-        parts_stop_tx.send_replace(true);
+        create_service(&operator, args.listen).await?;
+        actix_rt::spawn(log_when_ready(operator, args.listen));
+        let certificate =
+            ServiceCertificate::self_signed(vec![SERVICE_NAME.into(), "localhost".into()])?;
+        agent::run(agent_settings(&args, upstream), certificate, registry, stop).await?;
+        site_stop_tx.send_replace(true);
         Ok::<(), Error>(())
     };
     let control = async { Ok(control.await?) };
@@ -70,43 +72,50 @@
 }
 
 fn balancer_settings(args: &LocalArgs) -> balancer::Settings {
-    let (host, data_centre) = place();
+    let (host, data_centre) = host_and_data_centre();
     balancer::Settings {
-        // The agent in the same process has already ended.
+        // The agent in the same process, the only one, has already stopped.
         linger: Duration::ZERO,
         ..balancer::Settings::new(host, data_centre, vec![args.control])
     }
 }
 
 fn agent_settings(args: &LocalArgs, upstream: SocketAddr) -> agent::Settings {
-    let (host, data_centre) = place();
-    agent::Settings::new(host, data_centre, vec![args.control], service(), upstream)
+    let (host, data_centre) = host_and_data_centre();
+    agent::Settings::new(
+        host,
+        data_centre,
+        vec![args.control],
+        service_name(),
+        upstream,
+    )
 }
 
-fn place() -> (types::HostName, types::DataCentre) {
-    (fixed(SERVICE), fixed(SERVICE))
+fn host_and_data_centre() -> (types::HostName, types::DataCentre) {
+    (parse_constant(SERVICE_NAME), parse_constant(SERVICE_NAME))
 }
 
-fn service() -> ServiceName {
-    fixed(SERVICE)
+fn service_name() -> ServiceName {
+    parse_constant(SERVICE_NAME)
 }
 
-/// Reads a name that is a constant of this module.
-fn fixed<T: std::str::FromStr<Err = types::Error>>(text: &'static str) -> T {
+/// Parses a name that is a constant of this module.
+fn parse_constant<T: std::str::FromStr<Err = types::Error>>(text: &'static str) -> T {
     text.parse().expect("constant names are valid")
 }
 
-/// Logs when the service gets its first flows.
-async fn announce_ready(operator: Operator, address: SocketAddr) {
+/// Waits until the service can take flows, then logs its address.
+async fn log_when_ready(operator: Operator, address: SocketAddr) {
     while !is_ready(&operator).await {
-        sleep(READY_INTERVAL).await;
+        sleep(READY_POLL_INTERVAL).await;
     }
-    log::info!(event = "ready", service:% = address; "try: limpetctl call https://{address}/ --insecure");
+    log::info!(event = "ready", service:% = address; "local service is ready; try: limpetctl call https://{address}/ --insecure");
 }
 
-/// Whether an upstream has a share of new flows.
+/// Whether the service has an upstream with a share above zero, that is, one
+/// that gets new flows.
 async fn is_ready(operator: &Operator) -> bool {
-    let deadline = Instant::now() + CONTROL_ANSWER;
+    let deadline = Instant::now() + CONTROL_TIMEOUT;
     let reply = operator.query("/v1/query", &Query::Status, deadline).await;
     match reply {
         Ok(QueryReply::Status(status)) => {
@@ -117,47 +126,53 @@
     }
 }
 
-/// Creates the embedded service, unless an earlier run did.
-async fn configure(operator: &Operator, address: SocketAddr) -> Result<()> {
-    let created = change(
+/// Creates the local service and its target, unless the service is already in
+/// the data folder from an earlier run.
+async fn create_service(operator: &Operator, address: SocketAddr) -> Result<()> {
+    let created = send_change(
         operator,
         Revision(0),
         Change::CreateService {
-            name: service(),
+            name: service_name(),
             address,
         },
     );
     let base = match created.await? {
         Answer::Accepted(revision) => revision,
-        // An earlier run has created it.
+        // The service already exists from an earlier run.
         Answer::Conflict(_) => return Ok(()),
-        refused @ Answer::Refused(_) => return Err(Error::Local(Box::new(refused))),
+        rejected @ Answer::Refused(_) => {
+            return Err(Error::LocalServiceRejected(Box::new(rejected)));
+        }
     };
     let target = Target {
-        carry: CARRY,
-        connections: CONNECTIONS,
+        carry: UPSTREAM_SLOTS,
+        connections: MAX_UPSTREAM_CONNECTIONS,
         ..Target::default()
     };
-    let set = Change::SetTarget {
-        service: service(),
+    let set_target = Change::SetTarget {
+        service: service_name(),
         class: ClassName::default(),
         target,
     };
-    match change(operator, base, set).await? {
+    match send_change(operator, base, set_target).await? {
         Answer::Accepted(_) => Ok(()),
-        answer => Err(Error::Local(Box::new(answer))),
+        answer => Err(Error::LocalServiceRejected(Box::new(answer))),
     }
 }
 
-async fn change(operator: &Operator, base: Revision, change: Change) -> Result<Answer> {
+async fn send_change(operator: &Operator, base: Revision, change: Change) -> Result<Answer> {
     let req = ChangeRequest {
         id: ChangeId::generate(),
-        author: fixed("limpetd"),
+        author: parse_constant("limpetd"),
         base,
         change,
     };
-    match operator.change(&req, Instant::now() + CONTROL_ANSWER).await {
+    match operator
+        .change(&req, Instant::now() + CONTROL_TIMEOUT)
+        .await
+    {
         ChangeReply::Final(answer) => Ok(answer),
-        _ => Err(Error::LocalControl),
+        _ => Err(Error::LocalControlTimeout),
     }
 }
--- a/crates/limpetd/src/process/metrics.rs
+++ b/crates/limpetd/src/process/metrics.rs
@@ -1,4 +1,4 @@
-//! The server of `/metrics`.
+//! HTTP server for `/metrics`.
 
 use std::net::SocketAddr;
 
@@ -7,7 +7,7 @@
 
 use crate::error::{Error, Result};
 
-/// Starts the server; it ends with the process.
+/// Starts the metrics server, which runs until the process exits.
 ///
 /// # Errors
 ///
@@ -22,7 +22,7 @@
     .workers(1)
     .disable_signals()
     .bind(address)
-    .map_err(|e| Error::Metrics(address, e))?
+    .map_err(|e| Error::MetricsListen(address, e))?
     .run();
     actix_rt::spawn(async move {
         let _ = server.await;
--- a/crates/limpetd/src/process/signal.rs
+++ b/crates/limpetd/src/process/signal.rs
@@ -1,4 +1,4 @@
-//! Signals that end the daemon.
+//! Signals that stop the daemon.
 
 use tokio::{
     signal::unix::{Signal, SignalKind, signal},
@@ -7,31 +7,32 @@
 
 use crate::error::{Error, Result};
 
-/// Listens for signals. The first SIGTERM or SIGINT sets the watch, the second
-/// one resolves the other receiver.
+/// Installs the handlers for SIGTERM and SIGINT. The first signal sets the
+/// watch to `true`, which starts a graceful stop; the second one resolves the
+/// oneshot receiver, which ends the daemon at once.
 ///
 /// # Errors
 ///
-/// The process cannot receive signals.
+/// A signal handler cannot be installed.
 pub fn listen() -> Result<(watch::Receiver<bool>, oneshot::Receiver<()>)> {
-    let mut term = signal(SignalKind::terminate()).map_err(Error::Signal)?;
-    let mut int = signal(SignalKind::interrupt()).map_err(Error::Signal)?;
+    let mut terminate = signal(SignalKind::terminate()).map_err(Error::Signal)?;
+    let mut interrupt = signal(SignalKind::interrupt()).map_err(Error::Signal)?;
     let (stop_tx, stop_rx) = watch::channel(false);
-    let (now_tx, now_rx) = oneshot::channel();
+    let (exit_now_tx, exit_now_rx) = oneshot::channel();
     actix_rt::spawn(async move {
-        next(&mut term, &mut int).await;
+        next_signal(&mut terminate, &mut interrupt).await;
         log::info!(event = "stopping"; "signal received; stopping gracefully");
         stop_tx.send_replace(true);
-        next(&mut term, &mut int).await;
-        // The daemon may have ended meanwhile.
-        let _ = now_tx.send(());
+        next_signal(&mut terminate, &mut interrupt).await;
+        // Fails if the daemon stopped before the second signal.
+        let _ = exit_now_tx.send(());
     });
-    Ok((stop_rx, now_rx))
+    Ok((stop_rx, exit_now_rx))
 }
 
-async fn next(term: &mut Signal, int: &mut Signal) {
+async fn next_signal(terminate: &mut Signal, interrupt: &mut Signal) {
     tokio::select! {
-        _ = term.recv() => {}
-        _ = int.recv() => {}
+        _ = terminate.recv() => {}
+        _ = interrupt.recv() => {}
     }
 }
--- a/crates/limpetd/src/process/tls.rs
+++ b/crates/limpetd/src/process/tls.rs
@@ -1,4 +1,4 @@
-//! The settings of mutual TLS.
+//! Settings for mutual TLS.
 
 use std::path::PathBuf;
 
@@ -7,8 +7,8 @@
 
 use crate::error::{Error, Result};
 
-/// Files that prove who this process is; without them its HTTP is plain and
-/// not authenticated.
+/// Files for mutual TLS; without them the process serves plain HTTP without
+/// authentication.
 #[derive(Debug, Clone, Args)]
 pub struct TlsArgs {
     /// Certificates of the CA of this system in PEM; needs the other two
@@ -44,20 +44,21 @@
 }
 
 impl TlsArgs {
-    /// Reads the files of a control host, if they are set.
-    pub fn control(&self) -> Result<Option<Credentials>> {
-        self.read(Names::CONTROL, |names| names.control)
+    /// Reads the credentials of a control host. `None` if no files are set.
+    pub fn control_credentials(&self) -> Result<Option<Credentials>> {
+        self.read_credentials(Names::CONTROL, |names| names.control)
     }
 
-    /// Reads the files of a balancer or an agent, if they are set.
-    pub fn node(&self) -> Result<Option<Credentials>> {
-        self.read(Names::NODE, |names| names.node)
+    /// Reads the credentials of a balancer or an agent. `None` if no files are
+    /// set.
+    pub fn node_credentials(&self) -> Result<Option<Credentials>> {
+        self.read_credentials(Names::NODE, |names| names.node)
     }
 
-    fn read(
+    fn read_credentials(
         &self,
-        expected: &'static str,
-        has: impl FnOnce(&Names) -> bool,
+        required_name: &'static str,
+        has_required_name: impl FnOnce(&Names) -> bool,
     ) -> Result<Option<Credentials>> {
         let (Some(ca), Some(certificate), Some(key)) = (&self.ca, &self.certificate, &self.key)
         else {
@@ -69,9 +70,9 @@
             key: key.clone(),
         };
         let credentials = Credentials::read(&files)?;
-        if has(credentials.names()) {
+        if has_required_name(credentials.names()) {
             return Ok(Some(credentials));
         }
-        Err(Error::Role(files.certificate, expected))
+        Err(Error::CertificateName(files.certificate, required_name))
     }
 }
--- a/crates/limpetd/tests/balancer.rs
+++ b/crates/limpetd/tests/balancer.rs
@@ -1,4 +1,5 @@
-//! Balancers that are restarted, frozen and sent garbage, as real processes.
+//! Balancers that are restarted, paused and sent random datagrams, as real
+//! processes.
 
 mod harness;
 
@@ -15,27 +16,30 @@
     time::{sleep, timeout},
 };
 use caller::{Caller, Endpoint, Trust};
-use harness::{PATIENCE, Plan, Process, SERVICE, Site, address, feed_lines, request, wait_for};
+use harness::{
+    Process, SERVICE, Site, SitePlan, WAIT_TIMEOUT, address, feed_lines, request, wait_for,
+};
 use nix::sys::signal::Signal;
 use standin::{FabricHandle, Upstream};
 use types::{Change, ClassName, Connections, Revision, Slots, Target};
 use wire::{Endpoints, Prefix};
 
-/// Enough slots for the feeds and requests of every test.
-const CARRY: u32 = 64;
+/// Slots of each upstream, enough for all feeds and requests of each test.
+const UPSTREAM_SLOTS: u32 = 64;
 
-/// Pause between two requests.
-const PAUSE: Duration = Duration::from_millis(20);
+/// Interval between two requests of a loop.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Pause between two health checks, and time for their answer.
-const CHECK: Duration = Duration::from_millis(100);
+/// Interval between two health checks, and the timeout for their answers.
+const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-fn balancer(range: u8, n: u8) -> SocketAddr {
+fn fabric_address(range: u8, n: u8) -> SocketAddr {
     address(range, 11 + n, 7101)
 }
 
-/// Stands in for the health check of a fabric: hands datagrams only to balancers
-/// that answer a probe in time. Returns those that answered last.
+/// Simulates the health check of a fabric, which sends datagrams only to
+/// balancers that answer a probe within [`HEALTH_CHECK_INTERVAL`]. Returns the
+/// set of balancers that answered the last probe.
 fn check_health(fabric: FabricHandle, range: u8) -> Rc<RefCell<BTreeSet<SocketAddr>>> {
     let healthy = Rc::<RefCell<BTreeSet<SocketAddr>>>::default();
     let result = Rc::clone(&healthy);
@@ -44,7 +48,9 @@
         loop {
             let mut answered = BTreeSet::new();
             for n in 0..2 {
-                let _ = socket.send_to(&Prefix::probe(), balancer(range, n)).await;
+                let _ = socket
+                    .send_to(&Prefix::probe(), fabric_address(range, n))
+                    .await;
             }
             let answers = async {
                 let mut buf = [0; 64];
@@ -52,7 +58,7 @@
                     answered.insert(from);
                 }
             };
-            let _ = timeout(CHECK, answers).await;
+            let _ = timeout(HEALTH_CHECK_INTERVAL, answers).await;
             fabric.set_balancers(answered.clone()).await;
             healthy.replace(answered);
         }
@@ -60,8 +66,8 @@
     result
 }
 
-/// Opens feeds that are read to their end by tasks of their own. Each returns
-/// what it has read.
+/// Opens `count` feeds and spawns a task for each that reads the feed to its end
+/// and returns the text, or the error.
 async fn open_feeds(site: &Site, count: usize, lines: u32) -> Vec<JoinHandle<String>> {
     let mut feeds = Vec::new();
     for _ in 0..count {
@@ -69,7 +75,7 @@
         let path = format!("/feed?ms=50&lines={lines}");
         let mut feed = caller.send(request("GET", &path, "")).await.unwrap();
         feeds.push(actix_rt::spawn(async move {
-            // The connection stays open as long as its caller lives.
+            // Dropping the caller would close the connection.
             let _caller = caller;
             match feed.body().await {
                 Ok(body) => String::from_utf8_lossy(&body).into_owned(),
@@ -80,15 +86,15 @@
     feeds
 }
 
-async fn expect_whole(feeds: Vec<JoinHandle<String>>, lines: u32) {
+async fn expect_complete(feeds: Vec<JoinHandle<String>>, lines: u32) {
     for feed in feeds {
         assert_eq!(feed.await.unwrap(), feed_lines(0, lines));
     }
 }
 
-/// Requests one after another on new connections until `done` is set. Returns
-/// how many there were, and what failed.
-fn request_steadily(
+/// Sends one request after another, each on a new connection, until `done` is
+/// set. Returns the number of requests and the failures.
+fn send_requests_until(
     endpoint: Endpoint,
     service: SocketAddr,
     done: Rc<Cell<bool>>,
@@ -101,7 +107,7 @@
             if let Err(failure) = one_request(&endpoint, service, expected).await {
                 failures.push(failure);
             }
-            sleep(PAUSE).await;
+            sleep(REQUEST_INTERVAL).await;
         }
         (count, failures)
     })
@@ -126,112 +132,122 @@
     }
 }
 
-/// Requests that go on until they are to end.
-struct Steady {
+/// A task that sends requests until it is told to stop.
+struct RequestLoop {
     done: Rc<Cell<bool>>,
     requests: JoinHandle<(u32, Vec<String>)>,
 }
 
-impl Steady {
+impl RequestLoop {
     fn start(endpoint: &Endpoint, service: SocketAddr, expected: &'static str) -> Self {
         let done = Rc::new(Cell::new(false));
-        let requests = request_steadily(endpoint.clone(), service, done.clone(), expected);
-        Steady { done, requests }
+        let requests = send_requests_until(endpoint.clone(), service, done.clone(), expected);
+        RequestLoop { done, requests }
     }
 
-    fn on(site: &Site) -> Self {
+    fn start_on(site: &Site) -> Self {
         let endpoint = Endpoint::open(site.fabric.service, Trust::Any).unwrap();
-        Steady::start(&endpoint, site.fabric.service, "served by upstream-")
+        RequestLoop::start(&endpoint, site.fabric.service, "served by upstream-")
     }
 
     async fn expect_all_answered(self) {
         self.done.set(true);
         let (count, failures) = self.requests.await.unwrap();
         let failed = failures.len();
-        assert!(failures.is_empty(), "{failed} of {count}: {failures:?}");
-        assert!(count > 50, "only {count} requests");
+        assert!(
+            failures.is_empty(),
+            "{failed} of {count} requests failed: {failures:?}"
+        );
+        assert!(count > 50, "expected more than 50 requests, sent {count}");
     }
 }
 
-/// Guards against a planned restart that breaks a flow or a request (promise
-/// P1): a balancer that closes before agents and fabric have turned away, or
-/// that is chosen before it can forward.
+/// P1. Guards against a planned restart that breaks a flow or a request: a
+/// balancer that closes its sockets while agents or the fabric still use it, or
+/// that gets datagrams before it can forward them.
 #[actix_rt::test]
-async fn a_rolling_restart_of_the_balancers_breaks_nothing() {
+async fn rolling_restart_of_balancers_breaks_no_flow() {
     const LINES: u32 = 340;
     let range = 70;
-    let mut site = Site::serving(Plan {
+    let mut site = Site::start_serving(SitePlan {
         range,
-        carry: CARRY,
-        ..Plan::default()
+        carry: UPSTREAM_SLOTS,
+        ..SitePlan::default()
     })
     .await;
     let healthy = check_health(site.fabric.clone(), range);
     let feeds = open_feeds(&site, 6, LINES).await;
-    let requests = Steady::on(&site);
+    let requests = RequestLoop::start_on(&site);
     for n in 0..2 {
         let at = usize::from(n);
         site.balancers[at].signal(Signal::SIGTERM);
         let process = &mut site.balancers[at];
-        wait_for("end of the balancer", async || process.ended().is_some()).await;
-        assert_eq!(process.ended(), Some(true), "balancer {n} ended gracefully");
+        wait_for("exit of the balancer", async || {
+            process.exit_success().is_some()
+        })
+        .await;
+        assert_eq!(
+            process.exit_success(),
+            Some(true),
+            "balancer {n} exited with status 0"
+        );
         site.balancers[at] = site.start_balancer(n);
         wait_for("restarted balancer", async || {
-            healthy.borrow().contains(&balancer(range, n))
+            healthy.borrow().contains(&fabric_address(range, n))
         })
         .await;
     }
-    // Long enough for both to be used again.
+    // Long enough for both balancers to get datagrams again.
     sleep(Duration::from_secs(1)).await;
     requests.expect_all_answered().await;
-    expect_whole(feeds, LINES).await;
+    expect_complete(feeds, LINES).await;
 }
 
-/// Guards against a frozen balancer that breaks flows, and against one that
-/// wakes and stays on an old version or is not used again.
+/// Guards against a paused balancer that breaks flows, and against one that
+/// stays on an old version or gets no datagrams after it is resumed.
 #[actix_rt::test]
-async fn a_frozen_balancer_breaks_nothing_and_catches_up() {
+async fn paused_balancer_breaks_no_flow_and_catches_up() {
     const LINES: u32 = 140;
     let range = 71;
-    let site = Site::serving(Plan {
+    let site = Site::start_serving(SitePlan {
         range,
-        carry: CARRY,
-        ..Plan::default()
+        carry: UPSTREAM_SLOTS,
+        ..SitePlan::default()
     })
     .await;
     let healthy = check_health(site.fabric.clone(), range);
     let feeds = open_feeds(&site, 4, LINES).await;
-    let requests = Steady::on(&site);
+    let requests = RequestLoop::start_on(&site);
     sleep(Duration::from_millis(500)).await;
     site.balancers[0].signal(Signal::SIGSTOP);
     sleep(Duration::from_secs(1)).await;
     let before = site.service_revision().await;
-    let revision = site.set_target(before, CARRY + 1).await;
+    let revision = site.set_target(before, UPSTREAM_SLOTS + 1).await;
     sleep(Duration::from_secs(2)).await;
     site.balancers[0].signal(Signal::SIGCONT);
-    wait_for("woken balancer on the new revision", async || {
+    wait_for("new revision at the resumed balancer", async || {
         let status = site.status().await;
         let mut nodes = status.nodes.iter();
         let node = nodes.find(|node| node.host.to_string() == "balancer-0");
         node.is_some_and(|node| node.version.is_some_and(|v| v.revision >= revision))
-            && healthy.borrow().contains(&balancer(range, 0))
+            && healthy.borrow().contains(&fabric_address(range, 0))
     })
     .await;
     sleep(Duration::from_secs(1)).await;
     requests.expect_all_answered().await;
-    expect_whole(feeds, LINES).await;
+    expect_complete(feeds, LINES).await;
 }
 
-/// Guards against an answer of another service (promise P2), and against
-/// services that one balancer opens itself.
+/// P2. Guards against an answer from the upstream of another service, with two
+/// services whose addresses the same balancer opens itself.
 #[actix_rt::test]
-async fn two_services_never_answer_for_each_other() {
+async fn answers_come_from_the_requested_service() {
     let range = 72;
-    let mut site = Site::start(Plan {
+    let mut site = Site::start(SitePlan {
         range,
         balancers: 0,
         upstreams: 1,
-        ..Plan::default()
+        ..SitePlan::default()
     })
     .await;
     let own = Upstream::start("badge-0", "127.0.0.1:0".parse().unwrap()).unwrap();
@@ -247,81 +263,83 @@
     direct.push(format!("--services-listen={}", address(range, 101, 0).ip()));
     direct.push(format!("--return-listen={}", address(range, 11, 7100)));
     let processes = [(agent, "badges"), (direct, "direct")];
-    let _processes = processes.map(|(args, name)| Process::start(&args, &site.log(name)));
+    let _processes = processes.map(|(args, name)| Process::start(&args, &site.next_log_path(name)));
     for (name, address) in [(SERVICE, vouchers), ("badges", badges)] {
-        configure(&site, name, address).await;
+        create_service(&site, name, address).await;
     }
-    site.wait_until_shared(2).await;
+    site.wait_for_upstreams_with_share(2).await;
 
     let cases = [
         (vouchers, "served by upstream-0"),
         (badges, "served by badge-0"),
     ];
-    // The same socket asks both services, so that only the service tells
-    // their datagrams apart.
+    // Requests to both services share one socket, so that their datagrams
+    // differ only in the service address.
     let endpoint = Endpoint::open(vouchers, Trust::Any).unwrap();
-    let steady = cases
-        .map(|(service, expected)| [(); 2].map(|()| Steady::start(&endpoint, service, expected)));
+    let request_loops = cases.map(|(service, expected)| {
+        [(); 2].map(|()| RequestLoop::start(&endpoint, service, expected))
+    });
     sleep(Duration::from_secs(4)).await;
-    for requests in steady.into_iter().flatten() {
+    for requests in request_loops.into_iter().flatten() {
         requests.expect_all_answered().await;
     }
 }
 
-async fn configure(site: &Site, name: &str, address: SocketAddr) {
+async fn create_service(site: &Site, name: &str, address: SocketAddr) {
     let create = Change::CreateService {
         name: name.parse().unwrap(),
         address,
     };
-    let created = harness::accepted(&site.change(Revision(0), create).await);
+    let created = harness::accepted_revision(&site.change(Revision(0), create).await);
     let set = Change::SetTarget {
         service: name.parse().unwrap(),
         class: ClassName::default(),
         target: Target {
-            carry: Slots(CARRY),
+            carry: Slots(UPSTREAM_SLOTS),
             connections: Connections(2000),
             ..Target::default()
         },
     };
-    harness::accepted(&site.change(created, set).await);
+    harness::accepted_revision(&site.change(created, set).await);
 }
 
-/// Guards against input from outside that ends or blocks a process.
+/// Guards against datagrams from outside that crash or block a process.
 #[actix_rt::test]
-async fn garbage_at_every_port_stops_nothing() {
+async fn random_datagrams_at_every_port_stop_no_process() {
     const LINES: u32 = 100;
     let range = 73;
-    let mut site = Site::serving(Plan {
+    let mut site = Site::start_serving(SitePlan {
         range,
-        carry: CARRY,
-        ..Plan::default()
+        carry: UPSTREAM_SLOTS,
+        ..SitePlan::default()
     })
     .await;
     let service = site.fabric.service;
     let feeds = open_feeds(&site, 2, LINES).await;
-    let requests = Steady::on(&site);
+    let requests = RequestLoop::start_on(&site);
     let mut ports = vec![service];
     for n in 0..2 {
-        ports.push(balancer(range, n));
+        ports.push(fabric_address(range, n));
         ports.push(address(range, 11 + n, 7100));
         ports.push(address(range, 51 + n, 7200));
     }
-    let garbage = std::thread::spawn(move || throw_garbage(&ports, service));
-    wait_for("end of the garbage", async || garbage.is_finished()).await;
-    garbage.join().unwrap();
+    let sender = std::thread::spawn(move || send_random_datagrams(&ports, service));
+    wait_for("end of the random datagrams", async || sender.is_finished()).await;
+    sender.join().unwrap();
     requests.expect_all_answered().await;
-    expect_whole(feeds, LINES).await;
+    expect_complete(feeds, LINES).await;
     let processes = site.balancers.iter_mut().chain(&mut site.agents);
     for process in processes {
-        assert_eq!(process.ended(), None);
+        assert_eq!(process.exit_success(), None);
     }
 }
 
-/// Sends 500 rounds of a random datagram to each port: bare, behind a valid
-/// prefix, and behind one with a changed byte. It takes about 3 s.
-fn throw_garbage(ports: &[SocketAddr], service: SocketAddr) {
+/// Sends 500 rounds of a random datagram to each port, in turn without a prefix,
+/// with a valid prefix, and with a prefix in which one bit is flipped. Takes
+/// about 3 s.
+fn send_random_datagrams(ports: &[SocketAddr], service: SocketAddr) {
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
-    // A fixed seed; splitmix64 gives the bytes.
+    // Bytes from splitmix64 with a fixed seed.
     let mut seed = 73_u64;
     let mut random = move || {
         seed = seed.wrapping_add(0x9e37_79b9_7f4a_7c15);
@@ -347,6 +365,6 @@
             let _ = socket.send_to(&bytes, port);
         }
         std::thread::sleep(Duration::from_millis(6));
-        assert!(begun.elapsed() < PATIENCE);
+        assert!(begun.elapsed() < WAIT_TIMEOUT);
     }
 }
--- a/crates/limpetd/tests/control.rs
+++ b/crates/limpetd/tests/control.rs
@@ -1,5 +1,5 @@
-//! The control group as real processes: races, crashes, freezes and lost
-//! folders.
+//! The control group as real processes: concurrent changes, crashed and paused
+//! hosts, and lost data folders.
 
 mod harness;
 
@@ -14,7 +14,9 @@
 use actix_rt::time::sleep;
 use client::{Http, NodeReport, Operator, Step, SyncSettings, SyncTask};
 use config::Summary;
-use harness::{PATIENCE, Plan, SERVICE, Site, accepted, control_address, wait_for};
+use harness::{
+    SERVICE, Site, SitePlan, WAIT_TIMEOUT, accepted_revision, control_address, wait_for,
+};
 use nix::sys::signal::Signal;
 use tokio::sync::{mpsc, watch};
 use types::{
@@ -29,17 +31,18 @@
     },
 };
 
-/// Time for which nothing may be accepted by a minority. Several elections.
-const MINORITY: Duration = Duration::from_secs(3);
+/// Time for which a minority must accept no change; long enough for several
+/// elections.
+const MINORITY_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A site with control hosts only.
-fn control_only(range: u8, control: u8) -> Plan {
-    Plan {
+/// A site that has only control hosts.
+fn control_only(range: u8, control: u8) -> SitePlan {
+    SitePlan {
         range,
         control,
         balancers: 0,
         upstreams: 0,
-        ..Plan::default()
+        ..SitePlan::default()
     }
 }
 
@@ -59,12 +62,12 @@
     }
 }
 
-fn soon(millis: u64) -> Instant {
+fn deadline_in_millis(millis: u64) -> Instant {
     Instant::now() + Duration::from_millis(millis)
 }
 
 async fn query(site: &Site, query: Query) -> QueryReply {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     let reply = site.operator.query("/v1/query", &query, deadline);
     reply.await.unwrap()
 }
@@ -76,7 +79,7 @@
     }
 }
 
-/// Number of the host that leads.
+/// Number of the control host that is the leader.
 async fn leader(site: &Site) -> u8 {
     let group = site.status().await.group;
     let address = group.voters[&group.leader];
@@ -88,19 +91,19 @@
 
 /// Waits until a change is accepted.
 async fn change_until_accepted(site: &Site, change: Change) -> Revision {
-    accepted(&site.change(Revision(0), change).await)
+    accepted_revision(&site.change(Revision(0), change).await)
 }
 
-/// Versions and the services after each.
+/// Applied versions, each with the services after it.
 type Applied = Vec<(Version, BTreeMap<ServiceId, ServiceState>)>;
 
-/// A node of the test that records what it applies.
+/// A node that records each version that it applies.
 struct Subscriber {
     applied: Rc<RefCell<Applied>>,
 }
 
 impl Subscriber {
-    fn start(plan: Plan, host: &str) -> Self {
+    fn start(plan: SitePlan, host: &str) -> Self {
         let control = (0..plan.control).map(|n| control_address(plan, n));
         let cfg = SyncSettings::new(
             host.parse().unwrap(),
@@ -114,7 +117,7 @@
         let applied = Rc::new(RefCell::new(Vec::new()));
         let record = applied.clone();
         actix_rt::spawn(async move {
-            // The sender lives as long as the node.
+            // Keeps the sender, so that the sync task does not end.
             let _report = report;
             let mut services = BTreeMap::new();
             while let Some(step) = rx.recv().await {
@@ -144,7 +147,7 @@
         .await;
     }
 
-    fn assert_never_went_back(&self) {
+    fn assert_versions_never_decrease(&self) {
         let applied = self.applied.borrow();
         for pair in applied.windows(2) {
             assert!(!pair[1].0.is_behind(&pair[0].0), "{pair:?}");
@@ -152,10 +155,10 @@
     }
 }
 
-/// Guards against two racing changes that both win or both lose, and against
-/// a conflict that does not tell who won.
+/// Guards against two concurrent changes on the same base that are both accepted
+/// or both rejected, and against a conflict that names the wrong winner.
 #[actix_rt::test]
-async fn exactly_one_of_two_racing_changes_wins() {
+async fn exactly_one_of_two_concurrent_changes_is_accepted() {
     let site = Site::start(control_only(20, 3)).await;
     let mut hosts: Vec<SocketAddr> = (0..3).map(|n| control_address(site.plan, n)).collect();
     let mira = Operator::new(Http::default(), hosts.clone());
@@ -166,16 +169,16 @@
         let change = drain("app-1", round % 2 == 0);
         let first = request("mira", base, change.clone());
         let second = request("ivo", base, change);
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         let (first, second) =
             tokio::join!(mira.change(&first, deadline), ivo.change(&second, deadline));
         let (winner, revision, loser) = match (first, second) {
             (ChangeReply::Final(Answer::Accepted(r)), loser) => ("mira", r, loser),
             (loser, ChangeReply::Final(Answer::Accepted(r))) => ("ivo", r, loser),
-            other => panic!("nobody won round {round}: {other:?}"),
+            other => panic!("expected one accepted change in round {round}, got {other:?}"),
         };
         let ChangeReply::Final(Answer::Conflict(conflict)) = loser else {
-            panic!("no conflict in round {round}: {loser:?}");
+            panic!("expected a conflict in round {round}, got {loser:?}");
         };
         assert_eq!(conflict.winner, revision);
         assert_eq!(conflict.author.to_string(), winner);
@@ -183,13 +186,19 @@
     }
 }
 
-/// Sends each change once and to one host, until it does not answer.
-async fn stream(http: Http, host: SocketAddr, name: u32) -> Vec<(ChangeRequest, ChangeReply)> {
+/// Sends changes to one host, each of them once, until the host gives no final
+/// answer.
+async fn send_until_no_answer(
+    http: Http,
+    host: SocketAddr,
+    name: u32,
+) -> Vec<(ChangeRequest, ChangeReply)> {
     let mut sent = Vec::new();
     for n in 0.. {
         let req = request("mira", Revision(0), drain(&format!("app-{name}-{n}"), true));
-        let reply: client::Result<ChangeReply> =
-            http.post(host, "/v1/change", &req, soon(3000)).await;
+        let reply: client::Result<ChangeReply> = http
+            .post(host, "/v1/change", &req, deadline_in_millis(3000))
+            .await;
         let reply = match reply {
             Ok(reply) => reply,
             Err(e) if e.category() == client::Category::NotSent => return sent,
@@ -204,27 +213,31 @@
     sent
 }
 
-/// Guards against accepted changes that die with the leader, and against a
-/// change of unknown outcome that is run twice or answered in two ways.
+/// Guards against accepted changes that are lost when the leader crashes, and
+/// against a change of unknown outcome that is applied twice or gets two
+/// different answers.
 #[actix_rt::test]
-async fn accepted_changes_survive_the_death_of_the_leader() {
+async fn accepted_changes_survive_a_leader_crash() {
     let mut site = Site::start(control_only(21, 3)).await;
     change_until_accepted(&site, drain("app-1", true)).await;
     let first = leader(&site).await;
     let host = control_address(site.plan, first);
-    let streams: Vec<_> = (0..8)
-        .map(|name| actix_rt::spawn(stream(Http::default(), host, name)))
+    let tasks: Vec<_> = (0..8)
+        .map(|name| actix_rt::spawn(send_until_no_answer(Http::default(), host, name)))
         .collect();
     sleep(Duration::from_millis(200)).await;
     site.control[usize::from(first)].kill();
     let mut sent = Vec::new();
-    for stream in streams {
-        sent.extend(stream.await.unwrap());
+    for task in tasks {
+        sent.extend(task.await.unwrap());
     }
     let known = |reply: &ChangeReply| matches!(reply, ChangeReply::Final(_));
     let unknown = sent.iter().filter(|(_, reply)| !known(reply)).count();
     let answered = sent.len() - unknown;
-    assert!(answered > 20 && unknown > 0, "{answered} and {unknown}");
+    assert!(
+        answered > 20 && unknown > 0,
+        "{answered} changes answered, {unknown} of unknown outcome"
+    );
 
     let QueryReply::Audit(records) = query(&site, Query::Audit { limit: 10_000 }).await else {
         panic!("no audit trail");
@@ -235,9 +248,9 @@
             assert_eq!(recorded.get(&req.id), Some(answer));
             continue;
         }
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         let again = site.operator.change(req, deadline).await;
-        let revision = accepted(&again);
+        let revision = accepted_revision(&again);
         assert_eq!(site.operator.change(req, deadline).await, again);
         let Change::SetDrain { host, .. } = &req.change else {
             unreachable!("only drain marks were sent");
@@ -246,23 +259,26 @@
     }
 }
 
-/// Guards against configuration, answers or audit records that only live in
-/// memory.
+/// Guards against configuration, answers or audit records that are lost when all
+/// control hosts crash, because they are only in memory.
 #[actix_rt::test]
-async fn configuration_and_answers_outlive_all_processes() {
+async fn configuration_and_answers_survive_a_crash_of_all_hosts() {
     let mut site = Site::start(control_only(22, 3)).await;
     site.create_service().await;
-    // The leader adds the first key by itself, which is a record as well.
+    // The leader itself adds the first key, which also adds an audit record.
     wait_for("first key", async || {
         matches!(query(&site, Query::Keys).await, QueryReply::Keys(Some(_)))
     })
     .await;
     let mut sent = Vec::new();
     for n in 0..30 {
-        // Every third one conflicts.
+        // Every third change conflicts with the one before.
         let host = format!("app-{}", n - n % 3 / 2);
         let req = request("mira", Revision(0), drain(&host, true));
-        let reply = site.operator.change(&req, Instant::now() + PATIENCE).await;
+        let reply = site
+            .operator
+            .change(&req, Instant::now() + WAIT_TIMEOUT)
+            .await;
         sent.push((req, reply));
     }
     let conflict = |reply: &ChangeReply| matches!(reply, ChangeReply::Final(Answer::Conflict(_)));
@@ -279,7 +295,10 @@
     assert_eq!(query(&site, Query::Services).await, services);
     assert_eq!(query(&site, Query::Audit { limit: 100 }).await, audit);
     for (req, reply) in sent {
-        let again = site.operator.change(&req, Instant::now() + PATIENCE).await;
+        let again = site
+            .operator
+            .change(&req, Instant::now() + WAIT_TIMEOUT)
+            .await;
         assert_eq!(again, reply);
     }
 }
@@ -297,47 +316,48 @@
     }
 }
 
-/// Guards against a leader that wakes after its group went on and passes off
-/// what it holds as fresh, or accepts a change.
+/// Guards against a leader that is resumed after the group has elected another
+/// one, and answers with stale state or accepts a change.
 #[actix_rt::test]
 async fn a_leader_that_wakes_answers_nobody() {
     let site = Site::start(control_only(23, 3)).await;
     let before = change_until_accepted(&site, drain("app-1", true)).await;
     let node = Subscriber::start(site.plan, "lb-1");
     node.wait_for_revision(before).await;
-    let frozen = leader(&site).await;
-    let host = control_address(site.plan, frozen);
+    let paused = leader(&site).await;
+    let host = control_address(site.plan, paused);
     let http = Http::default();
     let others = (0..3).map(|n| control_address(site.plan, n));
     let others = others.filter(|other| *other != host).collect();
     let others = Operator::new(http.clone(), others);
-    let frozen = &site.control[usize::from(frozen)];
-    frozen.signal(Signal::SIGSTOP);
+    let paused = &site.control[usize::from(paused)];
+    paused.signal(Signal::SIGSTOP);
 
-    // These wait in the socket until the leader wakes.
+    // These requests wait in the socket until the leader is resumed.
     let (req, have) = (request("ivo", Revision(0), drain("app-2", true)), None);
     let sync = sync_request("lb-2", have);
-    let early = async {
-        let deadline = soon(15_000);
+    let queued_requests = async {
+        let deadline = deadline_in_millis(15_000);
         tokio::join!(
             http.post::<_, SyncReply>(host, "/v1/sync", &sync, deadline),
             http.post::<_, QueryReply>(host, "/v1/query", &Query::Services, deadline),
             http.post::<_, ChangeReply>(host, "/v1/change", &req, deadline),
         )
     };
-    let go_on = async {
+    let change_with_new_leader = async {
         let mut last = before;
         for n in 0..5 {
             let host = format!("app-9-{n}");
             let req = request("mira", Revision(0), drain(&host, true));
-            last = accepted(&others.change(&req, Instant::now() + PATIENCE).await);
+            last = accepted_revision(&others.change(&req, Instant::now() + WAIT_TIMEOUT).await);
         }
         node.wait_for_revision(last).await;
-        frozen.signal(Signal::SIGCONT);
+        paused.signal(Signal::SIGCONT);
         last
     };
-    let ((synced, queried, changed), last) = tokio::join!(early, go_on);
-    // The HTTP server may find that the request came in too slowly: no answer.
+    let ((synced, queried, changed), last) = tokio::join!(queued_requests, change_with_new_leader);
+    // `Err` is allowed: the HTTP server may time out the request, which arrived
+    // too slowly from its point of view.
     assert!(
         matches!(synced, Ok(SyncReply::NotLeader { .. }) | Err(_)),
         "{synced:?}"
@@ -354,11 +374,11 @@
         "{changed:?}"
     );
 
-    // Afterwards it names the leader, or leads again with everything.
+    // Afterwards it is a follower, or it is elected again with all changes.
     for _ in 0..20 {
         let sync = sync_request("lb-2", None);
         let reply: SyncReply = http
-            .post(host, "/v1/sync", &sync, soon(5000))
+            .post(host, "/v1/sync", &sync, deadline_in_millis(5000))
             .await
             .unwrap();
         if let SyncReply::Update(update) = &reply {
@@ -366,21 +386,22 @@
         }
         sleep(Duration::from_millis(50)).await;
     }
-    node.assert_never_went_back();
+    node.assert_versions_never_decrease();
     assert!(drain_revision(&site, "app-9-4".parse().unwrap()).await == Some(last));
 }
 
-/// Half of an even group accepts nothing while the data plane goes on.
-async fn even_group(range: u8, control: u8) {
-    let mut site = Site::serving(Plan {
+/// Kills half of an even group and checks that the other half accepts no change
+/// and answers no query, while the data plane still serves requests.
+async fn check_even_group(range: u8, control: u8) {
+    let mut site = Site::start_serving(SitePlan {
         range,
         control,
         balancers: 1,
         upstreams: 1,
-        ..Plan::default()
+        ..SitePlan::default()
     })
     .await;
-    // The leader shows a share before the balancer has it in force.
+    // The leader reports a share before the balancer has applied it.
     wait_for("answer through the balancer", async || {
         site.call("GET", "/", "").await.is_ok()
     })
@@ -389,7 +410,10 @@
         site.control[usize::from(n)].kill();
     }
     let req = request("mira", Revision(0), drain("app-1", true));
-    let reply = site.operator.change(&req, Instant::now() + MINORITY).await;
+    let reply = site
+        .operator
+        .change(&req, Instant::now() + MINORITY_TIMEOUT)
+        .await;
     assert!(
         matches!(reply, ChangeReply::Unavailable | ChangeReply::Unknown),
         "{reply:?}"
@@ -398,32 +422,36 @@
     assert_eq!(answer.status, 200);
     let declined = site
         .operator
-        .query::<_, QueryReply>("/v1/query", &Query::Services, soon(500))
+        .query::<_, QueryReply>("/v1/query", &Query::Services, deadline_in_millis(500))
         .await;
     assert!(declined.is_err(), "{declined:?}");
 
     for n in 0..control / 2 {
         site.control[usize::from(n)] = site.start_control(n);
     }
-    let reply = site.operator.change(&req, Instant::now() + PATIENCE).await;
-    let revision = accepted(&reply);
+    let reply = site
+        .operator
+        .change(&req, Instant::now() + WAIT_TIMEOUT)
+        .await;
+    let revision = accepted_revision(&reply);
     let host = "app-1".parse().unwrap();
     assert_eq!(drain_revision(&site, host).await, Some(revision));
 }
 
-/// Guards against a half that counts itself as a majority.
+/// Guards against a half of the group that counts as a majority.
 #[actix_rt::test]
 async fn one_of_two_hosts_accepts_nothing() {
-    even_group(24, 2).await;
+    check_even_group(24, 2).await;
 }
 
-/// Guards against a half that counts itself as a majority.
+/// Guards against a half of the group that counts as a majority.
 #[actix_rt::test]
 async fn two_of_four_hosts_accept_nothing() {
-    even_group(25, 4).await;
+    check_even_group(25, 4).await;
 }
 
-/// Changes the group, again while the leader says that it is too early.
+/// Changes the group, with retries while the leader is busy or a learner has not
+/// caught up.
 async fn change_group(site: &Site, change: GroupRequest) {
     let http = Http::default();
     let call = GroupChangeRequest {
@@ -432,8 +460,9 @@
     };
     wait_for("change of the group", async || {
         let host = control_address(site.plan, leader(site).await);
-        let reply: client::Result<GroupReply> =
-            http.post(host, "/v1/group", &call, soon(3000)).await;
+        let reply: client::Result<GroupReply> = http
+            .post(host, "/v1/group", &call, deadline_in_millis(3000))
+            .await;
         match reply.unwrap() {
             GroupReply::Done => true,
             GroupReply::NotLeader { .. }
@@ -444,11 +473,11 @@
     .await;
 }
 
-/// Guards against a host that lost its folder and votes under its earlier id
-/// or forms a second group, and against a repair that leaves the group with
-/// one copy of what it accepted.
+/// Guards against a host that lost its data folder and votes under its earlier id
+/// or forms a second group, and against a replacement that leaves only one copy
+/// of accepted changes.
 #[actix_rt::test]
-async fn a_host_that_lost_its_folder_is_replaced_and_a_second_one_lost() {
+async fn host_that_lost_its_data_is_replaced_and_a_second_one_crashes() {
     let mut site = Site::start(control_only(26, 3)).await;
     let mut revisions = BTreeMap::new();
     for n in 0..20 {
@@ -456,7 +485,7 @@
         let revision = change_until_accepted(&site, drain(&host, true)).await;
         revisions.insert(host, revision);
     }
-    // The lowest address is the one that forms groups.
+    // The host with the lowest address is the one that forms a group.
     let (address, folder) = (
         control_address(site.plan, 0),
         site.dir.path().join("control-0"),
@@ -468,9 +497,10 @@
     site.control[0] = site.start_control(0);
     let http = Http::default();
     let mut hello = None;
-    wait_for("answer of the blank host", async || {
-        let reply: client::Result<HelloReply> =
-            http.post(address, "/v1/hello", &Hello, soon(1000)).await;
+    wait_for("answer of the host without state", async || {
+        let reply: client::Result<HelloReply> = http
+            .post(address, "/v1/hello", &Hello, deadline_in_millis(1000))
+            .await;
         hello = reply.ok();
         hello.is_some()
     })
@@ -478,21 +508,24 @@
     let id = hello.unwrap().id;
     assert_ne!(id, old);
 
-    // One voter and the blank host are no majority.
+    // One voter and the host without state are not a majority.
     wait_for("leader among the others", async || leader(&site).await != 0).await;
     let other = leader(&site).await;
     site.control[usize::from(other)].signal(Signal::SIGSTOP);
     let req = request("mira", Revision(0), drain("app-20", true));
-    let reply = site.operator.change(&req, Instant::now() + MINORITY).await;
+    let reply = site
+        .operator
+        .change(&req, Instant::now() + MINORITY_TIMEOUT)
+        .await;
     assert!(
         matches!(reply, ChangeReply::Unavailable | ChangeReply::Unknown),
         "{reply:?}"
     );
     let reply: HelloReply = http
-        .post(address, "/v1/hello", &Hello, soon(1000))
+        .post(address, "/v1/hello", &Hello, deadline_in_millis(1000))
         .await
         .unwrap();
-    assert!(reply.blank, "it joined a group by itself");
+    assert!(reply.blank, "the host joined a group before it was added");
     site.control[usize::from(other)].signal(Signal::SIGCONT);
 
     change_group(&site, GroupRequest::AddLearner(id, address)).await;
@@ -516,47 +549,51 @@
         let host = host.parse().unwrap();
         assert_eq!(drain_revision(&site, host).await, Some(revision));
     }
-    let reply = site.operator.change(&req, Instant::now() + PATIENCE).await;
-    accepted(&reply);
+    let reply = site
+        .operator
+        .change(&req, Instant::now() + WAIT_TIMEOUT)
+        .await;
+    accepted_revision(&reply);
 }
 
-/// Guards against a node that is led through every version that it missed.
+/// Guards against a node that gets every missed version one by one instead of a
+/// single update.
 #[actix_rt::test]
-async fn a_node_that_missed_500_changes_gets_one_update() {
+async fn node_that_missed_500_changes_gets_one_update() {
     let site = Site::start(control_only(27, 3)).await;
     let first = change_until_accepted(&site, drain("app-0-0", true)).await;
     let node = Subscriber::start(site.plan, "lb-1");
     node.wait_for_revision(first).await;
     let have = node.version().unwrap();
-    let streams = (0..10).map(|name| {
+    let writers = (0..10).map(|name| {
         let operator = site.operator.clone();
         async move {
             let mut last = Revision(0);
             for n in 1..=50 {
                 let change = drain(&format!("app-{name}-{n}"), true);
                 let req = request("mira", Revision(0), change);
-                let reply = operator.change(&req, Instant::now() + PATIENCE).await;
-                last = last.max(accepted(&reply));
+                let reply = operator.change(&req, Instant::now() + WAIT_TIMEOUT).await;
+                last = last.max(accepted_revision(&reply));
             }
             last
         }
     });
-    let tasks: Vec<_> = streams.map(actix_rt::spawn).collect();
+    let tasks: Vec<_> = writers.map(actix_rt::spawn).collect();
     let mut last = Revision(0);
     for task in tasks {
         last = last.max(task.await.unwrap());
     }
     assert!(last.0 >= first.0 + 500);
 
-    // One that restarts has nothing.
+    // A restarted node has no version, so it gets a snapshot.
     let restarted = Subscriber::start(site.plan, "lb-2");
     restarted.wait_for_revision(last).await;
     assert_eq!(restarted.applied.borrow().len(), 1);
-    // One that was cut off has what it had.
+    // A node that was disconnected gets the difference to its version.
     let host = control_address(site.plan, leader(&site).await);
     let sync = sync_request("lb-3", Some(have));
     let reply: SyncReply = Http::default()
-        .post(host, "/v1/sync", &sync, soon(5000))
+        .post(host, "/v1/sync", &sync, deadline_in_millis(5000))
         .await
         .unwrap();
     let SyncReply::Update(update) = reply else {
@@ -564,17 +601,17 @@
     };
     assert!(!update.snapshot);
     assert!(update.version.revision >= last);
-    node.assert_never_went_back();
+    node.assert_versions_never_decrease();
 }
 
-/// Guards against a new leader that takes upstreams for dead because it has
-/// not heard them yet.
+/// Guards against a new leader that removes live upstreams because it has not
+/// received their heartbeats yet.
 #[actix_rt::test]
-async fn a_new_leader_takes_no_live_upstream_out() {
-    let mut site = Site::serving(Plan {
+async fn new_leader_removes_no_live_upstream() {
+    let mut site = Site::start_serving(SitePlan {
         range: 28,
         balancers: 1,
-        ..Plan::default()
+        ..SitePlan::default()
     })
     .await;
     let node = Subscriber::start(site.plan, "lb-9");
@@ -586,7 +623,8 @@
         node.version().is_some_and(|v| v.epoch > epoch)
     })
     .await;
-    // A lease more, in which upstreams that were not heard would be dropped.
+    // Longer than a lease, after which upstreams without a heartbeat would lose
+    // their share.
     sleep(Duration::from_secs(4)).await;
     for (version, services) in node.applied.borrow().iter() {
         let service = services
@@ -596,7 +634,7 @@
         let shared = members.values().filter(|m| m.share.0 > 0).count();
         assert_eq!(shared, 2, "{version}: {members:?}");
     }
-    node.assert_never_went_back();
+    node.assert_versions_never_decrease();
     let answer = site.call("GET", "/", "").await.unwrap();
     assert_eq!(answer.status, 200);
 }
--- a/crates/limpetd/tests/drain.rs
+++ b/crates/limpetd/tests/drain.rs
@@ -1,5 +1,5 @@
-//! Agents that leave, by signal and by an operator's mark, and planned changes
-//! under open feeds.
+//! Draining of agents, started by a signal or by an operator, and planned
+//! changes while feeds are open.
 
 mod harness;
 
@@ -9,44 +9,47 @@
 use bytes::Bytes;
 use caller::{Answer, Caller, Category, Outcome};
 use futures_util::future::join_all;
-use harness::{Plan, Process, Site, accepted, answer_of, feed_lines, request, wait_for};
+use harness::{
+    Process, Site, SitePlan, accepted_revision, feed_lines, get_text, request, wait_for,
+};
 use nix::sys::signal::Signal;
 use types::{Change, Revision};
 
-fn plan(range: u8, carry: u32) -> Plan {
-    Plan {
+fn plan(range: u8, carry: u32) -> SitePlan {
+    SitePlan {
         range,
         control: 1,
         carry,
-        ..Plan::default()
+        ..SitePlan::default()
     }
 }
 
-/// A connection and the number of the upstream that serves it.
+/// Opens a connection and returns the number of the upstream that serves it.
 async fn connect(site: &Site) -> (Caller, usize) {
     let mut caller = site.connect().await;
-    let served = answer_of(&mut caller, "/").await;
+    let served = get_text(&mut caller, "/").await;
     let number = served.trim().rsplit('-').next().expect("name");
     (caller, number.parse().expect("number"))
 }
 
-async fn feed(caller: &mut Caller, path: &str) -> Answer {
+async fn start_feed(caller: &mut Caller, path: &str) -> Answer {
     caller.send(request("GET", path, "")).await.expect("feed")
 }
 
-/// Waits until a process has ended and tells whether it ended well.
-async fn ended(process: &mut Process) -> bool {
+/// Waits until a process has exited and returns whether its status was 0.
+async fn wait_for_exit(process: &mut Process) -> bool {
     let mut status = None;
-    wait_for("end of the process", async || {
-        status = process.ended();
+    wait_for("exit of the process", async || {
+        status = process.exit_success();
         status.is_some()
     })
     .await;
     status == Some(true)
 }
 
-/// Claims on a new connection and tells which upstream ran it.
-async fn claim_anew(site: &Site, id: &str) -> Option<usize> {
+/// Sends a claim on a new connection and returns the number of the upstream that
+/// ran it.
+async fn claim_on_new_connection(site: &Site, id: &str) -> Option<usize> {
     let answer = site.call("POST", &format!("/claim/{id}"), "seat").await;
     let answer = answer.expect("answer on a new connection");
     assert_eq!(answer.outcome(), Outcome::Answered, "{id}");
@@ -58,15 +61,15 @@
     None
 }
 
-/// P1, P6, P7. Guards against a drain that cuts a feed, an upload or a claim,
-/// gives the upstream new work, loses requests of open connections or does not
-/// end.
+/// P1, P6, P7. After SIGTERM an agent drains: guards against a drain that aborts
+/// a feed, an upload or a claim, assigns new work to the upstream, loses requests
+/// on open connections, or never completes.
 #[actix_rt::test]
-async fn a_stopping_agent_cuts_nothing_and_takes_nothing_new() {
-    let mut site = Site::serving(plan(55, 8)).await;
+async fn stopping_agent_completes_open_requests_and_takes_no_new_work() {
+    let mut site = Site::start_serving(plan(55, 8)).await;
     let (mut caller, own) = connect(&site).await;
     let other = 1 - own;
-    let mut open_feed = feed(&mut caller, "/feed?ms=50&lines=100").await;
+    let mut open_feed = start_feed(&mut caller, "/feed?ms=50&lines=100").await;
     open_feed.part().await.unwrap();
     let upload = request("POST", "/upload", "").map(drop);
     let mut upload = caller.start(upload).await.unwrap();
@@ -79,35 +82,41 @@
     })
     .await;
 
-    // Requests on the open connection go on until the caller has heard GOAWAY.
-    let mut loops = 0;
+    // The open connection accepts requests until the caller receives GOAWAY.
+    let mut requests_sent = 0;
     let stopped_at = Instant::now();
     let refused = loop {
-        if loops == 10 {
+        if requests_sent == 10 {
             site.agents[own].signal(Signal::SIGTERM);
         }
-        let claim = request("POST", &format!("/claim/open-{loops}"), "");
+        let claim = request("POST", &format!("/claim/open-{requests_sent}"), "");
         match caller.send(claim).await {
-            Ok(answer) => assert_eq!(answer.outcome(), Outcome::Answered, "{loops}"),
+            Ok(answer) => assert_eq!(answer.outcome(), Outcome::Answered, "{requests_sent}"),
             Err(e) => break e,
         }
-        loops += 1;
+        requests_sent += 1;
     };
     assert_eq!(refused.category(), Category::NotRun, "{refused}");
-    assert!(loops > 10, "the agent left at {loops}");
+    assert!(
+        requests_sent > 10,
+        "expected more than 10 answers before the refusal, got {requests_sent}"
+    );
 
-    // The stated time after which a leaving upstream gets no new work.
+    // A leaving upstream gets no new work later than 3 s after the signal.
     let mut n = 0;
     while stopped_at.elapsed() < Duration::from_secs(3) {
-        claim_anew(&site, &format!("during-{n}")).await;
+        claim_on_new_connection(&site, &format!("during-{n}")).await;
         n += 1;
         sleep(Duration::from_millis(100)).await;
     }
     for n in 0..20 {
-        assert_eq!(claim_anew(&site, &format!("late-{n}")).await, Some(other));
+        assert_eq!(
+            claim_on_new_connection(&site, &format!("late-{n}")).await,
+            Some(other)
+        );
     }
     for upstream in &site.upstreams {
-        let refused = format!("open-{loops}");
+        let refused = format!("open-{requests_sent}");
         assert!(!upstream.runs().await.contains_key(refused.as_bytes()));
     }
 
@@ -116,100 +125,105 @@
     let mut uploaded = upload.answer().await.unwrap();
     assert_eq!(uploaded.body().await.unwrap(), "200000\n");
     assert_eq!(claim.answer().await.unwrap().status, 200);
-    assert!(site.agents[own].ended().is_none(), "a feed is still open");
+    assert!(
+        site.agents[own].exit_success().is_none(),
+        "a feed is still open"
+    );
     assert_eq!(open_feed.body().await.unwrap(), feed_lines(1, 100));
-    assert!(ended(&mut site.agents[own]).await);
+    assert!(wait_for_exit(&mut site.agents[own]).await);
 }
 
-/// P1. Guards against a mark of an operator that is not heeded, that cuts a
-/// feed or ends the agent, and against an agent that does not serve again once
-/// the mark is taken back.
+/// P1. An operator sets and clears the drain mark of an upstream: guards against
+/// a mark that has no effect, aborts a feed or stops the agent, and against an
+/// agent that gets no new work after the mark is cleared.
 #[actix_rt::test]
-async fn an_operator_drains_an_upstream_and_takes_it_back() {
-    let mut site = Site::serving(plan(56, 8)).await;
+async fn operator_drains_and_undrains_an_upstream() {
+    let mut site = Site::start_serving(plan(56, 8)).await;
     let (mut caller, own) = connect(&site).await;
-    let mut open_feed = feed(&mut caller, "/feed?ms=100&lines=100").await;
+    let mut open_feed = start_feed(&mut caller, "/feed?ms=100&lines=100").await;
     open_feed.part().await.unwrap();
     let host: types::HostName = format!("agent-{own}").parse().unwrap();
-    let mark = async |site: &Site, base, drain| {
+    let set_drain_mark = async |site: &Site, base, drain| {
         let host = host.clone();
-        accepted(&site.change(base, Change::SetDrain { host, drain }).await)
+        accepted_revision(&site.change(base, Change::SetDrain { host, drain }).await)
     };
-    let marked = mark(&site, Revision(0), true).await;
+    let marked_revision = set_drain_mark(&site, Revision(0), true).await;
     sleep(Duration::from_secs(3)).await;
     for n in 0..10 {
-        let served = claim_anew(&site, &format!("drained-{n}")).await;
+        let served = claim_on_new_connection(&site, &format!("drained-{n}")).await;
         assert_eq!(served, Some(1 - own));
     }
-    assert!(site.agents[own].ended().is_none());
+    assert!(site.agents[own].exit_success().is_none());
 
-    mark(&site, marked, false).await;
+    set_drain_mark(&site, marked_revision, false).await;
     wait_for("new work at the upstream", async || {
         let (mut caller, served) = connect(&site).await;
-        answer_of(&mut caller, "/").await;
+        get_text(&mut caller, "/").await;
         served == own
     })
     .await;
     assert_eq!(open_feed.body().await.unwrap(), feed_lines(1, 100));
     let (mut again, _) = connect(&site).await;
     sleep(Duration::from_millis(1500)).await;
-    answer_of(&mut again, "/").await;
+    get_text(&mut again, "/").await;
 }
 
-/// P3. Guards against an agent that outlives the end of its stay because of a
-/// request, also of one that a peer handed off, and against an answer that is
-/// cut there but ends like a whole one.
+/// P3. Guards against a request, local or handed off by a peer, that keeps an
+/// agent running after its drain timeout, and against an answer that is aborted
+/// at the timeout but looks complete to the caller.
 #[actix_rt::test]
-async fn a_stay_ends() {
-    let mut site = Site::serving(Plan {
+async fn drain_timeout_aborts_remaining_requests() {
+    let mut site = Site::start_serving(SitePlan {
         stay_at_most: "2s",
         ..plan(57, 1)
     })
     .await;
     let (mut caller, own) = connect(&site).await;
-    let mut local = feed(&mut caller, "/feed").await;
-    let mut handed_off = feed(&mut caller, "/feed").await;
+    let mut local = start_feed(&mut caller, "/feed").await;
+    let mut handed_off = start_feed(&mut caller, "/feed").await;
     local.part().await.unwrap();
     handed_off.part().await.unwrap();
-    // First the one that runs the handed-off feed, which alone keeps it.
+    // Stops the agent that runs the handed-off feed first: that feed is its only
+    // request.
     for (n, feed) in [(1 - own, &mut handed_off), (own, &mut local)] {
         site.agents[n].signal(Signal::SIGTERM);
         let stopped_at = Instant::now();
         assert!(feed.body().await.is_err());
-        assert!(ended(&mut site.agents[n]).await);
+        assert!(wait_for_exit(&mut site.agents[n]).await);
         let stayed = stopped_at.elapsed();
         let bounds = Duration::from_millis(1900)..Duration::from_secs(4);
         assert!(bounds.contains(&stayed), "{stayed:?}");
     }
 }
 
-/// P7. Guards against a drain that cuts a request that a peer handed off.
+/// P7. Guards against a drain that aborts a request handed off by a peer.
 #[actix_rt::test]
-async fn a_handed_off_feed_outlives_the_drain_of_its_upstream() {
-    let mut site = Site::serving(plan(58, 1)).await;
+async fn handed_off_feed_completes_during_drain() {
+    let mut site = Site::start_serving(plan(58, 1)).await;
     let (mut caller, own) = connect(&site).await;
-    let local = feed(&mut caller, "/feed").await;
-    let mut handed_off = feed(&mut caller, "/feed?ms=50&lines=60").await;
+    let local = start_feed(&mut caller, "/feed").await;
+    let mut handed_off = start_feed(&mut caller, "/feed?ms=50&lines=60").await;
     handed_off.part().await.unwrap();
     site.agents[1 - own].signal(Signal::SIGTERM);
     assert_eq!(handed_off.body().await.unwrap(), feed_lines(1, 60));
-    assert!(ended(&mut site.agents[1 - own]).await);
+    assert!(wait_for_exit(&mut site.agents[1 - own]).await);
     local.cancel();
 }
 
-/// P7. Guards against a connection that a draining agent closes before the
-/// caller has the last packets of an answer: many are lost on the way.
+/// P7. Guards against a draining agent that closes a connection before the
+/// caller has received the last packets of an answer. The fabric drops 30% of
+/// the datagrams, so that most answers need retransmissions.
 #[actix_rt::test]
-async fn the_last_packets_of_an_answer_arrive() {
-    let mut site = Site::serving(plan(59, 20)).await;
+async fn last_packets_of_an_answer_arrive_during_drain() {
+    let mut site = Site::start_serving(plan(59, 20)).await;
     let mut callers = Vec::new();
     for _ in 0..16 {
         callers.push(site.connect().await);
     }
     let mut feeds = Vec::new();
     for caller in &mut callers {
-        // The second line comes after the last GOAWAY.
-        feeds.push(feed(caller, "/feed?ms=2500&lines=2").await);
+        // The second line is sent after the final GOAWAY.
+        feeds.push(start_feed(caller, "/feed?ms=2500&lines=2").await);
     }
     for agent in &site.agents {
         agent.signal(Signal::SIGTERM);
@@ -220,37 +234,36 @@
     }
     site.fabric.set_loss(0.0).await;
     for agent in &mut site.agents {
-        assert!(ended(agent).await);
+        assert!(wait_for_exit(agent).await);
     }
 }
 
-/// P1. Guards against a feed that depends on anything that a planned change
-/// touches: balancers are restarted one by one, an upstream joins, targets
-/// change, and the agent of the feed is frozen for longer than its lease.
+/// P1. Guards against a feed that breaks when the balancers are restarted one
+/// by one, or when its agent is paused for longer than its lease.
 #[actix_rt::test]
-async fn a_feed_outlives_planned_changes_and_a_freeze() {
-    let mut site = Site::serving(plan(60, 4)).await;
+async fn feed_survives_balancer_restarts_and_a_paused_agent() {
+    let mut site = Site::start_serving(plan(60, 4)).await;
     let (mut caller, own) = connect(&site).await;
-    let mut open_feed = feed(&mut caller, "/feed?ms=50&lines=300").await;
+    let mut open_feed = start_feed(&mut caller, "/feed?ms=50&lines=300").await;
     open_feed.part().await.unwrap();
     let changes = async {
         for n in 0..2u8 {
             let index = usize::from(n);
-            site.use_balancers(&[1 - n]).await;
+            site.set_fabric_balancers(&[1 - n]).await;
             sleep(Duration::from_millis(300)).await;
             site.balancers[index].signal(Signal::SIGTERM);
-            assert!(ended(&mut site.balancers[index]).await);
+            assert!(wait_for_exit(&mut site.balancers[index]).await);
             let balancer = site.start_balancer(n);
             site.balancers[index] = balancer;
             sleep(Duration::from_millis(2500)).await;
         }
-        site.use_balancers(&[0, 1]).await;
+        site.set_fabric_balancers(&[0, 1]).await;
         site.agents[own].signal(Signal::SIGSTOP);
         sleep(Duration::from_millis(4500)).await;
         site.agents[own].signal(Signal::SIGCONT);
     };
     let (body, ()) = tokio::join!(open_feed.body(), changes);
     assert_eq!(body.unwrap(), feed_lines(1, 300));
-    let served = timeout(Duration::from_secs(5), answer_of(&mut caller, "/"));
+    let served = timeout(Duration::from_secs(5), get_text(&mut caller, "/"));
     served.await.expect("the connection still serves");
 }
--- a/crates/limpetd/tests/harness/certificates.rs
+++ b/crates/limpetd/tests/harness/certificates.rs
@@ -1,4 +1,4 @@
-//! Certificates of a CA that the test makes.
+//! Certificates issued by a CA of the test.
 
 use std::{
     fs,
@@ -12,14 +12,14 @@
     KeyUsagePurpose, date_time_ymd,
 };
 
-/// A CA and the folder of its certificates.
-pub struct Authority {
+/// A certificate authority with the folder for its certificates and keys.
+pub struct CertificateAuthority {
     dir: PathBuf,
     issuer: CertifiedIssuer<'static, KeyPair>,
 }
 
-impl Authority {
-    pub fn new(dir: &Path, name: &str) -> Authority {
+impl CertificateAuthority {
+    pub fn new(dir: &Path, name: &str) -> CertificateAuthority {
         let mut params = CertificateParams::new(Vec::new()).expect("parameters");
         params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
         params.key_usages = vec![KeyUsagePurpose::KeyCertSign];
@@ -28,49 +28,49 @@
         let dir = dir.join(name);
         fs::create_dir_all(&dir).expect("folder");
         fs::write(dir.join("ca.pem"), issuer.pem()).expect("file");
-        Authority { dir, issuer }
+        CertificateAuthority { dir, issuer }
     }
 
-    /// The certificate of the CA.
+    /// Path of the CA certificate.
     pub fn ca(&self) -> PathBuf {
         self.dir.join("ca.pem")
     }
 
-    /// Issues a certificate for a DNS name and an address.
+    /// Issues a certificate for a DNS name and, if given, an IP address.
     pub fn issue(&self, name: &str, address: Option<IpAddr>) -> Files {
-        self.write(name, address, |_| ())
+        self.issue_with(name, address, |_| ())
     }
 
     /// Issues a certificate that has expired.
     pub fn issue_expired(&self, name: &str) -> Files {
-        self.write(name, None, |params| {
+        self.issue_with(name, None, |params| {
             params.not_after = date_time_ymd(2020, 1, 1);
         })
     }
 
-    fn write(
+    fn issue_with(
         &self,
         name: &str,
         address: Option<IpAddr>,
-        change: impl FnOnce(&mut CertificateParams),
+        adjust: impl FnOnce(&mut CertificateParams),
     ) -> Files {
         let names: Vec<String> = [name.to_owned()]
             .into_iter()
             .chain(address.map(|a| a.to_string()))
             .collect();
-        let file = names.join("-");
+        let file_stem = names.join("-");
         let mut params = CertificateParams::new(names).expect("parameters");
         params.extended_key_usages = vec![
             ExtendedKeyUsagePurpose::ServerAuth,
             ExtendedKeyUsagePurpose::ClientAuth,
         ];
-        change(&mut params);
+        adjust(&mut params);
         let key = KeyPair::generate().expect("key");
         let certificate = params.signed_by(&key, &self.issuer).expect("certificate");
         let files = Files {
             ca: self.ca(),
-            certificate: self.dir.join(format!("{file}.pem")),
-            key: self.dir.join(format!("{file}.key")),
+            certificate: self.dir.join(format!("{file_stem}.pem")),
+            key: self.dir.join(format!("{file_stem}.key")),
         };
         fs::write(&files.certificate, certificate.pem()).expect("file");
         fs::write(&files.key, key.serialize_pem()).expect("file");
@@ -78,13 +78,13 @@
     }
 }
 
-/// The credentials in the files.
-pub fn credentials(files: &Files) -> Credentials {
+/// Reads the credentials from the files.
+pub fn read_credentials(files: &Files) -> Credentials {
     Credentials::read(files).expect("credentials")
 }
 
-/// The flags that name the files.
-pub fn flags(files: &Files) -> [String; 3] {
+/// The `--tls-*` flags for the files.
+pub fn tls_flags(files: &Files) -> [String; 3] {
     [
         format!("--tls-ca={}", files.ca.display()),
         format!("--tls-certificate={}", files.certificate.display()),
--- a/crates/limpetd/tests/harness/mod.rs
+++ b/crates/limpetd/tests/harness/mod.rs
@@ -1,9 +1,9 @@
-//! A small site of real processes on the loopback.
+//! Starts a small site of `limpetd` processes on the loopback interface.
 //!
-//! Each test has a range of loopback addresses of its own, so that tests can
-//! run at the same time. Every process ends with the test.
+//! Each test has its own range of loopback addresses, so that tests can run in
+//! parallel. All processes are killed when the test ends.
 
-// Each test file uses a part of this module.
+// Each test file is a crate of its own and uses only some of these items.
 #![allow(dead_code)]
 
 pub mod certificates;
@@ -19,7 +19,7 @@
 use auth::Names;
 use bytes::Bytes;
 use caller::{Answer, Caller, Endpoint, Trust};
-use certificates::{Authority, credentials, flags};
+use certificates::{CertificateAuthority, read_credentials, tls_flags};
 use client::{Http, Operator};
 use http::Request;
 use nix::{
@@ -33,13 +33,13 @@
 };
 use wire::request::{ChangeReply, Query, QueryReply, StatusReport};
 
-/// Longest time for anything in a test to come about.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout for each condition that a test waits for.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Pause between two looks at whether something has come about.
-const LOOK: Duration = Duration::from_millis(50);
+/// Interval between two checks of a condition that a test waits for.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A process that ends with its owner.
+/// A `limpetd` process that is killed when this handle is dropped.
 pub struct Process {
     child: Child,
 }
@@ -64,14 +64,14 @@
         kill(Pid::from_raw(id), signal).expect("signal");
     }
 
-    /// Ends the process at once.
+    /// Sends SIGKILL and waits until the process has exited.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Whether the process has ended, and how.
-    pub fn ended(&mut self) -> Option<bool> {
+    /// `None` while the process runs, else whether it exited with status 0.
+    pub fn exit_success(&mut self) -> Option<bool> {
         let status = self.child.try_wait().expect("process status");
         status.map(|status| status.success())
     }
@@ -83,29 +83,29 @@
     }
 }
 
-/// Parts of a site.
+/// Number and settings of the processes of a site.
 #[derive(Debug, Clone, Copy)]
-pub struct Plan {
-    /// Second octet pair of the site's addresses; unique for each test.
+pub struct SitePlan {
+    /// Third octet of the site's loopback addresses; unique for each test.
     pub range: u8,
     pub control: u8,
     pub balancers: u8,
     pub upstreams: u8,
-    /// Slots of each upstream.
+    /// Slots of each upstream in the target of the service.
     pub carry: u32,
-    /// Connections of each upstream.
+    /// Maximum number of connections of each upstream.
     pub connections: u32,
-    /// Longest time that a leaving agent stays.
+    /// Value of the agents' `--stay-at-most`.
     pub stay_at_most: &'static str,
-    /// Load endpoint of the upstreams, if the agents read it.
+    /// Path of the upstreams' load report; the agents read none if unset.
     pub load_path: Option<&'static str>,
     /// Whether the processes use mutual TLS.
     pub tls: bool,
 }
 
-impl Default for Plan {
+impl Default for SitePlan {
     fn default() -> Self {
-        Plan {
+        SitePlan {
             range: 0,
             control: 3,
             balancers: 2,
@@ -119,9 +119,9 @@
     }
 }
 
-/// A running site with one service.
+/// A running site with one service. Its processes are killed on drop.
 pub struct Site {
-    pub plan: Plan,
+    pub plan: SitePlan,
     pub dir: TempDir,
     pub control: Vec<Process>,
     pub balancers: Vec<Process>,
@@ -129,12 +129,12 @@
     pub upstreams: Vec<UpstreamHandle>,
     pub fabric: FabricHandle,
     pub operator: Operator,
-    /// The CA of a site with mutual TLS.
-    pub authority: Option<Authority>,
-    starts: u32,
+    /// Issues the certificates; `None` without mutual TLS.
+    pub authority: Option<CertificateAuthority>,
+    process_starts: u32,
 }
 
-/// Keeps the logs of a test that failed, and tells which processes had ended.
+/// On a failed test, keeps the logs and prints which processes had exited.
 impl Drop for Site {
     fn drop(&mut self) {
         if !std::thread::panicking() {
@@ -146,33 +146,36 @@
             ("agent", &mut self.agents),
         ] {
             for (n, process) in processes.iter_mut().enumerate() {
-                if let Some(success) = process.ended() {
-                    eprintln!("{role} {n} had ended; success: {success}");
+                if let Some(success) = process.exit_success() {
+                    eprintln!("{role} {n} had exited before the test failed; success: {success}");
                 }
             }
         }
-        let kept = self.dir.path().with_extension("kept");
-        if std::fs::rename(self.dir.path(), &kept).is_ok() {
-            eprintln!("logs are kept in {}", kept.display());
+        let kept_dir = self.dir.path().with_extension("kept");
+        if std::fs::rename(self.dir.path(), &kept_dir).is_ok() {
+            eprintln!("logs are kept in {}", kept_dir.display());
         }
     }
 }
 
+/// Name of the service.
 pub const SERVICE: &str = "vouchers";
 
 impl Site {
-    /// Starts the processes and the stand-ins; nothing is configured yet.
-    pub async fn start(plan: Plan) -> Site {
+    /// Starts the processes, the fabric and the upstreams, without a service.
+    pub async fn start(plan: SitePlan) -> Site {
         let service = address(plan.range, 100, 4433);
         let (fabric, handle) = Fabric::open(service, u64::from(plan.range))
             .await
             .expect("fabric");
         actix_rt::spawn(fabric.run());
         let dir = tempfile::tempdir().expect("data folder");
-        let authority = plan.tls.then(|| Authority::new(dir.path(), "site"));
+        let authority = plan
+            .tls
+            .then(|| CertificateAuthority::new(dir.path(), "site"));
         let operator = authority
             .as_ref()
-            .map(|ca| credentials(&ca.issue("operator.operator.limpetplank.internal", None)));
+            .map(|ca| read_credentials(&ca.issue("operator.operator.limpetplank.internal", None)));
         let mut site = Site {
             plan,
             dir,
@@ -183,7 +186,7 @@
             upstreams: Vec::new(),
             fabric: handle,
             operator: Operator::new(Http::new(operator.as_ref()), control_addresses(plan)),
-            starts: 0,
+            process_starts: 0,
         };
         for n in 0..plan.control {
             let process = site.start_control(n);
@@ -200,23 +203,27 @@
             let process = site.start_agent(n);
             site.agents.push(process);
         }
-        let all = (0..plan.balancers).map(|n| fabric_address(plan, n));
-        site.fabric.set_balancers(all.collect()).await;
+        let fabric_addresses = (0..plan.balancers).map(|n| fabric_address(plan, n));
+        site.fabric.set_balancers(fabric_addresses.collect()).await;
         site
     }
 
-    /// Starts a site whose service is configured and answers.
-    pub async fn serving(plan: Plan) -> Site {
+    /// Starts a site and creates its service, and returns once every upstream
+    /// has a share.
+    pub async fn start_serving(plan: SitePlan) -> Site {
         let site = Site::start(plan).await;
         let created = site.create_service().await;
         site.set_target(created, plan.carry).await;
-        site.wait_until_shared(usize::from(plan.upstreams)).await;
+        site.wait_for_upstreams_with_share(usize::from(plan.upstreams))
+            .await;
         site
     }
 
-    pub fn log(&mut self, name: &str) -> std::path::PathBuf {
-        self.starts += 1;
-        self.dir.path().join(format!("{name}.{}.log", self.starts))
+    pub fn next_log_path(&mut self, name: &str) -> std::path::PathBuf {
+        self.process_starts += 1;
+        self.dir
+            .path()
+            .join(format!("{name}.{}.log", self.process_starts))
     }
 
     pub fn start_control(&mut self, n: u8) -> Process {
@@ -233,7 +240,7 @@
             format!("--metrics-listen={}", address(self.plan.range, 1 + n, 7300)),
         ];
         args.extend(self.tls_args(Names::CONTROL, control_address(self.plan, n)));
-        Process::start(&args, &self.log(&format!("control-{n}")))
+        Process::start(&args, &self.next_log_path(&format!("control-{n}")))
     }
 
     pub fn node_args(&self, host: &str, n: u8) -> [String; 3] {
@@ -248,13 +255,14 @@
         ]
     }
 
-    /// The flags of mutual TLS of a process at `address`.
+    /// Issues a certificate for a process at `address` and returns the flags for
+    /// it. Empty without mutual TLS.
     fn tls_args(&self, name: &str, address: SocketAddr) -> Vec<String> {
         let files = self
             .authority
             .as_ref()
             .map(|ca| ca.issue(name, Some(address.ip())));
-        files.iter().flat_map(flags).collect()
+        files.iter().flat_map(tls_flags).collect()
     }
 
     pub fn start_balancer(&mut self, n: u8) -> Process {
@@ -264,7 +272,7 @@
         let return_address = address(self.plan.range, 11 + n, 7100);
         args.push(format!("--return-listen={return_address}"));
         args.extend(self.tls_args(Names::NODE, return_address));
-        Process::start(&args, &self.log(&format!("balancer-{n}")))
+        Process::start(&args, &self.next_log_path(&format!("balancer-{n}")))
     }
 
     pub fn start_agent(&mut self, n: u8) -> Process {
@@ -290,10 +298,10 @@
             "--metrics-listen={}",
             metrics_address(self.plan, n)
         ));
-        Process::start(&args, &self.log(&format!("agent-{n}")))
+        Process::start(&args, &self.next_log_path(&format!("agent-{n}")))
     }
 
-    /// Sends a change and returns its answer.
+    /// Submits a change as `operator` and returns the reply.
     pub async fn change(&self, base: Revision, change: Change) -> ChangeReply {
         let req = ChangeRequest {
             id: ChangeId::generate(),
@@ -301,7 +309,9 @@
             base,
             change,
         };
-        self.operator.change(&req, Instant::now() + PATIENCE).await
+        self.operator
+            .change(&req, Instant::now() + WAIT_TIMEOUT)
+            .await
     }
 
     pub async fn create_service(&self) -> Revision {
@@ -309,7 +319,7 @@
             name: SERVICE.parse().expect("name"),
             address: self.fabric.service,
         };
-        accepted(&self.change(Revision(0), change).await)
+        accepted_revision(&self.change(Revision(0), change).await)
     }
 
     pub async fn set_target(&self, base: Revision, carry: u32) -> Revision {
@@ -322,11 +332,11 @@
                 ..Target::default()
             },
         };
-        accepted(&self.change(base, change).await)
+        accepted_revision(&self.change(base, change).await)
     }
 
     pub async fn status(&self) -> StatusReport {
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         let reply = self.operator.query("/v1/query", &Query::Status, deadline);
         match reply.await.expect("status") {
             QueryReply::Status(report) => *report,
@@ -337,7 +347,7 @@
     /// Revision of the last change of the service.
     pub async fn service_revision(&self) -> Revision {
         let query = Query::Service(SERVICE.parse().expect("name"));
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         let reply = self.operator.query("/v1/query", &query, deadline);
         match reply.await.expect("service") {
             QueryReply::Service(Some(service)) => service.revision,
@@ -345,8 +355,9 @@
         }
     }
 
-    /// Waits until `count` upstreams get new flows.
-    pub async fn wait_until_shared(&self, count: usize) {
+    /// Waits until at least `count` upstreams have a share above zero, so that
+    /// they get new flows.
+    pub async fn wait_for_upstreams_with_share(&self, count: usize) {
         wait_for("upstreams with a share", async || {
             let status = self.status().await;
             let upstreams = status.services.iter().flat_map(|s| &s.upstreams);
@@ -355,7 +366,7 @@
         .await;
     }
 
-    /// Opens a connection to the service.
+    /// Opens a connection to the service; panics if that fails.
     pub async fn connect(&self) -> Caller {
         self.try_connect().await.expect("connection")
     }
@@ -365,18 +376,18 @@
         Caller::connect(&endpoint, self.fabric.service, "localhost").await
     }
 
-    /// Sends a request on a connection of its own.
+    /// Sends a request on a new connection.
     pub async fn call(&self, method: &str, path: &str, body: &str) -> caller::Result<Answer> {
         let mut caller = self.try_connect().await?;
         caller.send(request(method, path, body)).await
     }
 
-    /// A metric of the agent `n`; zero if it was never set.
-    pub async fn metric(&self, n: u8, name: &str) -> f64 {
+    /// Value of a metric of agent `n`; zero if the metric is missing.
+    pub async fn agent_metric(&self, n: u8, name: &str) -> f64 {
         self.metric_at(metrics_address(self.plan, n), name).await
     }
 
-    /// A metric of the control host `n`; zero if it was never set.
+    /// Value of a metric of control host `n`; zero if the metric is missing.
     pub async fn control_metric(&self, n: u8, name: &str) -> f64 {
         self.metric_at(address(self.plan.range, 1 + n, 7300), name)
             .await
@@ -384,19 +395,19 @@
 
     async fn metric_at(&self, address: SocketAddr, name: &str) -> f64 {
         let get = "GET /metrics HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
-        let text = exchange(address, get).await;
+        let text = send_text(address, get).await;
         let value = text.lines().find_map(|line| line.strip_prefix(name));
         value.and_then(|v| v.trim().parse().ok()).unwrap_or(0.0)
     }
 
-    /// Datagrams that the agent `n` dropped for a cause.
-    pub async fn dropped(&self, n: u8, cause: &str) -> f64 {
+    /// Number of datagrams that agent `n` dropped for `cause`.
+    pub async fn dropped_datagrams(&self, n: u8, cause: &str) -> f64 {
         let name = format!("limpet_agent_dropped_datagrams_total{{cause=\"{cause}\"}}");
-        self.metric(n, &name).await
+        self.agent_metric(n, &name).await
     }
 
-    /// Hands datagrams only to these balancers.
-    pub async fn use_balancers(&self, balancers: &[u8]) {
+    /// Lets the fabric send datagrams only to these balancers.
+    pub async fn set_fabric_balancers(&self, balancers: &[u8]) {
         let addresses: BTreeSet<_> = balancers
             .iter()
             .map(|n| fabric_address(self.plan, *n))
@@ -405,7 +416,7 @@
     }
 }
 
-/// A request of a caller.
+/// A request to `localhost`.
 pub fn request(method: &str, path: &str, body: &str) -> Request<Bytes> {
     Request::builder()
         .method(method)
@@ -414,15 +425,16 @@
         .expect("request")
 }
 
-/// The whole answer to a GET.
-pub async fn answer_of(caller: &mut Caller, path: &str) -> String {
+/// Sends a GET and returns the body of the answer; panics if it is cut short.
+pub async fn get_text(caller: &mut Caller, path: &str) -> String {
     let mut answer = caller.send(request("GET", path, "")).await.expect("answer");
     let body = answer.body().await.expect("whole answer");
     String::from_utf8_lossy(&body).into_owned()
 }
 
-/// Sends a text over TCP and returns all of the answer.
-pub async fn exchange(address: SocketAddr, text: &str) -> String {
+/// Sends `text` over TCP and reads the answer until the server closes the
+/// connection.
+pub async fn send_text(address: SocketAddr, text: &str) -> String {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let mut stream = tokio::net::TcpStream::connect(address)
         .await
@@ -433,7 +445,7 @@
     String::from_utf8_lossy(&answer).into_owned()
 }
 
-/// The lines of a feed from `from` up to but without `to`.
+/// The text of the feed lines in `from..to`.
 pub fn feed_lines(from: u32, to: u32) -> String {
     use std::fmt::Write;
     (from..to).fold(String::new(), |mut text, line| {
@@ -442,19 +454,23 @@
     })
 }
 
-pub fn accepted(reply: &ChangeReply) -> Revision {
+/// The revision of an accepted change; panics on any other reply.
+pub fn accepted_revision(reply: &ChangeReply) -> Revision {
     match reply {
         ChangeReply::Final(ChangeAnswer::Accepted(revision)) => *revision,
-        other => panic!("not accepted: {other:?}"),
+        other => panic!("expected an accepted change, got {other:?}"),
     }
 }
 
-/// Waits until `check` holds.
+/// Polls `check` until it returns `true`; panics after [`WAIT_TIMEOUT`].
 pub async fn wait_for(what: &str, mut check: impl AsyncFnMut() -> bool) {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while !check().await {
-        assert!(Instant::now() < deadline, "no {what} in time");
-        actix_rt::time::sleep(LOOK).await;
+        assert!(
+            Instant::now() < deadline,
+            "timed out after {WAIT_TIMEOUT:?} waiting for: {what}"
+        );
+        actix_rt::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -462,31 +478,31 @@
     (Ipv4Addr::new(127, 77, range, host), port).into()
 }
 
-pub fn control_address(plan: Plan, n: u8) -> SocketAddr {
+pub fn control_address(plan: SitePlan, n: u8) -> SocketAddr {
     address(plan.range, 1 + n, 7000)
 }
 
-fn control_addresses(plan: Plan) -> Vec<SocketAddr> {
+fn control_addresses(plan: SitePlan) -> Vec<SocketAddr> {
     (0..plan.control)
         .map(|n| control_address(plan, n))
         .collect()
 }
 
-/// Metrics of the agent `n`.
-pub fn metrics_address(plan: Plan, n: u8) -> SocketAddr {
+/// Address of the metrics server of agent `n`.
+pub fn metrics_address(plan: SitePlan, n: u8) -> SocketAddr {
     address(plan.range, 51 + n, 7300)
 }
 
-/// Where the agent `n` takes requests of peers.
-pub fn peer_address(plan: Plan, n: u8) -> SocketAddr {
+/// Address at which agent `n` accepts requests from peers.
+pub fn peer_address(plan: SitePlan, n: u8) -> SocketAddr {
     address(plan.range, 51 + n, 7201)
 }
 
-/// Where the agent `n` takes datagrams.
-pub fn data_address(plan: Plan, n: u8) -> SocketAddr {
+/// Address at which agent `n` receives datagrams.
+pub fn data_address(plan: SitePlan, n: u8) -> SocketAddr {
     address(plan.range, 51 + n, 7200)
 }
 
-fn fabric_address(plan: Plan, n: u8) -> SocketAddr {
+fn fabric_address(plan: SitePlan, n: u8) -> SocketAddr {
     address(plan.range, 11 + n, 7101)
 }
--- a/crates/limpetd/tests/keys.rs
+++ b/crates/limpetd/tests/keys.rs
@@ -1,4 +1,4 @@
-//! Claims under idempotency keys, with real processes.
+//! Claims with idempotency keys, with real processes.
 
 mod harness;
 
@@ -7,11 +7,11 @@
 use actix_rt::time::sleep;
 use bytes::Bytes;
 use caller::{Answer, Caller};
-use harness::{Plan, Site, request, wait_for};
+use harness::{Site, SitePlan, request, wait_for};
 use http::Request;
 use types::ChangeId;
 
-/// A claim with a new key.
+/// A claim request with its idempotency key.
 struct Claim {
     id: String,
     key: String,
@@ -20,7 +20,7 @@
 
 impl Claim {
     fn new(query: &'static str) -> Self {
-        // Change ids are version 7 UUIDs, as keys are.
+        // Idempotency keys are version 7 UUIDs, as change ids are.
         let key = ChangeId::generate().to_string();
         Claim {
             id: format!("claim-{key}"),
@@ -42,8 +42,8 @@
     }
 }
 
-/// How often each claim ran, over all upstreams.
-async fn runs(site: &Site) -> BTreeMap<Bytes, u64> {
+/// Number of runs of each claim, summed over all upstreams.
+async fn claim_runs(site: &Site) -> BTreeMap<Bytes, u64> {
     let mut all = BTreeMap::new();
     for upstream in &site.upstreams {
         for (id, count) in upstream.runs().await {
@@ -53,31 +53,32 @@
     all
 }
 
-/// A site whose homes let new keys run.
-async fn settled(range: u8) -> Site {
-    let site = Site::serving(Plan {
+/// Starts a site and waits until 20 claims in a row run, so that the home of
+/// every key accepts new keys.
+async fn start_accepting_keys(range: u8) -> Site {
+    let site = Site::start_serving(SitePlan {
         range,
         upstreams: 3,
-        ..Plan::default()
+        ..SitePlan::default()
     })
     .await;
-    let mut in_a_row = 0;
-    wait_for("settled homes", async || {
+    let mut consecutive_runs = 0;
+    wait_for("20 accepted claims in a row", async || {
         let mut caller = site.connect().await;
         let answer = Claim::new("").send(&mut caller).await;
-        let settled = answer.is_ok_and(|answer| answer.status == 200);
-        in_a_row = if settled { in_a_row + 1 } else { 0 };
-        in_a_row >= 20
+        let claim_ran = answer.is_ok_and(|answer| answer.status == 200);
+        consecutive_runs = if claim_ran { consecutive_runs + 1 } else { 0 };
+        consecutive_runs >= 20
     })
     .await;
     site
 }
 
-/// Guards against a claim that runs again when its caller resends it, on
-/// another connection and so most likely to another agent.
+/// Guards against a claim that runs again when its caller resends it on another
+/// connection, which most likely reaches another agent.
 #[actix_rt::test]
-async fn a_resent_claim_gets_its_first_answer() {
-    let site = settled(80).await;
+async fn resent_claim_gets_its_first_answer() {
+    let site = start_accepting_keys(80).await;
     for _ in 0..8 {
         let claim = Claim::new("");
         for _ in 0..4 {
@@ -87,18 +88,22 @@
             assert_eq!(answer.body().await.unwrap(), "1\n");
         }
     }
-    assert!(runs(&site).await.values().all(|runs| *runs == 1));
+    assert!(claim_runs(&site).await.values().all(|runs| *runs == 1));
 }
 
-/// Guards against a claim that is lost or runs twice when its caller goes away
-/// before the answer, and against a key that serves two requests.
+/// Guards against a claim that is lost or runs twice when its caller disconnects
+/// before the answer, and against a key that is accepted for two different
+/// requests.
 #[actix_rt::test]
-async fn a_claim_whose_caller_went_away_is_answered_later() {
-    let site = settled(81).await;
+async fn claim_is_answered_after_its_caller_disconnects() {
+    let site = start_accepting_keys(81).await;
     let claim = Claim::new("?ms=600");
     let mut first = site.connect().await;
     let sent = tokio::time::timeout(Duration::from_millis(300), claim.send(&mut first)).await;
-    assert!(sent.is_err(), "answered too early for the test");
+    assert!(
+        sent.is_err(),
+        "the claim was answered before the caller disconnected"
+    );
     drop(first);
 
     let mut in_progress = false;
@@ -109,7 +114,10 @@
         answer.status == 200 && answer.body().await.unwrap() == "1\n"
     })
     .await;
-    assert!(in_progress, "a resend came through while the first one ran");
+    assert!(
+        in_progress,
+        "no resend was refused with 409 while the first claim ran"
+    );
 
     let other = Claim {
         id: "another".into(),
@@ -118,21 +126,21 @@
     let mut caller = site.connect().await;
     let answer = other.send(&mut caller).await.unwrap();
     assert_eq!(answer.status, 422);
-    assert!(runs(&site).await.values().all(|runs| *runs == 1));
+    assert!(claim_runs(&site).await.values().all(|runs| *runs == 1));
 }
 
-/// Guards against a claim that runs again after an agent has died with the
-/// answer or with the record of it.
+/// Guards against a claim that runs again after the agent that held its answer
+/// or its record was killed.
 #[actix_rt::test]
-async fn no_claim_runs_twice_when_agents_die() {
-    let mut site = settled(82).await;
+async fn no_claim_runs_twice_when_agents_crash() {
+    let mut site = start_accepting_keys(82).await;
     let claims: Vec<Claim> = (0..12).map(|_| Claim::new("?ms=400")).collect();
     let mut callers = Vec::new();
     for claim in &claims {
         let mut caller = site.connect().await;
         let request = claim.request();
         callers.push(actix_rt::spawn(async move {
-            // The agent may die before it answers.
+            // Fails if the agent is killed before it answers.
             let _ = caller.send(request).await;
         }));
     }
@@ -142,7 +150,7 @@
         caller.abort();
     }
 
-    // Long enough for the lease to end and for homes to change.
+    // Long enough for the lease to expire and for keys to move to another home.
     for _ in 0..10 {
         for claim in &claims {
             if let Ok(mut caller) = site.try_connect().await {
@@ -151,7 +159,7 @@
         }
         sleep(Duration::from_millis(500)).await;
     }
-    let runs = runs(&site).await;
+    let runs = claim_runs(&site).await;
     for (claim, count) in &runs {
         assert!(*count <= 1, "{claim:?} ran {count} times");
     }
--- a/crates/limpetd/tests/path.rs
+++ b/crates/limpetd/tests/path.rs
@@ -1,17 +1,18 @@
-//! The whole path with real processes: three control hosts, two balancers, two
-//! upstreams with an agent each, and a fabric that sprays datagrams.
+//! A request from the caller to the upstream, with real processes: three control
+//! hosts, two balancers, two upstreams with an agent each, and a fabric that
+//! sends each datagram to a random balancer.
 
 mod harness;
 
-use harness::{Plan, Site, feed_lines, request, wait_for};
+use harness::{Site, SitePlan, feed_lines, request, wait_for};
 
-/// Guards against a path that does not hold together, and against a feed that
-/// depends on one balancer.
+/// Guards against a request that fails on the way from the caller to the
+/// upstream, and against a feed that breaks because one balancer is killed.
 #[actix_rt::test]
-async fn a_request_is_served_and_a_feed_outlives_a_balancer() {
-    let mut site = Site::serving(Plan {
+async fn request_is_answered_and_feed_survives_balancer_crash() {
+    let mut site = Site::start_serving(SitePlan {
         range: 1,
-        ..Plan::default()
+        ..SitePlan::default()
     })
     .await;
 
@@ -29,7 +30,7 @@
     let rest = feed.body().await.unwrap();
     assert_eq!(rest, feed_lines(1, 200));
 
-    site.use_balancers(&[1]).await;
+    site.set_fabric_balancers(&[1]).await;
     wait_for("answer through the other balancer", async || {
         site.call("GET", "/", "")
             .await
--- a/crates/limpetd/tests/requests.rs
+++ b/crates/limpetd/tests/requests.rs
@@ -1,5 +1,6 @@
-//! Requests through real processes: how often they run, what callers are told,
-//! and what happens when a caller, an upstream, an agent or a balancer goes.
+//! Requests through real processes: how often they run, which outcome callers
+//! get, and what happens when a caller, an upstream, an agent or a balancer
+//! fails.
 
 mod harness;
 
@@ -13,7 +14,7 @@
 use caller::{Caller, Category, Endpoint, Outcome, Trust};
 use client::Http;
 use futures_util::future::join_all;
-use harness::{PATIENCE, Plan, Site, answer_of, feed_lines, request, wait_for};
+use harness::{Site, SitePlan, WAIT_TIMEOUT, feed_lines, get_text, request, wait_for};
 use http::Request;
 use nix::sys::signal::Signal;
 use standin::Upstream;
@@ -24,16 +25,16 @@
     request::{Query, QueryReply},
 };
 
-/// Size of a large upload in bytes.
-const UPLOAD: usize = 20 << 20;
+/// Length of a large upload.
+const UPLOAD_BYTES: usize = 20 << 20;
 
-fn plan(range: u8, upstreams: u8, carry: u32) -> Plan {
-    Plan {
+fn plan(range: u8, upstreams: u8, carry: u32) -> SitePlan {
+    SitePlan {
         range,
         control: 1,
         upstreams,
         carry,
-        ..Plan::default()
+        ..SitePlan::default()
     }
 }
 
@@ -43,8 +44,9 @@
     Request::from_parts(parts, body)
 }
 
-/// A connection whose agent has no slot left, so that its further requests are
-/// handed off. Needs a site whose upstreams carry one request each.
+/// Opens a connection and starts a feed that takes the only slot of its agent, so
+/// that further requests on the connection are handed off. Needs a site with one
+/// slot for each upstream.
 async fn busy_connection(site: &Site) -> (Caller, caller::Answer) {
     let mut caller = site.connect().await;
     let mut feed = caller
@@ -55,9 +57,10 @@
     (caller, feed)
 }
 
-/// Waits until no upstream and no agent has a request in progress.
+/// Waits until no upstream has a request in progress and no agent has one in
+/// progress or queued.
 async fn wait_until_idle(site: &Site) {
-    wait_for("idle upstreams", async || {
+    wait_for("upstreams without requests", async || {
         for upstream in &site.upstreams {
             if upstream.activity().await.is_some_and(|a| a.running > 0) {
                 return false;
@@ -70,7 +73,7 @@
     .await;
 }
 
-async fn cancelled(site: &Site) -> u64 {
+async fn cancelled_requests(site: &Site) -> u64 {
     let mut count = 0;
     for upstream in &site.upstreams {
         count += upstream.activity().await.map_or(0, |a| a.cancelled);
@@ -78,9 +81,10 @@
     count
 }
 
-/// Runs claims until they are used up; tells what each caller was told.
-async fn claim_all(site: &Site, lane: u32, claims: u32) -> BTreeMap<String, Outcome> {
-    let mut told = BTreeMap::new();
+/// Sends `claims` claims one after another and returns the outcome that the
+/// caller got for each id. `lane` keeps the ids of parallel calls apart.
+async fn send_claims(site: &Site, lane: u32, claims: u32) -> BTreeMap<String, Outcome> {
+    let mut outcomes = BTreeMap::new();
     for n in 0..claims {
         let id = format!("{lane}-{n}");
         let claim = async {
@@ -96,42 +100,42 @@
             Ok(Err(e)) if e.category() == Category::NotRun => Outcome::NotRun,
             Ok(Err(_)) | Err(_) => Outcome::Unknown,
         };
-        told.insert(id, outcome);
+        outcomes.insert(id, outcome);
     }
-    told
+    outcomes
 }
 
-/// P4, P5. Guards against a claim that is sent twice, and against `not-run`
-/// for one that ran, while an agent is killed, one is frozen, an upstream goes
-/// and comes back and a balancer is killed.
+/// P4, P5. Guards against a claim that runs twice, and against the outcome
+/// `not-run` for a claim that ran, while one agent is killed, another one is
+/// paused, an upstream is stopped and a balancer is killed.
 #[actix_rt::test]
-async fn a_claim_runs_at_most_once_through_every_loss() {
-    let mut site = Site::serving(plan(40, 3, 2)).await;
-    let (told, ()) = {
+async fn claim_runs_at_most_once_despite_failures() {
+    let mut site = Site::start_serving(plan(40, 3, 2)).await;
+    let (outcomes, ()) = {
         let mut agents = std::mem::take(&mut site.agents);
         let mut balancers = std::mem::take(&mut site.balancers);
         let site = &site;
-        let claims = join_all((0..6).map(|lane| claim_all(site, lane, 12)));
-        let losses = async move {
+        let claims = join_all((0..6).map(|lane| send_claims(site, lane, 12)));
+        let failures = async move {
             sleep(Duration::from_millis(300)).await;
             agents[0].kill();
             sleep(Duration::from_millis(300)).await;
             site.upstreams[1].stop().await;
             sleep(Duration::from_millis(300)).await;
             balancers[0].kill();
-            site.use_balancers(&[1]).await;
+            site.set_fabric_balancers(&[1]).await;
             agents[2].signal(Signal::SIGSTOP);
             sleep(Duration::from_millis(500)).await;
             agents[2].signal(Signal::SIGCONT);
-            sleep(PATIENCE).await;
+            sleep(WAIT_TIMEOUT).await;
         };
-        let told = tokio::select! {
-            told = claims => told,
-            () = losses => panic!("claims take too long"),
+        let outcomes = tokio::select! {
+            outcomes = claims => outcomes,
+            () = failures => panic!("the claims were not answered within {WAIT_TIMEOUT:?}"),
         };
-        (told, ())
+        (outcomes, ())
     };
-    let told: BTreeMap<String, Outcome> = told.into_iter().flatten().collect();
+    let outcomes: BTreeMap<String, Outcome> = outcomes.into_iter().flatten().collect();
 
     let mut runs: BTreeMap<String, u64> = BTreeMap::new();
     for upstream in &site.upstreams {
@@ -142,22 +146,30 @@
         }
     }
     let run = |id: &String| runs.get(id).copied().unwrap_or_default();
-    for (id, outcome) in &told {
+    for (id, outcome) in &outcomes {
         match outcome {
             Outcome::Answered => assert_eq!(run(id), 1, "{id} was answered"),
-            Outcome::NotRun => assert_eq!(run(id), 0, "{id} was called not run"),
+            Outcome::NotRun => assert_eq!(run(id), 0, "{id} was reported as not run"),
             Outcome::Unknown => assert!(run(id) <= 1, "{id} ran {} times", run(id)),
         }
     }
-    let answered = told.values().filter(|o| **o == Outcome::Answered).count();
-    assert!(answered >= told.len() / 2, "{answered} of {}", told.len());
+    let answered = outcomes
+        .values()
+        .filter(|o| **o == Outcome::Answered)
+        .count();
+    assert!(
+        answered >= outcomes.len() / 2,
+        "only {answered} of {} claims were answered",
+        outcomes.len()
+    );
 }
 
-/// P3. Guards against a part of an answer that ends like a whole one, at the
-/// own upstream and through a peer, with a known length and without.
+/// P3. Guards against a truncated answer that looks complete to the caller, from
+/// the agent's own upstream and through a peer, with and without a content
+/// length.
 #[actix_rt::test]
 async fn a_truncated_answer_ends_in_a_reset() {
-    let site = Site::serving(plan(41, 2, 1)).await;
+    let site = Site::start_serving(plan(41, 2, 1)).await;
     let (mut busy, feed) = busy_connection(&site).await;
     for path in ["/truncated", "/truncated?chunked=1"] {
         let mut handed_off = busy.send(request("GET", path, "")).await.unwrap();
@@ -175,12 +187,13 @@
     wait_until_idle(&site).await;
 }
 
-/// Guards against requests that go on at the upstream, or keep their slot,
-/// after the caller has gone: stopped while waiting and while streaming, an
-/// upload that breaks off, a connection that closes; also through a peer.
+/// Guards against requests that keep running at the upstream, or keep their slot,
+/// after the caller has cancelled them: before the answer, during the answer,
+/// during the upload, and by closing the connection; at the agent's own upstream
+/// and through a peer.
 #[actix_rt::test]
 async fn a_cancelled_request_ends_at_the_upstream() {
-    let site = Site::serving(plan(42, 2, 1)).await;
+    let site = Site::start_serving(plan(42, 2, 1)).await;
     let mut expected = 0;
     for handed_off in [false, true] {
         let (mut caller, hold) = if handed_off {
@@ -190,8 +203,8 @@
             (site.connect().await, None)
         };
         let running = 1 + u64::from(handed_off);
-        let at_work = async |count: u64| {
-            wait_for("request at an upstream", async || {
+        let wait_for_running = async |count: u64| {
+            wait_for("number of requests at the upstreams", async || {
                 let mut running = 0;
                 for upstream in &site.upstreams {
                     running += upstream.activity().await.map_or(0, |a| a.running);
@@ -203,41 +216,42 @@
         let slow = request("GET", "/slow?ms=30000", "").map(drop);
         let mut waiting = caller.start(slow).await.unwrap();
         waiting.finish().await.unwrap();
-        at_work(running).await;
+        wait_for_running(running).await;
         waiting.cancel();
-        at_work(running - 1).await;
+        wait_for_running(running - 1).await;
 
         let mut feed = caller.send(request("GET", "/feed", "")).await.unwrap();
         feed.part().await.unwrap();
-        at_work(running).await;
+        wait_for_running(running).await;
         feed.cancel();
-        at_work(running - 1).await;
+        wait_for_running(running - 1).await;
 
         let upload = request("POST", "/upload", "").map(drop);
         let mut upload = caller.start(upload).await.unwrap();
         upload.send(Bytes::from_static(&[7; 4096])).await.unwrap();
-        at_work(running).await;
+        wait_for_running(running).await;
         upload.cancel();
-        at_work(running - 1).await;
+        wait_for_running(running - 1).await;
 
         let slow = request("GET", "/slow?ms=30000", "").map(drop);
         let mut waiting = caller.start(slow).await.unwrap();
         waiting.finish().await.unwrap();
-        at_work(running).await;
+        wait_for_running(running).await;
         caller.connection().close(0u32.into(), b"");
-        at_work(0).await;
+        wait_for_running(0).await;
         drop(hold);
         expected += 3 + u64::from(handed_off);
     }
     wait_until_idle(&site).await;
-    assert!(cancelled(&site).await >= expected);
+    assert!(cancelled_requests(&site).await >= expected);
 }
 
-/// Guards against a deadline that is not passed on, not enforced while the
-/// request waits for a slot or for its answer, or taken from a malformed value.
+/// Guards against a deadline that is not forwarded to the upstream, that is not
+/// enforced while the request waits for a slot or for its answer, or that is
+/// parsed from a malformed value.
 #[actix_rt::test]
-async fn a_deadline_holds_everywhere() {
-    let site = Site::serving(plan(43, 2, 1)).await;
+async fn deadline_is_forwarded_and_enforced() {
+    let site = Site::start_serving(plan(43, 2, 1)).await;
     let mut caller = site.connect().await;
     let field = "limpet-timeout-ms";
     let head = with_field(request("GET", "/head", ""), field, "5000");
@@ -290,12 +304,13 @@
     }
 }
 
-/// P3. Guards against framing that does not fit the answer, fields that cross
-/// a hop, large bodies that are cut and answers that come before the body, at
-/// the own upstream and through a peer.
+/// P3. Guards against framing that does not match the answer, hop-by-hop fields
+/// that are forwarded, large bodies that are truncated, and answers that arrive
+/// before the request body is complete; at the agent's own upstream and through
+/// a peer.
 #[actix_rt::test]
-async fn bodies_and_fields_pass_unchanged() {
-    let site = Site::serving(plan(44, 2, 1)).await;
+async fn bodies_and_end_to_end_fields_pass_unchanged() {
+    let site = Site::start_serving(plan(44, 2, 1)).await;
     let mut idle = site.connect().await;
     check_bodies(&mut idle).await;
     wait_until_idle(&site).await;
@@ -319,17 +334,18 @@
         assert_eq!(answer.body().await.unwrap(), "", "{method} {path}");
     }
 
-    let large = request("POST", "/upload", "").map(|_| Bytes::from(vec![7; UPLOAD]));
+    let large = request("POST", "/upload", "").map(|_| Bytes::from(vec![7; UPLOAD_BYTES]));
     let mut answer = caller.send(large).await.unwrap();
-    assert_eq!(answer.body().await.unwrap(), format!("{UPLOAD}\n"));
+    assert_eq!(answer.body().await.unwrap(), format!("{UPLOAD_BYTES}\n"));
 
-    let early = request("POST", "/early", "").map(|_| Bytes::from(vec![7; UPLOAD]));
+    let early = request("POST", "/early", "").map(|_| Bytes::from(vec![7; UPLOAD_BYTES]));
     let answer = caller.send(early).await.unwrap();
-    let told = (answer.status.as_u16(), answer.outcome());
-    // An upstream that closes its connection may lose its answer with it.
+    let result = (answer.status.as_u16(), answer.outcome());
+    // The upstream closes the connection while the body is still being sent,
+    // which may discard its answer.
     assert!(
-        told == (413, Outcome::Answered) || told == (502, Outcome::Unknown),
-        "{told:?}"
+        result == (413, Outcome::Answered) || result == (502, Outcome::Unknown),
+        "{result:?}"
     );
 
     let mut outside = request("GET", "/head", "");
@@ -362,8 +378,8 @@
     );
 }
 
-/// Guards against a caller's request that reaches the messages between agents
-/// because it has the same path.
+/// Guards against a caller's request that reaches the handlers for messages
+/// between agents because it has the same path.
 async fn check_internal_paths(busy: &mut Caller) {
     for path in ["/v1/reserve", "/v1/release", "/v1/offer"] {
         let mut answer = busy.send(request("POST", path, "x")).await.unwrap();
@@ -375,11 +391,11 @@
     }
 }
 
-/// Guards against more requests at an upstream than it has slots, and against
-/// refusals that do not say that the request was not run.
+/// Guards against more concurrent requests at an upstream than it has slots, and
+/// against refusals without the outcome `not-run`.
 #[actix_rt::test]
-async fn an_upstream_never_gets_more_than_its_slots() {
-    let site = Site::serving(plan(45, 2, 2)).await;
+async fn upstream_never_gets_more_requests_than_slots() {
+    let site = Site::start_serving(plan(45, 2, 2)).await;
     let mut callers = Vec::new();
     for _ in 0..4 {
         callers.push(site.connect().await);
@@ -394,14 +410,14 @@
             (n, answer.status.as_u16(), answer.outcome())
         });
     }
-    let told = join_all(pending).await;
+    let outcomes = join_all(pending).await;
     let mut runs = BTreeSet::new();
     for upstream in &site.upstreams {
         let activity = upstream.activity().await.unwrap();
         assert!(activity.most <= 2, "{activity:?}");
         runs.extend(upstream.runs().await.into_keys());
     }
-    for (n, status, outcome) in told {
+    for (n, status, outcome) in outcomes {
         let ran = runs.contains(n.to_string().as_bytes());
         match status {
             200 => assert!(ran && outcome == Outcome::Answered, "{n}"),
@@ -409,17 +425,22 @@
             other => panic!("{n}: status {other}"),
         }
     }
-    assert!(runs.len() >= 8, "only {} ran", runs.len());
+    assert!(
+        runs.len() >= 8,
+        "expected at least 8 claims to run, {} ran",
+        runs.len()
+    );
     wait_until_idle(&site).await;
 }
 
-/// Guards against requests that are lost to an upstream that refuses
-/// connections, and against one that is not used again when it is back.
+/// Guards against requests that fail because they are sent to an upstream that
+/// refuses connections, and against an upstream that gets no requests after it
+/// is restarted.
 #[actix_rt::test]
 async fn requests_avoid_an_upstream_that_is_down() {
-    let mut site = Site::serving(plan(46, 2, 4)).await;
+    let mut site = Site::start_serving(plan(46, 2, 4)).await;
     let mut caller = site.connect().await;
-    let served = answer_of(&mut caller, "/").await;
+    let served = get_text(&mut caller, "/").await;
     let own = usize::from(served.contains("upstream-1"));
     let address = site.upstreams[own].address;
     site.upstreams[own].stop().await;
@@ -432,7 +453,7 @@
         found.map(|u| u.state)
     };
     for _ in 0..20 {
-        assert_ne!(answer_of(&mut caller, "/").await, served);
+        assert_ne!(get_text(&mut caller, "/").await, served);
     }
     wait_for("upstream that is down", async || {
         state(&site).await == Some(UpstreamState::Down)
@@ -443,19 +464,19 @@
         state(&site).await == Some(UpstreamState::Ready)
     })
     .await;
-    assert_eq!(answer_of(&mut caller, "/").await, served);
+    assert_eq!(get_text(&mut caller, "/").await, served);
 }
 
-/// Guards against a load report that is not heeded.
+/// Guards against a load report that does not limit the requests in progress.
 #[actix_rt::test]
 async fn a_load_report_lowers_the_slots() {
-    let site = Site::serving(Plan {
+    let site = Site::start_serving(SitePlan {
         load_path: Some("/load"),
         ..plan(47, 1, 4)
     })
     .await;
     site.upstreams[0].set_slots(1);
-    // Longer than the interval between two readings.
+    // Longer than the interval at which the agent reads the load report.
     sleep(Duration::from_millis(1200)).await;
     let mut caller = site.connect().await;
     let mut pending = Vec::new();
@@ -469,15 +490,15 @@
     assert_eq!(site.upstreams[0].activity().await.unwrap().most, 1);
 }
 
-/// P2. Guards against datagrams and requests for another service, or for an
-/// earlier run of an agent, that are taken.
+/// P2. Guards against an agent that accepts datagrams or requests for another
+/// service or for an earlier incarnation of itself.
 #[actix_rt::test]
-async fn nothing_of_another_service_or_incarnation_is_taken() {
-    let mut site = Site::serving(plan(48, 1, 4)).await;
+async fn messages_for_another_service_or_incarnation_are_dropped() {
+    let mut site = Site::start_serving(plan(48, 1, 4)).await;
     let mut caller = site.connect().await;
-    answer_of(&mut caller, "/").await;
+    get_text(&mut caller, "/").await;
 
-    // A first packet for another service's address.
+    // An initial packet to the address of another service.
     let socket = tokio::net::UdpSocket::bind("127.0.0.1:0").await.unwrap();
     let endpoints = wire::Endpoints {
         caller: "127.0.0.1:9".parse().unwrap(),
@@ -488,18 +509,19 @@
     datagram.extend_from_slice(&[0xc0; 1200]);
     let agent = harness::data_address(site.plan, 0);
     socket.send_to(&datagram, agent).await.unwrap();
-    wait_for("drop of another service", async || {
-        site.dropped(0, "other_service").await >= 1.0
+    wait_for("drop of a datagram for another service", async || {
+        site.dropped_datagrams(0, "other_service").await >= 1.0
     })
     .await;
 
     check_claims(&site).await;
 
-    // The next run at the same address does not take the old run's packets.
+    // The next incarnation at the same address drops packets of the earlier
+    // one's connections.
     site.agents[0].kill();
     let agent = site.start_agent(0);
     site.agents[0] = agent;
-    wait_for("answer of the next run", async || {
+    wait_for("answer of the next incarnation", async || {
         let call = timeout(Duration::from_secs(2), site.call("GET", "/", ""));
         call.await.is_ok_and(|a| a.is_ok_and(|a| a.status == 200))
     })
@@ -508,12 +530,12 @@
     assert!(!matches!(old.await, Ok(Ok(_))));
 }
 
-/// A claim for another service or incarnation must be refused as not run, even
-/// when its reservation is valid.
+/// Checks that a claim for another service or incarnation is refused as not run,
+/// even with a valid reservation.
 async fn check_claims(site: &Site) {
     let status = site.status().await;
     let upstream = status.services[0].upstreams[0].id;
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     let reply = site.operator.query("/v1/query", &Query::Services, deadline);
     let QueryReply::Services(services) = reply.await.unwrap() else {
         panic!("no services");
@@ -543,7 +565,7 @@
             limpet-service: {service_field}\r\nlimpet-reservation: {id}\r\n\
             content-length: 0\r\nconnection: close\r\n\r\n"
         );
-        let text = harness::exchange(agent, &claim).await;
+        let text = harness::send_text(agent, &claim).await;
         assert_eq!(!text.contains("limpet-outcome: not-run"), runs, "{text}");
         let name = n.to_string();
         let ran = site.upstreams[0].runs().await;
@@ -551,11 +573,11 @@
     }
 }
 
-/// Guards against connections over the limit of an upstream, and against a
-/// count that does not sink when they close.
+/// Guards against more connections than the limit of an upstream, and against a
+/// connection count that does not decrease when connections close.
 #[actix_rt::test]
-async fn connections_are_limited() {
-    let site = Site::serving(Plan {
+async fn connections_of_an_upstream_are_limited() {
+    let site = Site::start_serving(SitePlan {
         connections: 3,
         ..plan(49, 1, 4)
     })
@@ -566,35 +588,36 @@
     }
     let e = site.try_connect().await.err().expect("refused connection");
     assert_eq!(e.category(), Category::NotRun, "{e}");
-    assert_eq!(answer_of(&mut open[0], "/").await, "served by upstream-0\n");
+    assert_eq!(get_text(&mut open[0], "/").await, "served by upstream-0\n");
     open.clear();
-    wait_for("room for a connection", async || {
+    wait_for("connection below the limit", async || {
         site.try_connect().await.is_ok()
     })
     .await;
 }
 
-/// Guards against a flood of first packets from addresses that do not answer:
-/// it must not take all connections, and callers that answer get theirs.
+/// Guards against a flood of initial packets from spoofed addresses that takes
+/// all connections. The agent must ask for address validation, so that callers
+/// that answer it still connect.
 #[actix_rt::test]
-async fn a_flood_of_first_packets_does_not_keep_callers_out() {
-    let site = Site::serving(Plan {
+async fn flood_of_initial_packets_does_not_block_callers() {
+    let site = Site::start_serving(SitePlan {
         connections: 400,
         ..plan(52, 1, 4)
     })
     .await;
-    let sink = tokio::net::UdpSocket::bind("127.0.0.1:0").await.unwrap();
-    let away = sink.local_addr().unwrap();
-    let endpoint = Endpoint::open(away, Trust::Any).unwrap();
+    let silent_socket = tokio::net::UdpSocket::bind("127.0.0.1:0").await.unwrap();
+    let silent_address = silent_socket.local_addr().unwrap();
+    let endpoint = Endpoint::open(silent_address, Trust::Any).unwrap();
     let agent = harness::data_address(site.plan, 0);
     let mut buf = vec![0; 2048];
     let mut connecting = JoinSet::new();
     for _ in 0..600 {
         let endpoint = endpoint.clone();
         connecting.spawn_local(async move {
-            let _ = Caller::connect(&endpoint, away, "localhost").await;
+            let _ = Caller::connect(&endpoint, silent_address, "localhost").await;
         });
-        let (len, _) = sink.recv_from(&mut buf).await.unwrap();
+        let (len, _) = silent_socket.recv_from(&mut buf).await.unwrap();
         let endpoints = wire::Endpoints {
             caller: "127.0.0.1:9".parse().unwrap(),
             service: site.fabric.service,
@@ -602,48 +625,49 @@
         let mut datagram = Vec::new();
         endpoints.encode(&mut datagram);
         datagram.extend_from_slice(&buf[..len]);
-        sink.send_to(&datagram, agent).await.unwrap();
+        silent_socket.send_to(&datagram, agent).await.unwrap();
     }
     wait_for("address validation", async || {
         let name = "limpet_agent_refused_connections_total{reason=\"retry\"}";
-        site.metric(0, name).await > 0.0
+        site.agent_metric(0, name).await > 0.0
     })
     .await;
     let mut caller = site.connect().await;
-    assert_eq!(answer_of(&mut caller, "/").await, "served by upstream-0\n");
+    assert_eq!(get_text(&mut caller, "/").await, "served by upstream-0\n");
 }
 
-/// P1. Guards against answers that go on being sent through a balancer that is
-/// frozen, and against a feed that breaks when it goes or comes back.
+/// P1. Guards against an agent that keeps sending answers through a paused
+/// balancer, and against a feed that breaks when a balancer is paused or resumed.
 #[actix_rt::test]
-async fn a_frozen_balancer_is_no_longer_used() {
-    let site = Site::serving(plan(50, 1, 4)).await;
+async fn agent_stops_using_a_paused_balancer() {
+    let site = Site::start_serving(plan(50, 1, 4)).await;
     let mut caller = site.connect().await;
     let mut feed = caller
         .send(request("GET", "/feed?ms=20&lines=150", ""))
         .await
         .unwrap();
     site.balancers[0].signal(Signal::SIGSTOP);
-    site.use_balancers(&[1]).await;
-    // The stated time after which an agent does not use a silent balancer.
+    site.set_fabric_balancers(&[1]).await;
+    // An agent stops using a balancer that has been silent for 300 ms.
     sleep(Duration::from_millis(300)).await;
     let mut slowest = Duration::ZERO;
     for _ in 0..40 {
         let began = Instant::now();
-        answer_of(&mut caller, "/").await;
+        get_text(&mut caller, "/").await;
         slowest = slowest.max(began.elapsed());
     }
-    // An answer through the frozen balancer is lost and takes a probe timeout.
+    // An answer through the paused balancer is lost and is sent again only after
+    // a probe timeout.
     assert!(slowest < Duration::from_millis(150), "{slowest:?}");
     site.balancers[0].signal(Signal::SIGCONT);
     assert_eq!(feed.body().await.unwrap(), feed_lines(0, 150));
 }
 
-/// P3. Guards against answers that are given to another request, whatever the
-/// order in which they come, with a fabric that loses packets.
+/// P3. Guards against an answer that is matched to another request, when answers
+/// arrive out of order and the fabric drops 2% of the datagrams.
 #[actix_rt::test]
-async fn answers_do_not_mix() {
-    let site = Site::serving(plan(51, 2, 8)).await;
+async fn answers_match_their_requests() {
+    let site = Site::start_serving(plan(51, 2, 8)).await;
     let mut caller = site.connect().await;
     site.fabric.set_loss(0.02).await;
     let mut pending = Vec::new();
@@ -666,5 +690,8 @@
             answered += 1;
         }
     }
-    assert!(answered >= 30, "{answered}");
+    assert!(
+        answered >= 30,
+        "only {answered} of 60 requests were answered"
+    );
 }
--- a/crates/limpetd/tests/tls.rs
+++ b/crates/limpetd/tests/tls.rs
@@ -1,4 +1,4 @@
-//! Mutual TLS between the processes of a site and towards operators.
+//! Mutual TLS between the processes of a site, and with operators.
 
 mod harness;
 
@@ -14,9 +14,9 @@
 use auth::Names;
 use client::Category;
 use harness::{
-    PATIENCE, Plan, SERVICE, Site, answer_of,
-    certificates::{Authority, credentials, flags},
-    control_address, peer_address, request, wait_for,
+    SERVICE, Site, SitePlan, WAIT_TIMEOUT,
+    certificates::{CertificateAuthority, read_credentials, tls_flags},
+    control_address, get_text, peer_address, request, wait_for,
 };
 use rustls::{
     ClientConfig, HandshakeKind, RootCertStore,
@@ -35,31 +35,31 @@
     request::{GroupChangeRequest, GroupRequest, Hello, Query, QueryReply},
 };
 
-fn plan(range: u8) -> Plan {
-    Plan {
+fn plan(range: u8) -> SitePlan {
+    SitePlan {
         range,
         control: 1,
         tls: true,
-        ..Plan::default()
+        ..SitePlan::default()
     }
 }
 
-/// Guards against a path that does not hold together under mutual TLS: the
-/// control group, sync, an operator's change, and hand-off between agents.
+/// Guards against functions that fail with mutual TLS: the control group, sync, a
+/// change by an operator, and hand-off between agents.
 #[actix_rt::test]
-async fn a_site_serves_hands_off_and_takes_changes() {
-    let site = Site::serving(Plan {
+async fn site_serves_hands_off_and_accepts_changes() {
+    let site = Site::start_serving(SitePlan {
         control: 3,
         carry: 1,
         ..plan(84)
     })
     .await;
     let mut caller = site.connect().await;
-    let own = answer_of(&mut caller, "/").await;
+    let own = get_text(&mut caller, "/").await;
     let mut feed = caller.send(request("GET", "/feed", "")).await.unwrap();
     assert!(feed.part().await.unwrap().is_some());
     // The agent of this connection has no slot left.
-    let handed_off = answer_of(&mut caller, "/").await;
+    let handed_off = get_text(&mut caller, "/").await;
     assert!(own.starts_with("served by upstream-"), "{own}");
     assert!(
         handed_off.starts_with("served by upstream-"),
@@ -73,30 +73,31 @@
     assert_eq!(records[0].author.to_string(), "operator");
     for n in 0..3 {
         for reason in ["no_certificate", "role", "path", "author"] {
-            assert_eq!(forbidden(&site, n, reason).await, 0, "{reason}");
+            assert_eq!(forbidden_requests(&site, n, reason).await, 0, "{reason}");
         }
     }
 }
 
-/// Guards against processes without a certificate, of another CA, with an
-/// expired certificate or of the wrong role that change or learn anything, at
-/// the control port and at the peer port.
+/// Guards against clients that read or change anything at the control port or the
+/// peer port without a certificate, with a certificate of another CA, with an
+/// expired one, or with one for another role.
 #[actix_rt::test]
-async fn strangers_change_nothing_and_learn_nothing() {
-    let site = Site::serving(plan(82)).await;
-    let before = state(&site).await;
+async fn unauthorized_clients_read_and_change_nothing() {
+    let site = Site::start_serving(plan(82)).await;
+    let before = observable_state(&site).await;
     let ca = site.authority.as_ref().unwrap();
-    let other = Authority::new(site.dir.path(), "other");
+    let other = CertificateAuthority::new(site.dir.path(), "other");
     let mut foreign = other.issue("operator.operator.limpetplank.internal", None);
-    // Such a client trusts the site, but not the other way round.
+    // The client accepts the site's CA, while the site does not accept the
+    // client's.
     foreign.ca = ca.ca();
     let expired = ca.issue_expired("operator.operator.limpetplank.internal");
-    let outsiders = [
-        ("no certificate", bare(ca)),
-        ("another CA", credentials(&foreign).client()),
-        ("expired", credentials(&expired).client()),
+    let unauthenticated_clients = [
+        ("no certificate", client_without_certificate(ca)),
+        ("another CA", read_credentials(&foreign).client()),
+        ("expired", read_credentials(&expired).client()),
     ];
-    let insiders = [
+    let authenticated_clients = [
         ("no role", "app1.example", &[][..]),
         ("control", Names::CONTROL, &["/v1/consensus", "/v1/hello"]),
         ("node", Names::NODE, &["/v1/sync"]),
@@ -106,7 +107,13 @@
             &["/v1/hello", "/v1/change", "/v1/query", "/v1/group"],
         ),
     ]
-    .map(|(role, name, own)| (role, credentials(&ca.issue(name, None)).client(), own));
+    .map(|(role, name, allowed_paths)| {
+        (
+            role,
+            read_credentials(&ca.issue(name, None)).client(),
+            allowed_paths,
+        )
+    });
 
     let (control, peer) = (control_address(site.plan, 0), peer_address(site.plan, 0));
     let mut refused = [0, 0];
@@ -115,17 +122,18 @@
         .enumerate()
     {
         for path in paths {
-            let body = message(path);
-            let plain = plain(address, path, &body).await;
-            let http = plain.is_some_and(|text| text.contains("HTTP/1.1"));
+            let body = request_body(path);
+            let answer = exchange_plaintext(address, path, &body).await;
+            let http = answer.is_some_and(|text| text.contains("HTTP/1.1"));
             assert!(!http, "{path}");
-            for (who, config) in &outsiders {
+            for (who, config) in &unauthenticated_clients {
                 let answer = exchange(config, address, path, &body).await;
                 assert!(answer.is_err(), "{who} {path}: {answer:?}");
             }
-            for (who, config, own) in &insiders {
-                let at_home = port == 0 && own.contains(path) || port == 1 && *who == "node";
-                if at_home {
+            for (who, config, allowed_paths) in &authenticated_clients {
+                let allowed =
+                    port == 0 && allowed_paths.contains(path) || port == 1 && *who == "node";
+                if allowed {
                     continue;
                 }
                 let answer = exchange(config, address, path, &body).await.unwrap();
@@ -136,54 +144,54 @@
             }
         }
     }
-    assert_eq!(state(&site).await, before);
-    assert_eq!(forbidden(&site, 0, "role").await, refused[0]);
+    assert_eq!(observable_state(&site).await, before);
+    assert_eq!(forbidden_requests(&site, 0, "role").await, refused[0]);
     let name = "limpet_agent_forbidden_requests_total{reason=\"role\"}";
-    assert_eq!(whole(site.metric(0, name).await), refused[1]);
+    assert_eq!(counter_value(site.agent_metric(0, name).await), refused[1]);
 }
 
-/// Guards against a change in the name of another operator, and against one
-/// that is refused only after it has reached the log.
+/// Guards against a change whose author is not the operator in the certificate,
+/// and against a refusal that comes only after the change was written to the log.
 #[actix_rt::test]
-async fn an_operator_makes_changes_in_no_other_name() {
-    let site = Site::serving(plan(83)).await;
-    let before = state(&site).await;
+async fn operator_cannot_make_changes_as_another_author() {
+    let site = Site::start_serving(plan(83)).await;
+    let before = observable_state(&site).await;
     let ca = site.authority.as_ref().unwrap();
-    let alice = credentials(&ca.issue("alice.operator.limpetplank.internal", None)).client();
+    let alice = read_credentials(&ca.issue("alice.operator.limpetplank.internal", None)).client();
     let control = control_address(site.plan, 0);
     let send = async |author: &str| {
-        let body = wire::encode(&stolen_service(author)).unwrap();
+        let body = wire::encode(&unauthorized_request(author)).unwrap();
         let answer = exchange(&alice, control, "/v1/change", &body).await;
         answer.unwrap()[..12].to_owned()
     };
     for (n, author) in ["operator", "bob", "limpetd"].into_iter().enumerate() {
         assert_eq!(send(author).await, "HTTP/1.1 403", "{author}");
-        assert_eq!(forbidden(&site, 0, "author").await, n + 1);
+        assert_eq!(forbidden_requests(&site, 0, "author").await, n + 1);
     }
-    assert_eq!(state(&site).await, before);
+    assert_eq!(observable_state(&site).await, before);
     assert_eq!(send("alice").await, "HTTP/1.1 200");
     assert_eq!(audit(&site).await[0].author.to_string(), "alice");
 }
 
-/// Guards against a client that believes a server without a certificate of
-/// the CA for the server's address.
+/// Guards against a client that accepts a server whose certificate is of another
+/// CA or for another address.
 #[actix_rt::test]
-async fn a_server_must_prove_its_address() {
+async fn client_rejects_a_server_without_a_certificate_for_its_address() {
     let dir = tempfile::tempdir().unwrap();
-    let ca = Authority::new(dir.path(), "site");
+    let ca = CertificateAuthority::new(dir.path(), "site");
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let own = credentials(&ca.issue(Names::CONTROL, Some(address.ip())));
-    let other = Authority::new(dir.path(), "other");
+    let own = read_credentials(&ca.issue(Names::CONTROL, Some(address.ip())));
+    let other = CertificateAuthority::new(dir.path(), "other");
     let foreign = other.issue(Names::CONTROL, Some(address.ip()));
     let elsewhere = ca.issue(Names::CONTROL, Some(harness::address(84, 1, 1).ip()));
     let cases = [
         ("own", own.clone(), true),
-        ("another CA", credentials(&foreign), false),
-        ("another address", credentials(&elsewhere), false),
+        ("another CA", read_credentials(&foreign), false),
+        ("another address", read_credentials(&elsewhere), false),
     ];
     let http = client::Http::new(Some(&own));
-    for (which, server, believed) in cases {
+    for (which, server, accepted) in cases {
         let serve = async {
             let (stream, _) = listener.accept().await.unwrap();
             let acceptor = TlsAcceptor::from(Arc::new(server.server()));
@@ -193,16 +201,16 @@
             stream.shutdown().await?;
             io::Result::Ok(len)
         };
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         let post = http.post::<_, ()>(address, "/v1/query", &Query::Status, deadline);
         let (served, posted) = tokio::join!(serve, post);
-        let seen = served.is_ok_and(|len| len > 0);
+        let received = served.is_ok_and(|len| len > 0);
         assert_eq!(
-            seen, believed,
-            "{which}: what the server saw of the request"
+            received, accepted,
+            "{which}: whether the server received the request"
         );
         let category = posted.unwrap_err().category();
-        let expected = if believed {
+        let expected = if accepted {
             Category::Lost
         } else {
             Category::NotSent
@@ -210,10 +218,10 @@
         assert_eq!(category, expected, "{which}");
     }
 
-    // The agents' requests to their peers.
-    for (which, server, believed) in [
+    // TLS for requests between agents.
+    for (which, server, accepted) in [
         ("own", &own, true),
-        ("foreign", &credentials(&foreign), false),
+        ("foreign", &read_credentials(&foreign), false),
     ] {
         let serve = async {
             let (stream, _) = listener.accept().await.unwrap();
@@ -222,19 +230,19 @@
         };
         let stream = TcpStream::connect(address).await.unwrap();
         let (_, secured) = tokio::join!(serve, own.secure(address, stream));
-        assert_eq!(secured.is_ok(), believed, "{which}");
+        assert_eq!(secured.is_ok(), accepted, "{which}");
     }
 }
 
-/// Guards against a session that is resumed without a look at the certificate,
-/// which may have expired.
+/// Guards against a resumed session, which would skip the check of the
+/// certificate although it may have expired.
 #[actix_rt::test]
 async fn sessions_are_not_resumed() {
     let dir = tempfile::tempdir().unwrap();
-    let ca = Authority::new(dir.path(), "site");
+    let ca = CertificateAuthority::new(dir.path(), "site");
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let own = credentials(&ca.issue(Names::CONTROL, Some(address.ip())));
+    let own = read_credentials(&ca.issue(Names::CONTROL, Some(address.ip())));
     let mut config = (*own.client()).clone();
     config.resumption = Resumption::default();
     let connector = TlsConnector::from(Arc::new(config));
@@ -250,7 +258,7 @@
             let stream = TcpStream::connect(address).await?;
             let name = ServerName::from(address.ip());
             let mut stream = connector.connect(name, stream).await?;
-            // Tickets come with the first data.
+            // Session tickets arrive with the first data.
             stream.read_to_end(&mut Vec::new()).await?;
             io::Result::Ok(stream.get_ref().1.handshake_kind())
         };
@@ -260,18 +268,18 @@
     }
 }
 
-/// Guards against a wrong file that is found after a socket was opened, or
-/// whose message does not name the flag and the file.
+/// Guards against a wrong TLS file that is detected only after a socket was
+/// opened, and against an error message without the flag and the file.
 #[actix_rt::test]
-async fn wrong_files() {
+async fn wrong_tls_files_are_reported_before_any_socket_opens() {
     let dir = tempfile::tempdir().unwrap();
-    let ca = Authority::new(dir.path(), "site");
+    let ca = CertificateAuthority::new(dir.path(), "site");
     let good = ca.issue(Names::CONTROL, None);
     let node = ca.issue(Names::NODE, None);
     let missing = dir.path().join("missing.pem");
     let empty = dir.path().join("empty.pem");
     std::fs::write(&empty, "").unwrap();
-    // The address is taken, so opening it would fail with another message.
+    // The address is in use, so that binding it would fail with another message.
     let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let taken = taken.local_addr().unwrap();
     let with = |change: &dyn Fn(&mut auth::Files)| {
@@ -308,14 +316,14 @@
         (output.status.code(), text)
     };
     for (files, flag, file) in cases {
-        let (code, text) = run(&flags(&files));
+        let (code, text) = run(&tls_flags(&files));
         assert_eq!(code, Some(2), "{text}");
         let expected = format!("{flag} {}", file.display());
         assert!(text.contains(&expected), "{expected}: {text}");
     }
-    // All three or none.
+    // One of the three flags without the others is refused.
     for n in 0..3 {
-        let (code, text) = run(&flags(&good)[n..=n]);
+        let (code, text) = run(&tls_flags(&good)[n..=n]);
         assert_eq!(code, Some(2), "{text}");
     }
 }
@@ -338,8 +346,9 @@
     "/claim/1",
 ];
 
-/// A message that would do or tell something if it were let through.
-fn message(path: &str) -> Vec<u8> {
+/// A valid request body for `path`, which would change or return something if
+/// the request were accepted.
+fn request_body(path: &str) -> Vec<u8> {
     let encoded = match path {
         "/v1/consensus" => wire::encode(&Vec::<u8>::new()),
         "/v1/hello" => wire::encode(&Hello),
@@ -353,7 +362,7 @@
             upstream: None,
             balancer: None,
         }),
-        "/v1/change" => wire::encode(&stolen_service("operator")),
+        "/v1/change" => wire::encode(&unauthorized_request("operator")),
         "/v1/query" => wire::encode(&Query::Status),
         "/v1/group" => {
             let address = harness::address(82, 99, 7000);
@@ -367,24 +376,24 @@
     encoded.unwrap()
 }
 
-fn stolen() -> Change {
+fn unauthorized_change() -> Change {
     Change::CreateService {
         name: "stolen".parse().unwrap(),
         address: harness::address(82, 101, 4433),
     }
 }
 
-fn stolen_service(author: &str) -> ChangeRequest {
+fn unauthorized_request(author: &str) -> ChangeRequest {
     ChangeRequest {
         id: ChangeId::generate(),
         author: author.parse().unwrap(),
         base: Revision(0),
-        change: stolen(),
+        change: unauthorized_change(),
     }
 }
 
-/// A client without a certificate of its own.
-fn bare(ca: &Authority) -> Arc<ClientConfig> {
+/// A TLS client configuration without a client certificate.
+fn client_without_certificate(ca: &CertificateAuthority) -> Arc<ClientConfig> {
     let mut roots = RootCertStore::empty();
     roots
         .add(CertificateDer::from_pem_file(ca.ca()).unwrap())
@@ -398,7 +407,7 @@
     Arc::new(config)
 }
 
-/// Sends a request over TLS and returns all of the answer.
+/// Sends a request over TLS and returns the complete answer.
 async fn exchange(
     config: &Arc<ClientConfig>,
     address: SocketAddr,
@@ -409,16 +418,16 @@
     let name = ServerName::from(address.ip());
     let connector = TlsConnector::from(config.clone());
     let stream = connector.connect(name, stream).await?;
-    converse(stream, path, body).await
+    send_request(stream, path, body).await
 }
 
-/// Sends a request without TLS; none if there is no answer.
-async fn plain(address: SocketAddr, path: &str, body: &[u8]) -> Option<String> {
+/// Sends a request without TLS. `None` if the connection fails.
+async fn exchange_plaintext(address: SocketAddr, path: &str, body: &[u8]) -> Option<String> {
     let stream = TcpStream::connect(address).await.ok()?;
-    converse(stream, path, body).await.ok()
+    send_request(stream, path, body).await.ok()
 }
 
-async fn converse<S>(mut stream: S, path: &str, body: &[u8]) -> io::Result<String>
+async fn send_request<S>(mut stream: S, path: &str, body: &[u8]) -> io::Result<String>
 where
     S: AsyncRead + AsyncWrite + Unpin,
 {
@@ -430,9 +439,10 @@
     stream.write_all(body).await?;
     let mut answer = String::new();
     let mut buf = [0; 4096];
-    // A server that has not read the body closes the connection only later.
-    while !is_whole(&answer) {
-        let read = timeout(PATIENCE, stream.read(&mut buf)).await;
+    // Stops at the announced length, because a server that has not read the
+    // request body closes the connection only later.
+    while !is_complete(&answer) {
+        let read = timeout(WAIT_TIMEOUT, stream.read(&mut buf)).await;
         match read.map_err(io::Error::other)?? {
             0 => break,
             len => answer.push_str(&String::from_utf8_lossy(&buf[..len])),
@@ -441,8 +451,8 @@
     Ok(answer)
 }
 
-/// Whether an answer has all of the body that its head announces.
-fn is_whole(answer: &str) -> bool {
+/// Whether the body is as long as the head's `content-length`.
+fn is_complete(answer: &str) -> bool {
     let Some((head, body)) = answer.split_once("\r\n\r\n") else {
         return false;
     };
@@ -454,19 +464,19 @@
         .is_some_and(|len| len.parse() == Ok(body.len()))
 }
 
-/// Requests that the control host `n` has refused for a reason.
-async fn forbidden(site: &Site, n: u8, reason: &str) -> usize {
+/// Number of requests that control host `n` refused with 403 for `reason`.
+async fn forbidden_requests(site: &Site, n: u8, reason: &str) -> usize {
     let name = format!("limpet_control_forbidden_requests_total{{reason=\"{reason}\"}}");
-    whole(site.control_metric(n, &name).await)
+    counter_value(site.control_metric(n, &name).await)
 }
 
-/// The value of a counter.
-fn whole(value: f64) -> usize {
+/// Converts the value of a counter metric to an integer.
+fn counter_value(value: f64) -> usize {
     format!("{value:.0}").parse().unwrap()
 }
 
 async fn query(site: &Site, query: &Query) -> QueryReply {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     let reply = site.operator.query("/v1/query", query, deadline).await;
     reply.unwrap()
 }
@@ -486,8 +496,9 @@
     }
 }
 
-/// What a stranger might change: the audit trail, the group and the nodes.
-async fn state(site: &Site) -> (String, String) {
+/// State that an unauthorized request could change: the audit trail, the group
+/// and the nodes.
+async fn observable_state(site: &Site) -> (String, String) {
     let mut hosts = Vec::new();
     wait_for("all nodes", async || {
         let status = site.status().await;
