--- a/crates/limpetd/tests/drain.rs
+++ b/crates/limpetd/tests/drain.rs
@@ -228,11 +228,11 @@
     for agent in &site.agents {
         agent.signal(Signal::SIGTERM);
     }
-    site.fabric.set_loss(0.3).await;
+    site.fabric.set_loss_rate(0.3).await;
     for body in join_all(feeds.iter_mut().map(Answer::body)).await {
         assert_eq!(body.unwrap(), feed_lines(0, 2));
     }
-    site.fabric.set_loss(0.0).await;
+    site.fabric.set_loss_rate(0.0).await;
     for agent in &mut site.agents {
         assert!(wait_for_exit(agent).await);
     }
--- a/crates/limpetd/tests/requests.rs
+++ b/crates/limpetd/tests/requests.rs
@@ -414,7 +414,7 @@
     let mut runs = BTreeSet::new();
     for upstream in &site.upstreams {
         let activity = upstream.activity().await.unwrap();
-        assert!(activity.most <= 2, "{activity:?}");
+        assert!(activity.max_running <= 2, "{activity:?}");
         runs.extend(upstream.runs().await.into_keys());
     }
     for (n, status, outcome) in outcomes {
@@ -487,7 +487,7 @@
         pending.push(slow.answer());
     }
     join_all(pending).await;
-    assert_eq!(site.upstreams[0].activity().await.unwrap().most, 1);
+    assert_eq!(site.upstreams[0].activity().await.unwrap().max_running, 1);
 }
 
 /// P2. Guards against an agent that accepts datagrams or requests for another
@@ -669,7 +669,7 @@
 async fn answers_match_their_requests() {
     let site = Site::start_serving(plan(51, 2, 8)).await;
     let mut caller = site.connect().await;
-    site.fabric.set_loss(0.02).await;
+    site.fabric.set_loss_rate(0.02).await;
     let mut pending = Vec::new();
     for n in 0..60 {
         let path = format!("/head?n={n}&ms={}", (n * 7) % 50);
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,9 +1,9 @@
-//! Small stand-ins for what is outside the system.
+//! Stand-ins for the network fabric and the upstreams of a site.
 //!
-//! [`Fabric`] hands each datagram to a random balancer, as the network of a
-//! site may do. [`upstream`](process::upstream) is an HTTP/1.1 server with a
-//! register of claims, feeds and uploads. `limpetd local` and the tests use
-//! them; a real site does not.
+//! [`Fabric`] sends each datagram to a random balancer, as the network of a site
+//! may do. [`upstream`](process::upstream) is an HTTP/1.1 server that counts
+//! claims, streams feeds and accepts uploads. `limpetd local`, the tests and the
+//! benchmarks use them; a production site does not.
 
 pub mod error;
 pub mod process;
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -1,5 +1,5 @@
-//! `standin` runs a stand-in as a process of its own, to try a site out on one
-//! machine: `standin fabric` and `standin upstream`.
+//! Runs a stand-in as a separate process, to try a site out on one machine:
+//! `standin fabric` and `standin upstream`.
 
 use std::{collections::BTreeSet, net::SocketAddr, process::ExitCode};
 
@@ -11,11 +11,11 @@
 #[command(after_help = "Example: standin upstream --name one --listen 127.0.0.1:8081")]
 struct Cli {
     #[command(subcommand)]
-    part: Part,
+    command: StandinCommand,
 }
 
 #[derive(Debug, Subcommand)]
-enum Part {
+enum StandinCommand {
     /// Hand each datagram for a service to a random balancer
     Fabric {
         /// Address that callers send to
@@ -40,7 +40,7 @@
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    match actix_rt::System::new().block_on(run(cli.part)) {
+    match actix_rt::System::new().block_on(run(cli.command)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("standin: {e}");
@@ -49,16 +49,16 @@
     }
 }
 
-async fn run(part: Part) -> Result<()> {
-    match part {
-        Part::Fabric { service, balancers } => {
+async fn run(command: StandinCommand) -> Result<()> {
+    match command {
+        StandinCommand::Fabric { service, balancers } => {
             let (fabric, handle) = Fabric::open(service, rand::random()).await?;
             let balancers: BTreeSet<SocketAddr> = balancers.into_iter().collect();
             handle.set_balancers(balancers).await;
             fabric.run().await;
             drop(handle);
         }
-        Part::Upstream { name, listen } => {
+        StandinCommand::Upstream { name, listen } => {
             Upstream::start(&name, listen)?;
             std::future::pending::<()>().await;
         }
--- a/crates/standin/src/process/fabric.rs
+++ b/crates/standin/src/process/fabric.rs
@@ -1,4 +1,4 @@
-//! A fabric that hands each datagram to a random balancer.
+//! A network fabric that sends each datagram to a random balancer.
 
 use std::{
     collections::BTreeSet,
@@ -11,54 +11,58 @@
 
 use crate::{Error, Result};
 
-/// Room for the largest UDP payload and a prefix.
-const BUFFER: usize = (64 << 10) + wire::MAX_PREFIX_LEN;
+/// Size of a receive buffer: the largest UDP payload and a prefix.
+const BUFFER_BYTES: usize = (64 << 10) + wire::MAX_PREFIX_LEN;
 
-/// Commands that may wait for the task.
-const COMMANDS: usize = 16;
+/// Capacity of the command channel.
+const MAX_QUEUED_COMMANDS: usize = 16;
 
 #[derive(Debug)]
 enum Command {
-    Balancers(BTreeSet<SocketAddr>),
-    Loss(f64),
+    SetBalancers(BTreeSet<SocketAddr>),
+    SetLossRate(f64),
 }
 
-/// Steers the fabric's task. The task ends with its last handle.
+/// Sends commands to the task of a [`Fabric`]. The task ends when the last handle
+/// is dropped.
 #[derive(Debug, Clone)]
 pub struct FabricHandle {
     tx: mpsc::Sender<Command>,
-    /// Address that callers send to.
+    /// Address of the service, to which callers send.
     pub service: SocketAddr,
 }
 
 impl FabricHandle {
-    /// Replaces the balancers that datagrams are handed to.
+    /// Replaces the set of balancers that get datagrams.
     pub async fn set_balancers(&self, balancers: BTreeSet<SocketAddr>) {
-        let _ = self.tx.send(Command::Balancers(balancers)).await;
+        let _ = self.tx.send(Command::SetBalancers(balancers)).await;
     }
 
-    /// Drops this share of the datagrams in either direction.
-    pub async fn set_loss(&self, loss: f64) {
-        let _ = self.tx.send(Command::Loss(loss)).await;
+    /// Sets the fraction of datagrams that are dropped in each direction, from 0
+    /// to 1.
+    pub async fn set_loss_rate(&self, loss_rate: f64) {
+        let _ = self.tx.send(Command::SetLossRate(loss_rate)).await;
     }
 }
 
-/// A fabric that hands each datagram to a random balancer.
+/// A network fabric that sends each datagram to a random balancer.
 #[derive(Debug)]
 pub struct Fabric {
-    /// Socket at the address of the service.
-    callers: UdpSocket,
+    /// Bound to the address of the service; exchanges packets with callers.
+    callers_socket: UdpSocket,
     service: SocketAddr,
-    /// Socket towards the balancers.
+    /// Exchanges prefixed datagrams with the balancers.
     balancers_socket: UdpSocket,
     balancers: Vec<SocketAddr>,
-    loss: f64,
+    loss_rate: f64,
     rng: StdRng,
     commands: mpsc::Receiver<Command>,
 }
 
 impl Fabric {
-    /// Opens the fabric in front of `service`; its task is [`Fabric::run`].
+    /// Opens the sockets of a fabric for `service`. [`Fabric::run`] must then be
+    /// spawned as a task. `seed` determines the choice of balancers and the
+    /// dropped datagrams.
     ///
     /// # Errors
     ///
@@ -68,45 +72,47 @@
             let socket = UdpSocket::bind(address).await;
             socket.map_err(|e| Error::Bind(address, e))
         };
-        let callers = bind(service).await?;
-        let service = callers.local_addr().map_err(|e| Error::Bind(service, e))?;
+        let callers_socket = bind(service).await?;
+        let service = callers_socket
+            .local_addr()
+            .map_err(|e| Error::Bind(service, e))?;
         let balancers_socket = bind((Ipv4Addr::LOCALHOST, 0).into()).await?;
-        let (tx, commands) = mpsc::channel(COMMANDS);
+        let (tx, commands) = mpsc::channel(MAX_QUEUED_COMMANDS);
         let fabric = Fabric {
-            callers,
+            callers_socket,
             service,
             balancers_socket,
             balancers: Vec::new(),
-            loss: 0.0,
+            loss_rate: 0.0,
             rng: StdRng::seed_from_u64(seed),
             commands,
         };
         Ok((fabric, FabricHandle { tx, service }))
     }
 
-    /// Hands datagrams on until the last handle is gone.
+    /// Forwards datagrams until the last handle is dropped.
     pub async fn run(mut self) {
-        let mut from_callers = vec![0; BUFFER];
-        let mut from_balancers = vec![0; BUFFER];
+        let mut from_callers = vec![0; BUFFER_BYTES];
+        let mut from_balancers = vec![0; BUFFER_BYTES];
         loop {
             tokio::select! {
                 command = self.commands.recv() => match command {
-                    Some(Command::Balancers(set)) => self.balancers = set.into_iter().collect(),
-                    Some(Command::Loss(loss)) => self.loss = loss,
+                    Some(Command::SetBalancers(set)) => self.balancers = set.into_iter().collect(),
+                    Some(Command::SetLossRate(loss_rate)) => self.loss_rate = loss_rate,
                     None => return,
                 },
-                Ok((len, caller)) = self.callers.recv_from(&mut from_callers) => {
-                    self.hand_in(caller, &from_callers[..len]).await;
+                Ok((len, caller)) = self.callers_socket.recv_from(&mut from_callers) => {
+                    self.forward_to_balancer(caller, &from_callers[..len]).await;
                 }
                 Ok((len, _)) = self.balancers_socket.recv_from(&mut from_balancers) => {
-                    self.hand_out(&from_balancers[..len]).await;
+                    self.forward_to_caller(&from_balancers[..len]).await;
                 }
             }
         }
     }
 
-    async fn hand_in(&mut self, caller: SocketAddr, packet: &[u8]) {
-        if self.balancers.is_empty() || self.is_lost() {
+    async fn forward_to_balancer(&mut self, caller: SocketAddr, packet: &[u8]) {
+        if self.balancers.is_empty() || self.draw_loss() {
             return;
         }
         let balancer = self.balancers[self.rng.random_range(0..self.balancers.len())];
@@ -114,21 +120,21 @@
         let service = self.service;
         Endpoints { caller, service }.encode(&mut datagram);
         datagram.extend_from_slice(packet);
-        // A balancer that is gone loses the datagram, as in a real fabric.
+        // The datagram is lost if the balancer is down, as in a real fabric.
         let _ = self.balancers_socket.send_to(&datagram, balancer).await;
     }
 
-    async fn hand_out(&mut self, datagram: &[u8]) {
+    async fn forward_to_caller(&mut self, datagram: &[u8]) {
         let Ok((Prefix::Proxy(endpoints), packet)) = Prefix::decode(datagram) else {
             return;
         };
-        if endpoints.service == self.service && !self.is_lost() {
-            // A caller that is gone loses the datagram.
-            let _ = self.callers.send_to(packet, endpoints.caller).await;
+        if endpoints.service == self.service && !self.draw_loss() {
+            // The datagram is lost if the caller has closed its socket.
+            let _ = self.callers_socket.send_to(packet, endpoints.caller).await;
         }
     }
 
-    fn is_lost(&mut self) -> bool {
-        self.loss > 0.0 && self.rng.random_bool(self.loss)
+    fn draw_loss(&mut self) -> bool {
+        self.loss_rate > 0.0 && self.rng.random_bool(self.loss_rate)
     }
 }
--- a/crates/standin/src/process/mod.rs
+++ b/crates/standin/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! The stand-ins' tasks.
+//! Tasks of the stand-ins, which live until the process or the test ends.
 
 mod fabric;
 mod register;
--- a/crates/standin/src/process/register.rs
+++ b/crates/standin/src/process/register.rs
@@ -1,37 +1,37 @@
-//! The task that owns the register of a stand-in upstream.
+//! The task that counts the claims and requests of a stand-in upstream.
 
 use std::collections::BTreeMap;
 
 use bytes::Bytes;
 use tokio::sync::{mpsc, oneshot};
 
-/// Slots that a stand-in reports until it is told others.
-const SLOTS: u32 = 1 << 16;
+/// Slots that a stand-in upstream reports until [`RegisterHandle::set_slots`].
+const INITIAL_SLOTS: u32 = 1 << 16;
 
 #[derive(Debug)]
 enum Command {
-    Run(Bytes, oneshot::Sender<u64>),
-    Runs(oneshot::Sender<BTreeMap<Bytes, u64>>),
+    RunClaim(Bytes, oneshot::Sender<u64>),
+    ClaimRuns(oneshot::Sender<BTreeMap<Bytes, u64>>),
     Begin,
     End { complete: bool },
     Activity(oneshot::Sender<Activity>),
     SetSlots(u32),
 }
 
-/// What an upstream does and did.
+/// Request counts and reported slots of a stand-in upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Activity {
     /// Requests in progress.
     pub running: u64,
-    /// Most requests in progress at once.
-    pub most: u64,
-    /// Requests that were cancelled before their answer was complete.
+    /// Maximum number of requests that were in progress at the same time.
+    pub max_running: u64,
+    /// Requests that ended before their answer was complete.
     pub cancelled: u64,
-    /// Slots that the upstream reports.
+    /// Slots that the load report states.
     pub slots: u32,
 }
 
-/// Counts how often each claim was run, and the requests in progress.
+/// Counts the runs of each claim and the requests in progress.
 #[derive(Debug)]
 pub struct Register {
     runs: BTreeMap<Bytes, u64>,
@@ -39,30 +39,32 @@
     commands: mpsc::UnboundedReceiver<Command>,
 }
 
-/// Reaches the register's task. The task ends with its last handle.
+/// Sends commands to the task of a [`Register`]. The task ends when the last
+/// handle is dropped.
 ///
-/// The channel is unbounded, because the end of a request is noted when a value
-/// is dropped; each request sends a fixed number of commands.
+/// The channel is unbounded because [`RunningRequest`] sends a command on drop,
+/// where it cannot wait. Each request sends a fixed number of commands.
 #[derive(Debug, Clone)]
 pub struct RegisterHandle {
     tx: mpsc::UnboundedSender<Command>,
 }
 
-/// A request in progress; ends when it is dropped.
+/// Guard of a request in progress. Dropping it ends the request, which counts as
+/// cancelled unless [`complete`](RunningRequest::complete) was called.
 #[derive(Debug)]
-pub struct Running {
+pub struct RunningRequest {
     register: RegisterHandle,
     complete: bool,
 }
 
-impl Running {
-    /// Notes that the answer is complete.
+impl RunningRequest {
+    /// Marks the answer as complete.
     pub fn complete(&mut self) {
         self.complete = true;
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningRequest {
     fn drop(&mut self) {
         let complete = self.complete;
         let _ = self.register.tx.send(Command::End { complete });
@@ -70,7 +72,7 @@
 }
 
 impl Register {
-    /// An empty register; its task is [`Register::run`].
+    /// Creates an empty register. [`Register::run`] must be spawned as a task.
     #[must_use]
     pub fn new() -> (Register, RegisterHandle) {
         let (tx, commands) = mpsc::unbounded_channel();
@@ -78,29 +80,30 @@
             runs: BTreeMap::new(),
             activity: Activity {
                 running: 0,
-                most: 0,
+                max_running: 0,
                 cancelled: 0,
-                slots: SLOTS,
+                slots: INITIAL_SLOTS,
             },
             commands,
         };
         (register, RegisterHandle { tx })
     }
 
-    /// Serves until the last handle is gone.
+    /// Handles commands until the last handle is dropped.
     pub async fn run(mut self) {
         while let Some(command) = self.commands.recv().await {
-            // Whoever asked may be gone.
+            // Replies are ignored if the requester has been cancelled.
             match command {
-                Command::Run(id, tx) => {
+                Command::RunClaim(id, tx) => {
                     let runs = self.runs.entry(id).or_default();
                     *runs += 1;
                     let _ = tx.send(*runs);
                 }
-                Command::Runs(tx) => drop(tx.send(self.runs.clone())),
+                Command::ClaimRuns(tx) => drop(tx.send(self.runs.clone())),
                 Command::Begin => {
                     self.activity.running += 1;
-                    self.activity.most = self.activity.most.max(self.activity.running);
+                    self.activity.max_running =
+                        self.activity.max_running.max(self.activity.running);
                 }
                 Command::End { complete } => {
                     self.activity.running -= 1;
@@ -114,38 +117,38 @@
 }
 
 impl RegisterHandle {
-    /// Runs a claim and returns how often it has run by now.
-    pub async fn claim(&self, id: Bytes) -> u64 {
+    /// Counts a run of a claim and returns its number of runs so far.
+    pub async fn run_claim(&self, id: Bytes) -> u64 {
         let (tx, rx) = oneshot::channel();
-        let _ = self.tx.send(Command::Run(id, tx));
+        let _ = self.tx.send(Command::RunClaim(id, tx));
         rx.await.unwrap_or_default()
     }
 
-    /// How often each claim has run.
+    /// Number of runs of each claim.
     pub async fn runs(&self) -> BTreeMap<Bytes, u64> {
         let (tx, rx) = oneshot::channel();
-        let _ = self.tx.send(Command::Runs(tx));
+        let _ = self.tx.send(Command::ClaimRuns(tx));
         rx.await.unwrap_or_default()
     }
 
-    /// Notes a request that begins.
+    /// Counts a request as in progress until the returned guard is dropped.
     #[must_use]
-    pub fn begin(&self) -> Running {
+    pub fn begin(&self) -> RunningRequest {
         let _ = self.tx.send(Command::Begin);
-        Running {
+        RunningRequest {
             register: self.clone(),
             complete: false,
         }
     }
 
-    /// What the upstream does and did; none once the task has ended.
+    /// The current counts; `None` once the task has ended.
     pub async fn activity(&self) -> Option<Activity> {
         let (tx, rx) = oneshot::channel();
         let _ = self.tx.send(Command::Activity(tx));
         rx.await.ok()
     }
 
-    /// Sets the slots that the upstream reports.
+    /// Sets the slots that the load report states.
     pub fn set_slots(&self, slots: u32) {
         let _ = self.tx.send(Command::SetSlots(slots));
     }
--- a/crates/standin/src/process/upstream.rs
+++ b/crates/standin/src/process/upstream.rs
@@ -1,4 +1,4 @@
-//! An HTTP/1.1 server that stands in for an upstream.
+//! An HTTP/1.1 server that acts as an upstream.
 
 use std::{
     collections::BTreeMap,
@@ -11,43 +11,43 @@
 use super::{Activity, Register, RegisterHandle};
 use crate::{Error, Result, request};
 
-/// A running stand-in upstream.
+/// Handle of a running stand-in upstream.
 #[derive(Debug, Clone)]
 pub struct UpstreamHandle {
-    /// Where it takes requests.
+    /// Address at which the upstream accepts requests.
     pub address: SocketAddr,
     register: RegisterHandle,
     server: ServerHandle,
 }
 
 impl UpstreamHandle {
-    /// How often each claim has run.
+    /// Number of runs of each claim.
     pub async fn runs(&self) -> BTreeMap<Bytes, u64> {
         self.register.runs().await
     }
 
-    /// What the upstream does and did; none once it has ended.
+    /// The current request counts; `None` once the task that keeps them has ended.
     pub async fn activity(&self) -> Option<Activity> {
         self.register.activity().await
     }
 
-    /// Sets the slots that the upstream reports of class `default` on `/load`.
+    /// Sets the slots of class `default` in the load report at `/load`.
     pub fn set_slots(&self, slots: u32) {
         self.register.set_slots(slots);
     }
 
-    /// Stops the server at once.
+    /// Stops the server without waiting for requests in progress.
     pub async fn stop(&self) {
         self.server.stop(false).await;
     }
 }
 
-/// A stand-in upstream.
+/// An HTTP/1.1 server that acts as an upstream.
 #[derive(Debug)]
 pub struct Upstream;
 
 impl Upstream {
-    /// Starts a stand-in upstream that answers with `name`.
+    /// Starts a stand-in upstream whose answers contain `name`.
     ///
     /// # Errors
     ///
@@ -58,7 +58,7 @@
         let address = listener.local_addr().map_err(bind)?;
         let (register, handle) = Register::new();
         actix_rt::spawn(register.run());
-        let name = request::Name(Bytes::copy_from_slice(name.as_bytes()));
+        let name = request::UpstreamName(Bytes::copy_from_slice(name.as_bytes()));
         let data = handle.clone();
         let server = HttpServer::new(move || {
             App::new()
@@ -76,11 +76,11 @@
                 .route("/empty/{status}", web::to(request::empty))
                 .route("/fields", web::to(request::fields))
                 .route("/load", web::get().to(request::load))
-                .default_service(web::to(request::greet))
+                .default_service(web::to(request::answer_name))
         })
         .workers(1)
         .disable_signals()
-        // A closed connection cancels its request.
+        // Closing the connection cancels its request.
         .h1_allow_half_closed(false)
         .shutdown_timeout(1)
         .listen(listener)
--- a/crates/standin/src/request/mod.rs
+++ b/crates/standin/src/request/mod.rs
@@ -1,4 +1,4 @@
-//! Requests of a stand-in upstream.
+//! Request handlers of a stand-in upstream.
 
 use std::{collections::BTreeMap, fmt::Write, io, time::Duration};
 
@@ -12,48 +12,49 @@
 
 use crate::{Activity, process::RegisterHandle};
 
-/// Longest answer time or interval that a caller can ask for.
-const MAX_WAIT: Duration = Duration::from_mins(1);
+/// Upper bound of the delays and intervals that a request can set.
+const MAX_DELAY: Duration = Duration::from_mins(1);
 
-/// Interval between the lines of a feed.
+/// Default interval between two lines of a feed.
 const FEED_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Name of a stand-in upstream.
+/// Name of a stand-in upstream, which its answers contain.
 #[derive(Debug, Clone)]
-pub struct Name(pub Bytes);
+pub struct UpstreamName(pub Bytes);
 
 type Query = web::Query<BTreeMap<String, String>>;
 
-fn millis(query: &Query, key: &str, default: Duration) -> Duration {
+fn millis_parameter(query: &Query, key: &str, default: Duration) -> Duration {
     let value = query.get(key).and_then(|text| text.parse().ok());
-    value.map_or(default, Duration::from_millis).min(MAX_WAIT)
+    value.map_or(default, Duration::from_millis).min(MAX_DELAY)
 }
 
-/// Answers with the upstream's name.
-pub async fn greet(name: web::Data<Name>) -> HttpResponse {
+/// Answers with the name of the upstream.
+pub async fn answer_name(name: web::Data<UpstreamName>) -> HttpResponse {
     let mut body = b"served by ".to_vec();
     body.extend_from_slice(&name.0);
     body.push(b'\n');
     HttpResponse::Ok().content_type("text/plain").body(body)
 }
 
-/// Runs a claim, which is not idempotent, and answers how often it has run.
+/// Runs a claim, which is not idempotent, and answers with its number of runs.
 pub async fn claim(
     register: web::Data<RegisterHandle>,
     id: web::Path<String>,
     query: Query,
 ) -> HttpResponse {
     let mut running = register.begin();
-    let runs = register.claim(Bytes::from(id.into_inner())).await;
-    sleep(millis(&query, "ms", Duration::ZERO)).await;
+    let runs = register.run_claim(Bytes::from(id.into_inner())).await;
+    sleep(millis_parameter(&query, "ms", Duration::ZERO)).await;
     running.complete();
     HttpResponse::Ok().body(format!("{runs}\n"))
 }
 
-/// Sends numbered lines until the caller goes away, or `lines` of them.
+/// Sends `lines` numbered lines, or without this parameter lines until the caller
+/// disconnects.
 pub async fn feed(register: web::Data<RegisterHandle>, query: Query) -> HttpResponse {
     let running = register.begin();
-    let interval = millis(&query, "ms", FEED_INTERVAL);
+    let interval = millis_parameter(&query, "ms", FEED_INTERVAL);
     let lines: u64 = query
         .get("lines")
         .and_then(|n| n.parse().ok())
@@ -76,17 +77,17 @@
 
 /// Answers after `ms` milliseconds.
 pub async fn slow(
-    name: web::Data<Name>,
+    name: web::Data<UpstreamName>,
     register: web::Data<RegisterHandle>,
     query: Query,
 ) -> HttpResponse {
     let mut running = register.begin();
-    sleep(millis(&query, "ms", Duration::from_secs(1))).await;
+    sleep(millis_parameter(&query, "ms", Duration::from_secs(1))).await;
     running.complete();
-    greet(name).await
+    answer_name(name).await
 }
 
-/// Sheds load.
+/// Refuses the request as an overloaded upstream does.
 pub async fn shed() -> HttpResponse {
     HttpResponse::ServiceUnavailable()
         .insert_header(("retry-after", "1"))
@@ -94,12 +95,12 @@
         .body("busy\n")
 }
 
-/// Breaks off in the middle of an answer, of which the length is known unless
-/// `chunked` is set.
+/// Aborts in the middle of an answer, which has a content length unless `chunked`
+/// is set.
 pub async fn truncated(query: Query) -> HttpResponse {
     let first = stream::iter([Ok(Bytes::from_static(b"half of "))]);
     let broken = stream::once(async {
-        // The head and the first part are on their way by then.
+        // Aborts only after the head and the first part were sent.
         sleep(FEED_INTERVAL).await;
         Err(io::Error::other("broken off on purpose"))
     });
@@ -110,7 +111,7 @@
     HttpResponse::Ok().body(SizedStream::new(100, parts))
 }
 
-/// Answers without having read the body.
+/// Answers before it reads the request body.
 pub async fn early() -> HttpResponse {
     HttpResponse::PayloadTooLarge().body("too large\n")
 }
@@ -123,7 +124,7 @@
         .finish()
 }
 
-/// Answers with fields of which only `x-kept` may reach a caller.
+/// Answers with header fields, of which only `x-kept` may reach a caller.
 pub async fn fields() -> HttpResponse {
     HttpResponse::Ok()
         .insert_header(("x-kept", "1"))
@@ -133,7 +134,7 @@
         .body("fields\n")
 }
 
-/// Reports the load of the class `default`.
+/// Answers with the load report of class `default`.
 pub async fn load(register: web::Data<RegisterHandle>) -> HttpResponse {
     let Some(activity) = register.activity().await else {
         return HttpResponse::ServiceUnavailable().finish();
@@ -146,7 +147,7 @@
         ))
 }
 
-/// Takes a body and answers its length, once all of it has come.
+/// Reads the whole request body and answers with its length.
 pub async fn upload(register: web::Data<RegisterHandle>, mut body: web::Payload) -> HttpResponse {
     let mut running = register.begin();
     let mut len = 0;
@@ -160,7 +161,7 @@
     HttpResponse::Ok().body(format!("{len}\n"))
 }
 
-/// Answers with the head of the request.
+/// Answers with the request line and the header fields of the request.
 pub async fn head(req: HttpRequest) -> HttpResponse {
     let mut text = format!("{} {}\n", req.method(), req.uri());
     for (name, value) in req.headers() {
