--- a/crates/bench/src/admission/case.rs
+++ b/crates/bench/src/admission/case.rs
@@ -1,62 +1,62 @@
-//! What one run is made of.
+//! Parameters of a simulation run.
 
 use std::{fmt, time::Duration};
 
 use admit::Settings;
 
-/// Upstreams of a service of one of the users.
+/// Size of a service and delay between its upstreams.
 #[derive(Debug, Clone, Copy)]
-pub struct Size {
-    /// Short name of the user.
+pub struct ServiceSize {
+    /// Name in the output: upstreams, slots and delay.
     pub name: &'static str,
     /// Number of upstreams, spread over three data centres.
     pub upstreams: usize,
-    /// Slots of each.
+    /// Slots of each upstream.
     pub slots: u32,
     /// One-way delay between data centres.
-    pub far: Duration,
+    pub inter_data_centre_delay: Duration,
 }
 
-impl Size {
-    /// Booking and redemption of the voucher guild.
-    pub const GUILD: Size = Size {
+impl ServiceSize {
+    /// The booking and redemption service of the voucher guild.
+    pub const VOUCHER_GUILD: ServiceSize = ServiceSize {
         name: "7x7 3ms",
         upstreams: 7,
         slots: 7,
-        far: Duration::from_millis(3),
+        inter_data_centre_delay: Duration::from_millis(3),
     };
-    /// Badge register of the co-operative.
-    pub const COOP: Size = Size {
+    /// The badge register of the co-operative.
+    pub const CO_OPERATIVE: ServiceSize = ServiceSize {
         name: "7x2 5ms",
         upstreams: 7,
         slots: 2,
-        far: Duration::from_millis(5),
+        inter_data_centre_delay: Duration::from_millis(5),
     };
-    /// A service with more peers than are all asked.
-    pub const WIDE: Size = Size {
+    /// A service with more peers than an agent asks for one request.
+    pub const MANY_PEERS: ServiceSize = ServiceSize {
         name: "64x7 3ms",
         upstreams: 64,
         slots: 7,
-        far: Duration::from_millis(3),
+        inter_data_centre_delay: Duration::from_millis(3),
     };
 }
 
-/// What goes wrong during a run.
+/// Conditions of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Scenario {
-    /// Nothing.
+    /// Load without faults.
     Steady,
-    /// Feeds with heavy-tailed life spans are held without taking slots.
+    /// Feeds with heavy-tailed durations are open, which take no slots.
     Feeds,
-    /// One upstream leaves after a third of the run; the load is in proportion
-    /// to the slots that stay.
+    /// One upstream leaves after a third of the run. The load is relative to the
+    /// slots of the remaining upstreams.
     Leaving,
-    /// One upstream serves at a quarter of the speed for the first 10 s.
+    /// The requests of one upstream take four times as long for the first 10 s.
     Cold,
-    /// One upstream reports no load and ten times its slots.
+    /// One upstream reports no load and ten times its slots, both wrong.
     WrongLoad,
-    /// Published counts arrive 5 s old.
-    LateNews,
+    /// Published load counts are 5 s old when they arrive.
+    StaleLoad,
 }
 
 impl fmt::Display for Scenario {
@@ -67,80 +67,80 @@
             Scenario::Leaving => "leaving",
             Scenario::Cold => "cold",
             Scenario::WrongLoad => "wrong load",
-            Scenario::LateNews => "late news",
+            Scenario::StaleLoad => "late news",
         })
     }
 }
 
-/// How requests are placed.
+/// How an upstream is chosen for a request.
 #[derive(Debug, Clone)]
-pub enum Kind {
-    /// The admission of this project at the upstream of the connection.
+pub enum PlacementPolicy {
+    /// The admission of this project, at the upstream of the connection.
     Admit(Settings),
-    /// Hash of the connection over the current table.
+    /// The upstream of the connection, by hash over the current table.
     Hash,
-    /// Each of the balancers takes the upstreams in turn.
+    /// Each balancer takes the upstreams in turn.
     RoundRobin,
-    /// Each of the balancers takes the least reported load, plus what it sent
-    /// there itself since the report.
+    /// Each balancer takes the upstream with the lowest sum of its reported load
+    /// and the requests that the balancer has sent to it since the report.
     LeastLoad,
-    /// One queue before all slots, without delays: the bound of what any
-    /// placement can reach in the steady scenario.
+    /// One queue for the slots of all upstreams, without delays: an upper bound
+    /// for any placement in the steady scenario.
     OneQueue,
 }
 
-/// A named way to place requests.
+/// A placement policy with a name.
 #[derive(Debug, Clone)]
 pub struct Variant {
     /// Name in the output.
     pub name: String,
-    /// The way.
-    pub kind: Kind,
+    /// The placement policy.
+    pub policy: PlacementPolicy,
 }
 
 impl Variant {
-    /// An admission with these settings.
+    /// The admission with these settings.
     #[must_use]
     pub fn admit(name: &str, settings: Settings) -> Self {
         Variant {
             name: name.to_owned(),
-            kind: Kind::Admit(settings),
+            policy: PlacementPolicy::Admit(settings),
         }
     }
 
     /// This design and its baselines.
     #[must_use]
-    pub fn all() -> Vec<Self> {
-        let without = Settings {
+    pub fn design_and_baselines() -> Vec<Self> {
+        let without_hand_off = Settings {
             hand_off_enabled: false,
             ..Settings::default()
         };
-        let plain = |name: &str, kind| Variant {
+        let baseline = |name: &str, policy| Variant {
             name: name.to_owned(),
-            kind,
+            policy,
         };
         vec![
             Variant::admit("this design", Settings::default()),
-            Variant::admit("no hand-off", without),
-            plain("plain hash", Kind::Hash),
-            plain("round robin", Kind::RoundRobin),
-            plain("least load", Kind::LeastLoad),
-            plain("(one queue)", Kind::OneQueue),
+            Variant::admit("no hand-off", without_hand_off),
+            baseline("plain hash", PlacementPolicy::Hash),
+            baseline("round robin", PlacementPolicy::RoundRobin),
+            baseline("least load", PlacementPolicy::LeastLoad),
+            baseline("(one queue)", PlacementPolicy::OneQueue),
         ]
     }
 }
 
-/// One point of the benchmark.
+/// Parameters of a simulation run.
 #[derive(Debug, Clone, Copy)]
 pub struct Case {
-    /// Upstreams and delays.
-    pub size: Size,
-    /// What goes wrong.
+    /// Size of the service.
+    pub size: ServiceSize,
+    /// Conditions of the run.
     pub scenario: Scenario,
-    /// Offered load as a share of the slots.
+    /// Offered load as a fraction of the slots.
     pub load: f64,
-    /// Length of the run.
-    pub length: Duration,
-    /// Seed of arrivals, times and choices.
+    /// Simulated duration of the run.
+    pub duration: Duration,
+    /// Seed for arrivals, service times and random choices.
     pub seed: u64,
 }
--- a/crates/bench/src/admission/mod.rs
+++ b/crates/bench/src/admission/mod.rs
@@ -1,13 +1,13 @@
-//! Runs the admission over a seeded list of arrivals.
+//! Discrete-event simulation of the admission, with seeded arrivals.
 //!
 //! Events are handled in time order. Messages between agents take a one-way
-//! delay, and counts that are published arrive late. Nothing else of hosts or
-//! networks is modelled: no loss, no processing time.
+//! delay, and published load counts arrive with a delay. Packet loss and
+//! processing time are not simulated.
 
 mod case;
 mod figures;
 mod run;
 
-pub use case::{Case, Kind, Scenario, Size, Variant};
+pub use case::{Case, PlacementPolicy, Scenario, ServiceSize, Variant};
 pub use figures::Figures;
 pub use run::run;
--- a/crates/bench/src/bin/admission.rs
+++ b/crates/bench/src/bin/admission.rs
@@ -1,12 +1,13 @@
-//! Compares the admission with its baselines over seeded arrivals.
+//! Compares the admission with its baselines in a simulation with seeded
+//! arrivals.
 //!
 //! Prints one row for each case and variant: the median over the seeds and, in
-//! brackets, the least and the greatest value.
+//! brackets, the minimum and the maximum.
 
 use std::time::Duration;
 
 use admit::{QueueOrder, Settings};
-use bench::admission::{Case, Figures, Scenario, Size, Variant, run};
+use bench::admission::{Case, Figures, Scenario, ServiceSize, Variant, run};
 use clap::Parser;
 use comfy_table::{Table, presets::ASCII_MARKDOWN};
 
@@ -29,24 +30,28 @@
 
 fn main() {
     let args = Args::parse();
-    let variants = if args.tune { tuned() } else { Variant::all() };
+    let variants = if args.tune {
+        settings_variants()
+    } else {
+        Variant::design_and_baselines()
+    };
     let mut table = Table::new();
     table.load_preset(ASCII_MARKDOWN);
-    let heads = ["size", "scenario", "load", "variant"];
-    table.set_header(heads.iter().chain(&Figures::NAMES));
+    let columns = ["size", "scenario", "load", "variant"];
+    table.set_header(columns.iter().chain(&Figures::NAMES));
     let sizes = if args.wide {
-        vec![Size::WIDE]
+        vec![ServiceSize::MANY_PEERS]
     } else {
-        vec![Size::GUILD, Size::COOP]
+        vec![ServiceSize::VOUCHER_GUILD, ServiceSize::CO_OPERATIVE]
     };
     for size in sizes {
-        for (scenario, load) in points(args.wide) {
+        for (scenario, load) in scenarios_and_loads(args.wide) {
             for variant in &variants {
                 let case = Case {
                     size,
                     scenario,
                     load,
-                    length: Duration::from_secs(args.seconds),
+                    duration: Duration::from_secs(args.seconds),
                     seed: 0,
                 };
                 table.add_row(row(&case, variant, args.seeds));
@@ -56,8 +61,8 @@
     println!("{table}");
 }
 
-fn points(wide: bool) -> Vec<(Scenario, f64)> {
-    let mut points = vec![
+fn scenarios_and_loads(wide: bool) -> Vec<(Scenario, f64)> {
+    let mut scenarios_and_loads = vec![
         (Scenario::Steady, 0.5),
         (Scenario::Steady, 0.8),
         (Scenario::Steady, 0.95),
@@ -65,18 +70,18 @@
         (Scenario::Leaving, 0.8),
         (Scenario::Cold, 0.8),
         (Scenario::WrongLoad, 0.8),
-        (Scenario::LateNews, 0.8),
+        (Scenario::StaleLoad, 0.8),
         (Scenario::Steady, 2.0),
         (Scenario::Steady, 5.0),
     ];
     if wide {
-        // The other points take minutes at this size.
-        points.truncate(3);
+        // The other scenarios take minutes at this size.
+        scenarios_and_loads.truncate(3);
     }
-    points
+    scenarios_and_loads
 }
 
-fn tuned() -> Vec<Variant> {
+fn settings_variants() -> Vec<Variant> {
     let with = |name: &str, change: fn(&mut Settings)| {
         let mut settings = Settings::default();
         change(&mut settings);
@@ -129,7 +134,7 @@
 
 fn row(case: &Case, variant: &Variant, seeds: u64) -> Vec<String> {
     let runs: Vec<[f64; 12]> = (1..=seeds)
-        .map(|seed| run(&Case { seed, ..*case }, &variant.kind).values())
+        .map(|seed| run(&Case { seed, ..*case }, &variant.policy).values())
         .collect();
     let head = [
         case.size.name.to_owned(),
--- a/crates/bench/src/bin/control.rs
+++ b/crates/bench/src/bin/control.rs
@@ -1,5 +1,5 @@
-//! Measures the control group: three control hosts, each on a thread of its
-//! own, and nodes as tasks, over the loopback. Ends within two minutes.
+//! Measures the control group: three control hosts, each on its own thread, and
+//! nodes as tasks, over the loopback interface. Takes less than two minutes.
 
 use std::{
     cell::RefCell,
@@ -27,29 +27,29 @@
 };
 use wire::{ServiceSubset, SyncReply, SyncRequest, request::ChangeReply};
 
-/// Time for anything to come about.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout for a change and for its distribution.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 const SERVICES: [&str; 2] = ["booking", "intake"];
 
 fn main() {
-    states();
-    announcements();
-    System::new().block_on(group());
+    measure_state_codec();
+    measure_announcements();
+    System::new().block_on(measure_group());
 }
 
-fn table<const N: usize>(title: &str, heads: [&str; N]) -> Table {
+fn table<const N: usize>(title: &str, columns: [&str; N]) -> Table {
     println!("\n{title}");
     let mut table = Table::new();
-    table.load_preset(ASCII_MARKDOWN).set_header(heads);
+    table.load_preset(ASCII_MARKDOWN).set_header(columns);
     table
 }
 
-fn millis(micros: u64) -> String {
+fn format_millis(micros: u64) -> String {
     format!("{}.{:03}", micros / 1000, micros % 1000)
 }
 
-fn micros(time: Duration) -> u64 {
+fn as_micros(time: Duration) -> u64 {
     u64::try_from(time.as_micros()).unwrap()
 }
 
@@ -62,7 +62,7 @@
     }
 }
 
-fn create(name: &str, n: u32) -> Change {
+fn create_service(name: &str, n: u32) -> Change {
     let address = std::net::Ipv4Addr::from(0x0a00_0000 + n);
     Change::CreateService {
         name: name.parse().unwrap(),
@@ -81,8 +81,9 @@
     }
 }
 
-/// Size of the state and time to encode and to read it, by services.
-fn states() {
+/// Measures the encoded size of the state and the times to encode, decode and
+/// change it, by number of services.
+fn measure_state_codec() {
     let mut table = table(
         "State by number of services, each with one target",
         [
@@ -104,29 +105,29 @@
         };
         for n in 0..count {
             let name = format!("service-{n}");
-            let base = apply(&mut state, Revision(0), create(&name, n));
+            let base = apply(&mut state, Revision(0), create_service(&name, n));
             apply(&mut state, base, set_target(&name, 7));
         }
         let started = Instant::now();
         let mut bytes = Vec::new();
         state.encode(&mut bytes).unwrap();
-        let encoded = started.elapsed();
+        let encode_time = started.elapsed();
         let started = Instant::now();
         black_box(config::State::decode(&bytes[..]).unwrap());
-        let decoded = started.elapsed();
+        let decode_time = started.elapsed();
         let mut base = state.revision();
         let name = format!("service-{}", count - 1);
         let started = Instant::now();
         for n in 0..100 {
             base = apply(&mut state, base, set_target(&name, n + 1));
         }
-        let changed = started.elapsed() / 100;
+        let change_time = started.elapsed() / 100;
         table.add_row([
             count.to_string(),
             bytes.len().to_string(),
-            millis(micros(encoded)),
-            millis(micros(decoded)),
-            micros(changed).to_string(),
+            format_millis(as_micros(encode_time)),
+            format_millis(as_micros(decode_time)),
+            as_micros(change_time).to_string(),
         ]);
     }
     println!("{table}");
@@ -169,8 +170,8 @@
     }
 }
 
-/// Cost of an announcement at the leader, by upstreams.
-fn announcements() {
+/// Measures the cost of an announcement at the leader, by number of upstreams.
+fn measure_announcements() {
     let mut table = table(
         "One announcement at the leader, 10 upstreams a service",
         ["upstreams", "registry us", "node us"],
@@ -199,7 +200,7 @@
                 registry.announce(now, host, announcement);
             }
         }
-        let announced = started.elapsed();
+        let announce_time = started.elapsed();
         let requests: Vec<_> = (0..count).map(|n| sync_request(host(n), None)).collect();
         let mut nodes = Nodes::default();
         let started = Instant::now();
@@ -208,17 +209,17 @@
                 nodes.note(now, request);
             }
         }
-        let noted = started.elapsed();
+        let note_time = started.elapsed();
         let each = |time: Duration| {
             let nanos = time.as_nanos() / u128::from(rounds * count);
             format!("{}.{:03}", nanos / 1000, nanos % 1000)
         };
-        table.add_row([count.to_string(), each(announced), each(noted)]);
+        table.add_row([count.to_string(), each(announce_time), each(note_time)]);
     }
     println!("{table}");
 }
 
-/// A control host on a thread of its own.
+/// A control host on its own thread.
 struct Host {
     metrics: prometheus::Registry,
     stop: watch::Sender<bool>,
@@ -249,16 +250,16 @@
     }
 }
 
-/// When each revision was in force at each node.
-type Applied = Rc<RefCell<Vec<(Revision, Instant)>>>;
+/// The revisions that a node applied, with the time of each.
+type AppliedRevisions = Rc<RefCell<Vec<(Revision, Instant)>>>;
 
-/// A node as a task.
+/// A node that runs as two tasks.
 struct Node {
     role: Role,
     http: Http,
-    applied: Applied,
+    applied: AppliedRevisions,
     tasks: [JoinHandle<()>; 2],
-    /// Kept, so that the task does not wait for the end of the reports.
+    /// Keeps the channel of reports open, which the sync task reads.
     report: watch::Sender<NodeReport>,
 }
 
@@ -274,7 +275,7 @@
             cfg.subset = ServiceSubset::Named([upstream.service.clone()].into());
         }
         let http = Http::default();
-        let applied: Applied = Rc::default();
+        let applied: AppliedRevisions = Rc::default();
         let (report, reports) = watch::channel(report);
         let (tx, mut rx) = mpsc::channel(4);
         let sync = actix_rt::spawn(SyncTask::new(cfg, http.clone(), reports, tx).run());
@@ -297,8 +298,8 @@
         }
     }
 
-    /// When a revision was first in force.
-    fn in_force(&self, revision: Revision) -> Option<Instant> {
+    /// When the node applied a revision or a later one, if it has.
+    fn applied_at(&self, revision: Revision) -> Option<Instant> {
         let applied = self.applied.borrow();
         let first = applied.iter().find(|(have, _)| *have >= revision);
         first.map(|(_, at)| *at)
@@ -343,22 +344,25 @@
             _dir: dir,
         };
         for (n, name) in (0..).zip(SERVICES) {
-            group.send(Revision(0), create(name, n)).await;
+            group.send(Revision(0), create_service(name, n)).await;
         }
         group.base = Revision(0);
         group
     }
 
-    /// Sends a change; returns its revision and when the answer came.
+    /// Sends a change. Returns its revision and the time of the answer.
     async fn send(&mut self, base: Revision, change: Change) -> (Revision, Instant) {
         let req = request(base, change);
-        let reply = self.operator.change(&req, Instant::now() + PATIENCE).await;
+        let reply = self
+            .operator
+            .change(&req, Instant::now() + WAIT_TIMEOUT)
+            .await;
         let ChangeReply::Final(answer) = reply else {
-            panic!("no answer: {reply:?}");
+            panic!("expected a final answer, got {reply:?}");
         };
         match answer {
             Answer::Accepted(revision) => (revision, Instant::now()),
-            // The first change names no revision; the conflict tells it.
+            // The first change has no base revision; the conflict contains it.
             Answer::Conflict(conflict) => Box::pin(self.send(conflict.winner, req.change)).await,
             Answer::Refused(refusal) => panic!("refused: {refusal}"),
         }
@@ -379,19 +383,19 @@
     }
 }
 
-async fn group() {
+async fn measure_group() {
     let mut group = Group::start().await;
-    acceptance(&mut group).await;
-    distribution(&mut group).await;
-    traffic(&mut group).await;
-    catch_up(&mut group).await;
+    measure_acceptance(&mut group).await;
+    measure_distribution(&mut group).await;
+    measure_traffic(&mut group).await;
+    measure_catch_up(&mut group).await;
     for host in group.hosts {
         host.stop.send_replace(true);
         host.thread.join().unwrap();
     }
 }
 
-async fn acceptance(group: &mut Group) {
+async fn measure_acceptance(group: &mut Group) {
     group.change().await;
     let leader = group.leader();
     let syncs = |group: &Group| group.hosts[leader].gauge("limpet_control_disk_syncs");
@@ -401,7 +405,7 @@
     for _ in 0..count {
         let asked = Instant::now();
         let (_, at) = group.change().await;
-        times.record(micros(at - asked)).unwrap();
+        times.record(as_micros(at - asked)).unwrap();
     }
     let mut table = table(
         "Acceptance of a change, one after the other, three hosts",
@@ -414,23 +418,26 @@
     );
     table.add_row([
         count.to_string(),
-        millis(times.value_at_quantile(0.5)),
-        millis(times.value_at_quantile(0.99)),
+        format_millis(times.value_at_quantile(0.5)),
+        format_millis(times.value_at_quantile(0.99)),
         format!("{:.2}", (syncs(group) - before) / f64::from(count)),
     ]);
     println!("{table}");
 }
 
-/// Waits until every node has a revision in force.
-async fn wait_for(nodes: &[Node], revision: Revision) {
-    let deadline = Instant::now() + PATIENCE;
-    while nodes.iter().any(|node| node.in_force(revision).is_none()) {
-        assert!(Instant::now() < deadline, "{revision} is not in force");
+/// Waits until every node has applied a revision.
+async fn wait_until_applied(nodes: &[Node], revision: Revision) {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
+    while nodes.iter().any(|node| node.applied_at(revision).is_none()) {
+        assert!(
+            Instant::now() < deadline,
+            "a node has not applied {revision} within {WAIT_TIMEOUT:?}"
+        );
         sleep(Duration::from_millis(10)).await;
     }
 }
 
-async fn distribution(group: &mut Group) {
+async fn measure_distribution(group: &mut Group) {
     let mut table = table(
         "From the answer to a change until it is in force",
         ["nodes", "pause ms", "changes", "p50 ms", "p99 ms", "max ms"],
@@ -442,50 +449,56 @@
                 Node::start(&group.control, &host, Role::Balancer, NodeReport::default())
             })
             .collect();
-        wait_for(&nodes, group.base).await;
+        wait_until_applied(&nodes, group.base).await;
         sleep(Duration::from_secs(1)).await;
-        // Changes after a quiet time, and in a burst.
+        // Changes with long intervals, and in quick succession.
         for (pause, changes) in [(613, 8), (137, 12)] {
-            let times = in_force(group, &nodes, pause, changes).await;
+            let times = distribution_times(group, &nodes, pause, changes).await;
             table.add_row([
                 count.to_string(),
                 pause.to_string(),
                 changes.to_string(),
-                millis(times.value_at_quantile(0.5)),
-                millis(times.value_at_quantile(0.99)),
-                millis(times.max()),
+                format_millis(times.value_at_quantile(0.5)),
+                format_millis(times.value_at_quantile(0.99)),
+                format_millis(times.max()),
             ]);
         }
     }
     println!("{table}");
 }
 
-/// Times until changes are in force on each node.
-async fn in_force(group: &mut Group, nodes: &[Node], pause: u64, changes: u32) -> Histogram<u64> {
+/// Makes changes; returns the times from their acceptance until each node has
+/// applied them.
+async fn distribution_times(
+    group: &mut Group,
+    nodes: &[Node],
+    pause: u64,
+    changes: u32,
+) -> Histogram<u64> {
     let mut accepted = Vec::new();
     for _ in 0..changes {
         accepted.push(group.change().await);
         sleep(Duration::from_millis(pause)).await;
     }
-    wait_for(nodes, group.base).await;
+    wait_until_applied(nodes, group.base).await;
     let mut times = Histogram::new(3).unwrap();
     for (revision, accepted) in accepted {
         for node in nodes {
-            let at = node.in_force(revision).unwrap_or(accepted);
+            let at = node.applied_at(revision).unwrap_or(accepted);
             let time = at.saturating_duration_since(accepted);
-            times.record(micros(time)).unwrap();
+            times.record(as_micros(time)).unwrap();
         }
     }
     times
 }
 
-/// Bytes of the heads of a request and of its reply.
-async fn heads(leader: SocketAddr) -> (u64, u64) {
+/// Lengths in bytes of the heads of a sync request and of its reply.
+async fn head_lengths(leader: SocketAddr) -> (u64, u64) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let req = sync_request("lb-0".parse().unwrap(), None);
     let body = wire::encode(&req).unwrap();
-    let sent = thread::spawn(move || head(&mut listener.accept().unwrap().0));
+    let sent = thread::spawn(move || head_length(&mut listener.accept().unwrap().0));
     let deadline = Instant::now() + Duration::from_millis(300);
     let _: client::Result<SyncReply> = Http::default()
         .post(address, "/v1/sync", &req, deadline)
@@ -496,10 +509,10 @@
         format!("POST /v1/sync HTTP/1.1\r\nhost: {leader}\r\ncontent-length: {len}\r\n\r\n");
     stream.write_all(start.as_bytes()).unwrap();
     stream.write_all(&body).unwrap();
-    (sent.join().unwrap(), head(&mut stream))
+    (sent.join().unwrap(), head_length(&mut stream))
 }
 
-fn head(stream: &mut TcpStream) -> u64 {
+fn head_length(stream: &mut TcpStream) -> u64 {
     let mut bytes = Vec::new();
     let mut buf = [0; 1];
     while !bytes.ends_with(b"\r\n\r\n") {
@@ -509,8 +522,8 @@
     bytes.len() as u64
 }
 
-/// The nodes of an early user: 10 upstreams and 4 balancers.
-fn users(control: &[SocketAddr]) -> Vec<Node> {
+/// Starts the nodes of the site of an early user: 10 upstreams and 4 balancers.
+fn start_user_nodes(control: &[SocketAddr]) -> Vec<Node> {
     let agents = (0..10).map(|n| {
         let service = SERVICES[usize::from(n >= 7)];
         let report = NodeReport {
@@ -530,10 +543,10 @@
     agents.chain(balancers).collect()
 }
 
-async fn traffic(group: &mut Group) {
-    let (request_head, reply_head) = heads(group.control[group.leader()]).await;
-    let nodes = users(&group.control);
-    // Until every upstream has its full share.
+async fn measure_traffic(group: &mut Group) {
+    let (request_head, reply_head) = head_lengths(group.control[group.leader()]).await;
+    let nodes = start_user_nodes(&group.control);
+    // Waits until every upstream has its full share.
     sleep(Duration::from_secs(14)).await;
     let title = format!(
         "Bytes a second of a node, both ways, heads of {request_head} and {reply_head} bytes included"
@@ -556,7 +569,7 @@
             if n < rounds {
                 group.change().await;
             }
-            // ClassLoads change all the time.
+            // Loads change all the time, without a notification to the sync task.
             for (id, node) in nodes.iter().enumerate() {
                 node.report.send_if_modified(|report| {
                     if let Some(upstream) = &mut report.upstream {
@@ -598,18 +611,18 @@
     println!("{table}");
 }
 
-async fn catch_up(group: &mut Group) {
-    let _nodes = users(&group.control);
+async fn measure_catch_up(group: &mut Group) {
+    let _nodes = start_user_nodes(&group.control);
     sleep(Duration::from_secs(4)).await;
     let leader = group.control[group.leader()];
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     let http = Http::default();
     let sync = async |have| -> SyncReply {
         let req = sync_request("lb-9".parse().unwrap(), have);
         http.post(leader, "/v1/sync", &req, deadline).await.unwrap()
     };
     let SyncReply::Update(update) = sync(None).await else {
-        panic!("no version");
+        panic!("the first sync returned no update");
     };
     let have = update.version;
     for _ in 0..500 {
@@ -625,7 +638,7 @@
         let reply = sync(have).await;
         let time = asked.elapsed();
         let SyncReply::Update(update) = reply else {
-            panic!("no update: {reply:?}");
+            panic!("expected an update, got {reply:?}");
         };
         assert!(update.version.revision >= group.base);
         let bytes = http.traffic().received - before.received;
@@ -633,7 +646,7 @@
             name.into(),
             "1".into(),
             bytes.to_string(),
-            millis(micros(time)),
+            format_millis(as_micros(time)),
         ]);
     }
     println!("{table}");
--- a/crates/bench/src/bin/datagrams.rs
+++ b/crates/bench/src/bin/datagrams.rs
@@ -1,8 +1,8 @@
-//! Compares the data path of a balancer with a bare UDP relay that makes the
-//! same socket calls.
+//! Compares the throughput of a balancer's data path with a bare UDP relay that
+//! makes the same socket calls.
 //!
-//! Each runs on a thread of its own and is saturated by two sending threads.
-//! The rounds are interleaved; a ratio is taken within a round.
+//! Each runs on its own thread and is saturated by two sending threads. The
+//! rounds are interleaved, and each ratio is of two rates of the same round.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -34,57 +34,59 @@
 
 const ROUNDS: usize = 21;
 
-/// Time before and time of each measurement.
+/// Time before each measurement, and its duration.
 const WARM_UP: Duration = Duration::from_millis(100);
-const WINDOW: Duration = Duration::from_millis(400);
+const MEASUREMENT_WINDOW: Duration = Duration::from_millis(400);
 
-/// Bytes of each QUIC packet; a small one shows the cost of a decision most.
-const PACKET: usize = 200;
+/// Length of each QUIC packet. With a small one the cost of a decision weighs
+/// most.
+const PACKET_BYTES: usize = 200;
 
-/// Datagrams that the relay takes before it looks up, as the data path does.
-const BATCH: usize = 64;
+/// Number of datagrams that the relay receives before it yields, as the data path
+/// does.
+const MAX_BATCH_DATAGRAMS: usize = 64;
 
-/// Target: least ratio to the bare relay.
-const TARGET: f64 = 0.8;
+/// Target for the rate of the balancer relative to the bare relay.
+const TARGET_RATIO: f64 = 0.8;
 
-/// A table and the flows through it.
+/// Size of a routing table and number of flows through it.
 #[derive(Debug, Clone, Copy)]
-struct Size {
+struct TableSize {
     services: u32,
     upstreams: u32,
     flows: usize,
 }
 
-const SIZES: [Size; 3] = [
-    Size {
+const TABLE_SIZES: [TableSize; 3] = [
+    TableSize {
         services: 1,
         upstreams: 14,
         flows: 1_000,
     },
-    Size {
+    TableSize {
         services: 1,
         upstreams: 14,
         flows: 100_000,
     },
-    Size {
+    TableSize {
         services: 52_000,
         upstreams: 89_000,
         flows: 100_000,
     },
 ];
 
-/// What is measured, running on its own thread.
+/// A running program under test, on its own thread.
 struct Subject {
-    /// Where datagrams are sent.
+    /// Address that receives the datagrams.
     address: SocketAddr,
     forwarded: Counter,
-    /// Folder of the thread in procfs.
-    task: String,
-    /// Memory that its table took.
+    /// Directory of the thread in procfs.
+    thread_dir: String,
+    /// Growth of the resident memory when the first version was applied.
     table_kib: u64,
-    /// Time to apply the first version, and one that names every service
-    /// again, as after a change of the control leader.
-    apply: [Duration; 2],
+    /// Times to apply the first version, and a second one that contains every
+    /// service again, as after a change of the control leader.
+    apply_times: [Duration; 2],
 }
 
 enum Counter {
@@ -101,7 +103,7 @@
     }
 }
 
-/// Rate and cost in one window.
+/// Rate and cost in one measurement window.
 #[derive(Debug, Clone, Copy)]
 struct Sample {
     per_second: f64,
@@ -109,21 +111,25 @@
 }
 
 fn main() {
-    // Holds every upstream address; what it does not read is dropped.
+    // Receives on all upstream addresses. It is never read, so the kernel drops
+    // what exceeds its buffer.
     let sink = UdpSocket::bind((Ipv4Addr::UNSPECIFIED, 0)).expect("sink");
     let port = sink.local_addr().expect("address").port();
-    let mut samples: Vec<[Vec<Sample>; 2]> = SIZES.iter().map(|_| Default::default()).collect();
-    let subjects: Vec<_> = SIZES
+    let mut samples: Vec<[Vec<Sample>; 2]> =
+        TABLE_SIZES.iter().map(|_| Default::default()).collect();
+    let subjects: Vec<_> = TABLE_SIZES
         .iter()
         .map(|size| {
-            let hops = (0..size.upstreams).map(|n| upstream(n, port)).collect();
-            (flows(*size), [relay(hops), balancer(*size, port)])
+            let hops = (0..size.upstreams)
+                .map(|n| upstream_address(n, port))
+                .collect();
+            (flow_datagrams(*size), [relay(hops), balancer(*size, port)])
         })
         .collect();
     let rss_before = rss_kib();
     for round in 0..ROUNDS {
         for (at, (datagrams, pair)) in subjects.iter().enumerate() {
-            // Which one goes first alternates.
+            // Alternates which of the two is measured first.
             for side in [round % 2, (round + 1) % 2] {
                 samples[at][side].push(measure(&pair[side], datagrams));
             }
@@ -149,34 +155,36 @@
         "apply ms",
         "target",
     ]);
-    for ((size, pair), (_, [_, subject])) in SIZES.iter().zip(samples).zip(subjects) {
+    for ((size, pair), (_, [_, subject])) in TABLE_SIZES.iter().zip(samples).zip(subjects) {
         let [relay, balancer] = pair;
         let ratios = relay
             .iter()
             .zip(balancer)
             .map(|(r, b)| b.per_second / r.per_second);
         let ratios: Vec<f64> = ratios.collect();
-        let rate = |samples: &[Sample]| spread(samples.iter().map(|s| s.per_second), 0);
-        let cost = |samples: &[Sample]| spread(samples.iter().map(|s| s.cpu_nanos), 0);
-        let met = median(&ratios) >= TARGET;
+        let rate = |samples: &[Sample]| median_and_range(samples.iter().map(|s| s.per_second), 0);
+        let cost = |samples: &[Sample]| median_and_range(samples.iter().map(|s| s.cpu_nanos), 0);
+        let met = median(&ratios) >= TARGET_RATIO;
         table.add_row([
             size.services.to_string(),
             size.upstreams.to_string(),
             size.flows.to_string(),
             rate(relay),
             rate(balancer),
-            spread(ratios.iter().copied(), 2),
+            median_and_range(ratios.iter().copied(), 2),
             cost(relay),
             cost(balancer),
             subject.table_kib.to_string(),
             subject
-                .apply
+                .apply_times
                 .map(|time| time.as_millis().to_string())
                 .join(", "),
             if met { "met" } else { "missed" }.into(),
         ]);
     }
-    println!("median [least to greatest] of {ROUNDS} rounds, packets of {PACKET} bytes\n{table}");
+    println!(
+        "median [least to greatest] of {ROUNDS} rounds, packets of {PACKET_BYTES} bytes\n{table}"
+    );
 }
 
 fn median(values: &[f64]) -> f64 {
@@ -185,7 +193,7 @@
     sorted[sorted.len() / 2]
 }
 
-fn spread(values: impl Iterator<Item = f64>, digits: usize) -> String {
+fn median_and_range(values: impl Iterator<Item = f64>, digits: usize) -> String {
     let values: Vec<f64> = values.collect();
     let least = values.iter().copied().fold(f64::INFINITY, f64::min);
     let greatest = values.iter().copied().fold(0.0, f64::max);
@@ -193,7 +201,7 @@
     format!("{middle:.digits$} [{least:.digits$} to {greatest:.digits$}]")
 }
 
-/// Saturates `subject` and measures it in the middle.
+/// Saturates `subject` and measures it once the load is steady.
 fn measure(subject: &Subject, datagrams: &[Vec<u8>]) -> Sample {
     let done = AtomicBool::new(false);
     thread::scope(|scope| {
@@ -212,11 +220,15 @@
             });
         }
         thread::sleep(WARM_UP);
-        let (begun, count, cpu) = (Instant::now(), subject.forwarded.get(), cpu(&subject.task));
-        thread::sleep(WINDOW);
+        let (begun, count, cpu) = (
+            Instant::now(),
+            subject.forwarded.get(),
+            thread_cpu_nanos(&subject.thread_dir),
+        );
+        thread::sleep(MEASUREMENT_WINDOW);
         let (count, cpu) = (
             subject.forwarded.get() - count,
-            self::cpu(&subject.task) - cpu,
+            thread_cpu_nanos(&subject.thread_dir) - cpu,
         );
         let elapsed = begun.elapsed().as_secs_f64();
         done.store(true, Ordering::Relaxed);
@@ -228,9 +240,9 @@
     })
 }
 
-/// Nanoseconds that a thread has run.
-fn cpu(task: &str) -> u64 {
-    let text = fs::read_to_string(format!("{task}/schedstat")).expect("schedstat");
+/// CPU time that a thread has used, in nanoseconds.
+fn thread_cpu_nanos(thread_dir: &str) -> u64 {
+    let text = fs::read_to_string(format!("{thread_dir}/schedstat")).expect("schedstat");
     let first = text.split_whitespace().next().expect("run time");
     first.parse().expect("nanoseconds")
 }
@@ -242,27 +254,28 @@
     number.expect("VmRSS").parse().expect("KiB")
 }
 
-fn this_task() -> String {
+fn this_thread_dir() -> String {
     let link = fs::read_link("/proc/thread-self").expect("procfs");
     format!("/proc/{}", link.display())
 }
 
-fn upstream(n: u32, port: u16) -> SocketAddr {
+fn upstream_address(n: u32, port: u16) -> SocketAddr {
     let [_, a, b, c] = n.to_be_bytes();
     (Ipv4Addr::new(127, 100 + a, b, c), port).into()
 }
 
-fn service(n: u32) -> SocketAddr {
+fn service_address(n: u32) -> SocketAddr {
     let [_, a, b, c] = n.to_be_bytes();
     (Ipv4Addr::new(10, a, b, c), 443).into()
 }
 
-/// Service of an upstream: the first ones have two, the others one.
-fn service_of(size: Size, upstream: u32) -> u32 {
+/// Service of an upstream. If there are more upstreams than services, the first
+/// services have one upstream more than the others.
+fn service_of(size: TableSize, upstream: u32) -> u32 {
     upstream % size.services
 }
 
-fn id(upstream: u32) -> UpstreamId {
+fn upstream_id(upstream: u32) -> UpstreamId {
     UpstreamId(u64::from(upstream).wrapping_mul(0x9e37_79b9_7f4a_7c15))
 }
 
@@ -277,8 +290,8 @@
     }
 }
 
-/// One datagram of each flow, with its prefix.
-fn flows(size: Size) -> Vec<Vec<u8>> {
+/// One datagram of each flow, with the prefix of the fabric.
+fn flow_datagrams(size: TableSize) -> Vec<Vec<u8>> {
     let codec = CidCodec::new(&keys());
     let flow = |n: usize| {
         let n = u32::try_from(n).expect("few flows");
@@ -286,45 +299,45 @@
         let service_id = service_of(size, upstream);
         let cid = codec.encode(
             &ConnectionId {
-                upstream: id(upstream),
+                upstream: upstream_id(upstream),
                 tag: ServiceTag::from(ServiceId(service_id)),
                 nonce: n,
             },
             0,
         );
         let caller = (Ipv4Addr::from_bits(0xc612_0000 + (n & 0xffff)), 50_000).into();
-        let mut datagram = Vec::with_capacity(wire::MAX_PREFIX_LEN + PACKET);
-        let service = service(service_id);
+        let mut datagram = Vec::with_capacity(wire::MAX_PREFIX_LEN + PACKET_BYTES);
+        let service = service_address(service_id);
         Endpoints { caller, service }.encode(&mut datagram);
         let start = datagram.len();
         datagram.push(0x40);
         datagram.extend_from_slice(&cid);
-        datagram.resize(start + PACKET, 0);
+        datagram.resize(start + PACKET_BYTES, 0);
         datagram
     };
     (0..size.flows).map(flow).collect()
 }
 
-fn version(size: Size, port: u16) -> Update {
+fn full_update(size: TableSize, port: u16) -> Update {
     let mut members: BTreeMap<u32, BTreeMap<UpstreamId, UpstreamMember>> = BTreeMap::new();
     for n in 0..size.upstreams {
         let member = UpstreamMember {
             host: format!("h{n}").parse().expect("name"),
             data_centre: "dc1".parse().expect("name"),
-            data_address: upstream(n, port),
-            peer_address: upstream(n, port),
+            data_address: upstream_address(n, port),
+            peer_address: upstream_address(n, port),
             state: UpstreamState::Ready,
             share: Share::FULL,
             previous_share: Share::FULL,
         };
         let of_service = members.entry(service_of(size, n)).or_default();
-        of_service.insert(id(n), member);
+        of_service.insert(upstream_id(n), member);
     }
     let state = |(n, members)| ServiceState {
         service: Service {
             id: ServiceId(n),
             name: format!("s{n}").parse().expect("name"),
-            address: service(n),
+            address: service_address(n),
             revision: Revision(1),
             author: "bench".parse().expect("name"),
             targets: BTreeMap::new(),
@@ -344,34 +357,36 @@
     }
 }
 
-/// Starts the data path of a balancer with a table.
-fn balancer(size: Size, port: u16) -> Subject {
+/// Starts the data path of a balancer and applies a table of this size.
+fn balancer(size: TableSize, port: u16) -> Subject {
     let metrics = Metrics::new(&Registry::new()).expect("metrics");
     let forwarded = Counter::Balancer(metrics.forwarded.clone());
     let (steps, step_rx) = mpsc::channel(1);
     let (started_tx, started_rx) = oneshot::channel();
     thread::spawn(move || {
         actix_rt::System::new().block_on(async move {
-            let ingress = FabricIngress::open(any()).expect("fabric socket");
+            let ingress = FabricIngress::open(any_loopback_port()).expect("fabric socket");
             let address = ingress.local_addr().expect("address");
-            started_tx.send((address, this_task())).expect("main waits");
-            let agents = bind(any()).expect("agent socket");
+            started_tx
+                .send((address, this_thread_dir()))
+                .expect("main waits");
+            let agents = bind(any_loopback_port()).expect("agent socket");
             let (report, _) = watch::channel(NodeReport::default());
             let links = Links {
                 steps: step_rx,
                 report,
             };
-            // Ends with the process.
+            // Never set: the data path runs until the process ends.
             let (_stop, stop) = watch::channel(false);
             Datapath::new(ingress, agents, links, metrics, Duration::ZERO)
                 .run(stop)
                 .await;
         });
     });
-    let (address, task) = started_rx.blocking_recv().expect("started");
+    let (address, thread_dir) = started_rx.blocking_recv().expect("started");
     let mut table_kib = 0;
-    let apply = [(); 2].map(|()| {
-        let update = Box::new(version(size, port));
+    let apply_times = [(); 2].map(|()| {
+        let update = Box::new(full_update(size, port));
         let before = rss_kib();
         let begun = Instant::now();
         let (tx, rx) = oneshot::channel();
@@ -383,18 +398,18 @@
         }
         elapsed
     });
-    // The data path ends when nobody can bring a version any more.
+    // The data path would end if the sender of its updates were dropped.
     std::mem::forget(steps);
     Subject {
         address,
         forwarded,
-        task,
+        thread_dir,
         table_kib,
-        apply,
+        apply_times,
     }
 }
 
-fn any() -> SocketAddr {
+fn any_loopback_port() -> SocketAddr {
     (Ipv4Addr::LOCALHOST, 0).into()
 }
 
@@ -405,10 +420,12 @@
     let (started_tx, started_rx) = oneshot::channel();
     thread::spawn(move || {
         actix_rt::System::new().block_on(async move {
-            let receiver = bind(any()).expect("socket");
-            let sender = bind(any()).expect("socket");
+            let receiver = bind(any_loopback_port()).expect("socket");
+            let sender = bind(any_loopback_port()).expect("socket");
             let address = receiver.local_addr().expect("address");
-            started_tx.send((address, this_task())).expect("main waits");
+            started_tx
+                .send((address, this_thread_dir()))
+                .expect("main waits");
             let mut relay = Relay {
                 receiver,
                 sender,
@@ -422,13 +439,13 @@
             }
         });
     });
-    let (address, task) = started_rx.blocking_recv().expect("started");
+    let (address, thread_dir) = started_rx.blocking_recv().expect("started");
     Subject {
         address,
         forwarded: Counter::Relay(forwarded),
-        task,
+        thread_dir,
         table_kib: 0,
-        apply: [Duration::ZERO; 2],
+        apply_times: [Duration::ZERO; 2],
     }
 }
 
@@ -443,7 +460,7 @@
 
 impl Relay {
     fn poll(&mut self, cx: &mut Context<'_>) -> Poll<()> {
-        for _ in 0..BATCH {
+        for _ in 0..MAX_BATCH_DATAGRAMS {
             let mut read = ReadBuf::new(&mut self.buf);
             match self.receiver.poll_recv_from(cx, &mut read) {
                 Poll::Pending => return Poll::Pending,
--- a/crates/bench/src/bin/relay.rs
+++ b/crates/bench/src/bin/relay.rs
@@ -1,8 +1,8 @@
-//! Compares the balancer of datagram flows without ids with a bare UDP relay
-//! that makes the same socket calls.
+//! Compares the throughput of the balancer for datagram flows without connection
+//! ids with a bare UDP relay that makes the same socket calls.
 //!
-//! Each runs on a thread of its own and is saturated by two sending threads.
-//! The rounds are interleaved; a ratio is taken within a round.
+//! Each runs on its own thread and is saturated by two sending threads. The
+//! rounds are interleaved, and each ratio is of two rates of the same round.
 
 use std::{
     net::{Ipv4Addr, SocketAddr, SocketAddrV4, UdpSocket},
@@ -25,26 +25,27 @@
 
 const ROUNDS: usize = 11;
 
-/// Time before and time of each measurement.
+/// Time before each measurement, and its duration.
 const WARM_UP: Duration = Duration::from_millis(100);
-const WINDOW: Duration = Duration::from_millis(400);
+const MEASUREMENT_WINDOW: Duration = Duration::from_millis(400);
 
-/// Bytes of each datagram; a small one shows the cost of a decision most.
-const DATAGRAM: usize = 200;
+/// Length of each datagram. With a small one the cost of a decision weighs most.
+const DATAGRAM_BYTES: usize = 200;
 
-/// Open flows through the balancer.
-const FLOWS: [u32; 2] = [1_000, 100_000];
+/// Numbers of open flows to measure.
+const FLOW_COUNTS: [u32; 2] = [1_000, 100_000];
 
-/// Target: least ratio to the bare relay.
-const TARGET: f64 = 0.8;
+/// Target for the rate of the balancer relative to the bare relay.
+const TARGET_RATIO: f64 = 0.8;
 
 const SERVICE: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(198, 18, 0, 1), 443);
 
-/// A protocol with the caller's number, and whether it opens a flow, in front.
+/// A protocol whose datagrams start with the number of the flow, in 4 bytes, and
+/// a byte that is 1 if the datagram opens the flow.
 #[derive(Debug, Clone, Copy)]
-struct Numbered;
+struct NumberedCodec;
 
-impl Codec for Numbered {
+impl Codec for NumberedCodec {
     fn parse(&self, datagram: &[u8]) -> Option<Segment> {
         let number = u32::from_be_bytes(datagram.get(..4)?.try_into().ok()?);
         let ip = Ipv4Addr::from_bits(u32::from(Ipv4Addr::new(100, 64, 0, 0)) + (number >> 12));
@@ -69,8 +70,8 @@
     }
 }
 
-fn datagram(flow: u32, opens: bool) -> [u8; DATAGRAM] {
-    let mut datagram = [0; DATAGRAM];
+fn datagram(flow: u32, opens: bool) -> [u8; DATAGRAM_BYTES] {
+    let mut datagram = [0; DATAGRAM_BYTES];
     datagram[..4].copy_from_slice(&flow.to_be_bytes());
     datagram[4] = u8::from(opens);
     datagram
@@ -87,27 +88,27 @@
     }
 }
 
-/// What stands between the senders and the sink.
+/// The program under test between the senders and the sink.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Subject {
     Bare,
     Balancer,
 }
 
-/// Passes on each datagram as it is.
-async fn bare(ingress: SocketAddrV4, sink: SocketAddrV4) {
+/// Forwards each datagram unchanged.
+async fn run_bare_relay(ingress: SocketAddrV4, sink: SocketAddrV4) {
     let from = net::bind_udp(ingress.into()).expect("ingress");
     let to = net::bind_udp(free_address().into()).expect("egress");
     let mut buf = vec![0; 64 * 1024];
     loop {
         if let Ok((len, _)) = from.recv_from(&mut buf).await {
-            // A datagram may be lost anyway.
+            // A failed send is a lost datagram, which UDP allows.
             let _ = to.send_to(&buf[..len], sink).await;
         }
     }
 }
 
-async fn balancer(ingress: SocketAddrV4, peer: SocketAddrV4) {
+async fn run_balancer(ingress: SocketAddrV4, peer: SocketAddrV4) {
     let (updates, received) = mpsc::channel(4);
     let (ready, _readiness) = watch::channel(false);
     let settings = BalancerSettings {
@@ -119,9 +120,9 @@
         link_rate: None,
         steering: SteeringSettings::default(),
     };
-    let task = Balancer::new(settings, Numbered, received, ready, &Registry::new());
+    let task = Balancer::new(settings, NumberedCodec, received, ready, &Registry::new());
     let rule = RoutingRule {
-        weights: [(service(), RouteWeight(1))].into(),
+        weights: [(service_name(), RouteWeight(1))].into(),
     };
     let routes = RoutingSet {
         number: RoutingSetNumber(1),
@@ -133,23 +134,23 @@
     task.expect("a balancer").run().await;
 }
 
-fn service() -> ServiceName {
+fn service_name() -> ServiceName {
     "vouchers".parse().expect("a name")
 }
 
-/// Datagrams a second that reach the sink.
-fn rate(subject: Subject, flows: u32) -> f64 {
+/// Measures the datagrams per second that reach the sink.
+fn measure_rate(subject: Subject, flows: u32) -> f64 {
     let sink = socket();
     let Ok(SocketAddr::V4(sink_address)) = sink.local_addr() else {
         panic!("no IPv4 address");
     };
     let (ingress, peer) = (free_address(), free_address());
-    // The thread lives until the process ends; its sockets then cost nothing.
+    // The thread lives until the process ends; without senders it is idle.
     thread::spawn(move || {
         System::new().block_on(async {
             match subject {
-                Subject::Bare => bare(ingress, sink_address).await,
-                Subject::Balancer => balancer(ingress, peer).await,
+                Subject::Bare => run_bare_relay(ingress, sink_address).await,
+                Subject::Balancer => run_balancer(ingress, peer).await,
             }
         });
     });
@@ -157,17 +158,17 @@
     if subject == Subject::Balancer {
         open_flows(&sink, ingress, peer, flows);
     }
-    let (ends, count) = (
+    let (stop, count) = (
         Arc::new(AtomicBool::new(false)),
         Arc::new(AtomicU64::new(0)),
     );
-    let counting = {
-        let (ends, count) = (ends.clone(), count.clone());
+    let counting_thread = {
+        let (stop, count) = (stop.clone(), count.clone());
         thread::spawn(move || {
             let mut buf = [0; 2048];
             let limit = Some(Duration::from_millis(20));
             sink.set_read_timeout(limit).expect("a time limit");
-            while !ends.load(Ordering::Relaxed) {
+            while !stop.load(Ordering::Relaxed) {
                 if sink.recv(&mut buf).is_ok() {
                     count.fetch_add(1, Ordering::Relaxed);
                 }
@@ -175,58 +176,59 @@
         })
     };
     let senders: Vec<_> = (0..2)
-        .map(|n| send(n, flows, ingress, ends.clone()))
+        .map(|n| start_sender(n, flows, ingress, stop.clone()))
         .collect();
     thread::sleep(WARM_UP);
     let before = count.load(Ordering::Relaxed);
-    thread::sleep(WINDOW);
+    thread::sleep(MEASUREMENT_WINDOW);
     let received = count.load(Ordering::Relaxed) - before;
-    ends.store(true, Ordering::Relaxed);
-    for thread in senders.into_iter().chain([counting]) {
+    stop.store(true, Ordering::Relaxed);
+    for thread in senders.into_iter().chain([counting_thread]) {
         thread.join().expect("the thread ends");
     }
     #[allow(clippy::cast_precision_loss)]
     let received = received as f64;
-    received / WINDOW.as_secs_f64()
+    received / MEASUREMENT_WINDOW.as_secs_f64()
 }
 
-/// Reports an agent to the balancer and opens the flows there.
+/// Reports an agent to the balancer and opens the flows at the balancer.
 fn open_flows(sink: &UdpSocket, ingress: SocketAddrV4, peer: SocketAddrV4, flows: u32) {
     let report = Message::Report(AgentReport {
         incarnation: 1,
         data_centre: "dc".parse().expect("a name"),
-        service: service(),
+        service: service_name(),
         slots: Slots(8),
         accepting: true,
         load: Load::default(),
     });
     let report = wire::encode(&report).expect("a message");
-    let opener = socket();
+    let sender = socket();
     for flow in 0..flows {
         if flow % 512 == 0 {
             sink.send_to(&report, peer).expect("sent");
-            // The balancer must take each of these.
+            // Paces the sender, because the balancer must receive each of these
+            // datagrams.
             thread::sleep(Duration::from_millis(10));
         }
-        opener
+        sender
             .send_to(&datagram(flow, true), ingress)
             .expect("sent");
     }
     thread::sleep(WARM_UP);
 }
 
-fn send(
+fn start_sender(
     n: u32,
     flows: u32,
     ingress: SocketAddrV4,
-    ends: Arc<AtomicBool>,
+    stop: Arc<AtomicBool>,
 ) -> thread::JoinHandle<()> {
     thread::spawn(move || {
         let socket = socket();
         let mut flow = n;
-        while !ends.load(Ordering::Relaxed) {
+        while !stop.load(Ordering::Relaxed) {
             flow = (flow + 2) % flows;
-            // A datagram may be lost anyway.
+            // A failed send is a lost datagram, which UDP allows.
             let _ = socket.send_to(&datagram(flow, false), ingress);
         }
     })
@@ -240,9 +242,14 @@
         "balancer, datagrams/s",
         "ratio, median (least to most)",
     ]);
-    for flows in FLOWS {
+    for flows in FLOW_COUNTS {
         let mut rounds: Vec<(f64, f64)> = (0..ROUNDS)
-            .map(|_| (rate(Subject::Bare, flows), rate(Subject::Balancer, flows)))
+            .map(|_| {
+                (
+                    measure_rate(Subject::Bare, flows),
+                    measure_rate(Subject::Balancer, flows),
+                )
+            })
             .collect();
         let ratio = |(bare, balancer): &(f64, f64)| balancer / bare;
         rounds.sort_by(|a, b| ratio(a).total_cmp(&ratio(b)));
@@ -255,5 +262,5 @@
             format!("{median:.2} ({least:.2} to {most:.2})"),
         ]);
     }
-    println!("{table}\ntarget: {TARGET}");
+    println!("{table}\ntarget: {TARGET_RATIO}");
 }
--- a/crates/bench/src/bin/requests.rs
+++ b/crates/bench/src/bin/requests.rs
@@ -1,6 +1,7 @@
-//! Answer times of requests when a balancer is lost without notice, with the
-//! agents' choice of balancers and with one at random among all known; and the
-//! cost of a hand-off. Runs whole sites on the loopback, in one process.
+//! Measures answer times of requests when a balancer fails without notice, for
+//! agents that use only reachable balancers and for agents that choose at random
+//! among all known ones; and the cost of a hand-off. Runs whole sites on the
+//! loopback interface, in one process.
 
 use std::{
     collections::BTreeSet,
@@ -32,28 +33,31 @@
 
 const SEEDS: [u64; 3] = [1, 2, 3];
 
-/// Balancers and upstreams of a site.
+/// Number of balancers and of upstreams of a site.
 const BALANCERS: u8 = 4;
 const UPSTREAMS: u8 = 2;
 
-/// Callers that each send one request after the other, and their pause.
+/// Number of callers, each of which sends one request after the other, and the
+/// interval between an answer and the next request.
 const CALLERS: usize = 8;
-const PAUSE: Duration = Duration::from_millis(5);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Time that is looked at, before and after a balancer is lost.
-const WINDOW: Duration = Duration::from_secs(1);
+/// Time of the measurement before and after a balancer fails.
+const MEASUREMENT_WINDOW: Duration = Duration::from_secs(1);
 
-/// Time after which a lost balancer is known everywhere: its lease ends.
-const LEASE: Duration = Duration::from_secs(4);
+/// Time after which the lease of a failed balancer has expired, so that no node
+/// uses it any more.
+const LEASE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Requests of each kind for the cost of a hand-off, and its rounds.
-const HAND_OFFS: usize = 200;
+/// Requests of each kind in a round that measures the cost of a hand-off, and the
+/// number of rounds.
+const REQUESTS_PER_ROUND: usize = 200;
 const ROUNDS: usize = 5;
 
-/// Longest time for anything to come about.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Timeout for a change and for the start of a site.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-type Millis = Histogram<u64>;
+type LatencyHistogram = Histogram<u64>;
 
 fn main() {
     System::new().block_on(async {
@@ -61,63 +65,67 @@
         println!("fabric   choice  seed    before p50/p99    after p50/p99/max");
         let mut range = 200;
         for seed in SEEDS {
-            let (heard, known) = tokio::join!(
+            let (reachable_only, any_known) = tokio::join!(
                 Site::start::<ReachableOnly>(range, seed, Slots(64)),
                 Site::start::<AnyKnown>(range + 1, seed, Slots(64)),
             );
-            lose("heard", seed, heard).await;
-            lose("known", seed, known).await;
+            measure_balancer_loss("heard", seed, reachable_only).await;
+            measure_balancer_loss("known", seed, any_known).await;
             range += 2;
         }
-        hand_off(range).await;
+        measure_hand_off(range).await;
     });
 }
 
-/// Loses a balancer, once while the fabric leaves it out at the same moment, so
-/// that only answers can be lost, and once while it does not.
-async fn lose(choice: &str, seed: u64, site: Site) {
+/// Measures answer times before and after a balancer fails, once with a fabric
+/// that leaves it out at the same moment, so that only answers can be lost, and
+/// once with a fabric that still uses it.
+async fn measure_balancer_loss(choice: &str, seed: u64, site: Site) {
     let mut callers = site.connect_all().await;
     for (fabric, lost) in [("aware", 0), ("unaware", 1)] {
-        // The loss before this one is known everywhere by now.
-        site.use_balancers(lost).await;
-        sleep(LEASE * u32::from(lost > 0)).await;
-        let before = load(&mut callers).await;
+        // Waits until no node uses the balancer that failed before.
+        site.leave_out_balancers(lost).await;
+        sleep(LEASE_TIMEOUT * u32::from(lost > 0)).await;
+        let before = measure_load(&mut callers).await;
         if fabric == "aware" {
-            site.use_balancers(1).await;
+            site.leave_out_balancers(1).await;
         }
         site.balancers[lost].abort();
-        let after = load(&mut callers).await;
+        let after = measure_load(&mut callers).await;
         println!(
             "{fabric:8} {choice:6} {seed:5} {:>9} /{:>7} {:>9} /{:>7} /{:>7}",
-            millis(&before, 0.5),
-            millis(&before, 0.99),
-            millis(&after, 0.5),
-            millis(&after, 0.99),
-            millis(&after, 1.0),
+            format_millis(&before, 0.5),
+            format_millis(&before, 0.99),
+            format_millis(&after, 0.5),
+            format_millis(&after, 0.99),
+            format_millis(&after, 1.0),
         );
     }
     site.stop();
 }
 
-/// Answer times of local requests beside handed-off ones, in rounds.
-async fn hand_off(range: u8) {
+/// Compares the answer times of local and handed-off requests, in rounds.
+async fn measure_hand_off(range: u8) {
     let site = Site::start::<ReachableOnly>(range, 1, Slots(1)).await;
-    println!("answer time p50 in ms, local beside handed off, {HAND_OFFS} requests of each");
+    println!(
+        "answer time p50 in ms, local beside handed off, {REQUESTS_PER_ROUND} requests of each"
+    );
     let mut costs = Vec::new();
     for round in 0..ROUNDS {
         let mut caller = site.connect().await;
-        let local = sequence(&mut caller).await;
-        // Holds the only slot of the agent, so that the others are handed off.
-        let mut held = get(&mut caller, "/feed").await;
-        held.part().await.expect("line");
-        let handed_off = sequence(&mut caller).await;
-        held.cancel();
+        let local = time_requests(&mut caller).await;
+        // Takes the only slot of the agent, so that the requests after it are
+        // handed off.
+        let mut feed = get(&mut caller, "/feed").await;
+        feed.part().await.expect("line");
+        let handed_off = time_requests(&mut caller).await;
+        feed.cancel();
         sleep(Duration::from_millis(200)).await;
         let cost = handed_off.value_at_quantile(0.5) - local.value_at_quantile(0.5);
         println!(
             "round {round}: {:>7} {:>7}",
-            millis(&local, 0.5),
-            millis(&handed_off, 0.5)
+            format_millis(&local, 0.5),
+            format_millis(&handed_off, 0.5)
         );
         costs.push(cost);
     }
@@ -129,35 +137,35 @@
     );
 }
 
-async fn sequence(caller: &mut Caller) -> Millis {
+async fn time_requests(caller: &mut Caller) -> LatencyHistogram {
     let mut times = histogram();
-    for _ in 0..HAND_OFFS {
-        times.saturating_record(timed(caller).await);
+    for _ in 0..REQUESTS_PER_ROUND {
+        times.saturating_record(time_request(caller).await);
     }
     times
 }
 
-/// Answer times of the requests that begin within the window.
-async fn load(callers: &mut [Caller]) -> Millis {
-    let until = Instant::now() + WINDOW;
-    let lanes = callers.iter_mut().map(|caller| async move {
+/// Answer times of the requests that begin within the measurement window.
+async fn measure_load(callers: &mut [Caller]) -> LatencyHistogram {
+    let until = Instant::now() + MEASUREMENT_WINDOW;
+    let request_loops = callers.iter_mut().map(|caller| async move {
         let mut times = Vec::new();
         while Instant::now() < until {
-            times.push(timed(caller).await);
-            sleep(PAUSE).await;
+            times.push(time_request(caller).await);
+            sleep(REQUEST_INTERVAL).await;
         }
         times
     });
     let mut times = histogram();
-    for time in join_all(lanes).await.into_iter().flatten() {
+    for time in join_all(request_loops).await.into_iter().flatten() {
         times.saturating_record(time);
     }
     sleep_until(until.into()).await;
     times
 }
 
-/// Microseconds to the end of the answer.
-async fn timed(caller: &mut Caller) -> u64 {
+/// Sends a request; returns the microseconds until its answer was complete.
+async fn time_request(caller: &mut Caller) -> u64 {
     let began = Instant::now();
     let mut answer = get(caller, "/").await;
     assert_eq!(answer.status, 200);
@@ -171,24 +179,24 @@
     caller.send(request).await.expect("answer")
 }
 
-fn histogram() -> Millis {
+fn histogram() -> LatencyHistogram {
     Histogram::new_with_bounds(1, 60_000_000, 3).expect("bounds")
 }
 
-/// A quantile of microseconds in milliseconds.
-fn millis(times: &Millis, quantile: f64) -> String {
+/// Formats a quantile, which is in microseconds, as milliseconds.
+fn format_millis(times: &LatencyHistogram, quantile: f64) -> String {
     let micros = times.value_at_quantile(quantile);
     format!("{}.{:03}", micros / 1000, micros % 1000)
 }
 
-/// A site in this process.
+/// A site whose balancers, agents and control host run in this process.
 struct Site {
     fabric: FabricHandle,
     range: u8,
-    /// Ends each balancer at once.
+    /// Tasks of the balancers; aborting one simulates its crash.
     balancers: Vec<JoinHandle<()>>,
-    /// Ends the control host and the agents.
-    others: Vec<watch::Sender<bool>>,
+    /// Stop the control host and the agents.
+    stop_senders: Vec<watch::Sender<bool>>,
     upstreams: Vec<UpstreamHandle>,
     _dir: TempDir,
 }
@@ -215,7 +223,7 @@
             fabric: handle,
             range,
             balancers: Vec::new(),
-            others: vec![stop_tx],
+            stop_senders: vec![stop_tx],
             upstreams: Vec::new(),
             _dir: dir,
         };
@@ -225,10 +233,10 @@
         for n in 0..UPSTREAMS {
             site.start_agent::<P>(n, control);
         }
-        site.use_balancers(0).await;
-        configure(control, service, carry).await;
-        // The balancers learn the last shares within a sync.
-        sleep(WINDOW).await;
+        site.leave_out_balancers(0).await;
+        create_service(control, service, carry).await;
+        // Waits until the balancers have received the last shares.
+        sleep(MEASUREMENT_WINDOW).await;
         site
     }
 
@@ -239,8 +247,8 @@
             return_listen: address(self.range, 11 + n, 7100),
             ..balancer::Settings::new(host, data_centre, vec![control])
         };
-        // Ended by an abort, which closes its sockets without notice; a stop
-        // would let it leave and forward for a while.
+        // The task is ended by an abort, which closes its sockets without
+        // notice; a stop would let it drain.
         self.balancers.push(actix_rt::spawn(async move {
             let (_stop_tx, stop) = watch::channel(false);
             let ended = balancer::run(cfg, &Registry::new(), stop).await;
@@ -262,27 +270,27 @@
         };
         self.upstreams.push(upstream);
         let (stop_tx, stop) = watch::channel(false);
-        self.others.push(stop_tx);
+        self.stop_senders.push(stop_tx);
         actix_rt::spawn(async move {
-            let identity =
+            let certificate =
                 ServiceCertificate::self_signed(vec!["localhost".into()]).expect("certificate");
-            let ended = run_with_policy::<P>(cfg, identity, &Registry::new(), stop).await;
+            let ended = run_with_policy::<P>(cfg, certificate, &Registry::new(), stop).await;
             ended.expect("agent");
         });
     }
 
-    /// Ends the site, so that it costs the next one no time.
+    /// Stops the site, so that it takes no CPU time from the next one.
     fn stop(self) {
         for balancer in &self.balancers {
             balancer.abort();
         }
-        for stop in &self.others {
+        for stop in &self.stop_senders {
             stop.send_replace(true);
         }
     }
 
-    /// Lets the fabric leave out the first `lost` balancers.
-    async fn use_balancers(&self, lost: usize) {
+    /// Removes the first `lost` balancers from the fabric.
+    async fn leave_out_balancers(&self, lost: usize) {
         let all = (0..BALANCERS).map(|n| fabric_address(self.range, n));
         let used: BTreeSet<SocketAddr> = all.skip(lost).collect();
         self.fabric.set_balancers(used).await;
@@ -304,8 +312,8 @@
     }
 }
 
-/// Creates the service and waits until each upstream has its share.
-async fn configure(control: SocketAddr, service: SocketAddr, carry: Slots) {
+/// Creates the service and waits until each upstream has a share above zero.
+async fn create_service(control: SocketAddr, service: SocketAddr, carry: Slots) {
     let operator = Operator::new(Http::default(), vec![control]);
     let create = Change::CreateService {
         name: name("vouchers"),
@@ -323,9 +331,12 @@
         target,
     };
     change(&operator, base, set).await;
-    let deadline = Instant::now() + PATIENCE;
-    while shared(&operator).await < usize::from(UPSTREAMS) {
-        assert!(Instant::now() < deadline, "no shares in time");
+    let deadline = Instant::now() + WAIT_TIMEOUT;
+    while upstreams_with_share(&operator).await < usize::from(UPSTREAMS) {
+        assert!(
+            Instant::now() < deadline,
+            "the upstreams got no share within {WAIT_TIMEOUT:?}"
+        );
         sleep(Duration::from_millis(100)).await;
     }
 }
@@ -337,15 +348,16 @@
         base,
         change,
     };
-    match operator.change(&req, Instant::now() + PATIENCE).await {
+    match operator.change(&req, Instant::now() + WAIT_TIMEOUT).await {
         ChangeReply::Final(Answer::Accepted(revision)) => revision,
-        other => panic!("not accepted: {other:?}"),
+        other => panic!("expected an accepted change, got {other:?}"),
     }
 }
 
-/// Upstreams that get new flows.
-async fn shared(operator: &Operator) -> usize {
-    let deadline = Instant::now() + PATIENCE;
+/// Number of upstreams with a share above zero, that is, those that get new
+/// flows.
+async fn upstreams_with_share(operator: &Operator) -> usize {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     match operator.query("/v1/query", &Query::Status, deadline).await {
         Ok(QueryReply::Status(status)) => {
             let upstreams = status.services.iter().flat_map(|s| &s.upstreams);
--- a/crates/bench/src/bin/route.rs
+++ b/crates/bench/src/bin/route.rs
@@ -1,5 +1,5 @@
-//! Compares the placement of `route` with plain hash modulo and weighted
-//! rendezvous, and times rebuilds and decisions.
+//! Compares the placement of `route` with plain hash modulo and with weighted
+//! rendezvous hashing, and measures the time of rebuilds and decisions.
 
 use std::{
     collections::BTreeMap,
@@ -17,22 +17,22 @@
 };
 
 type Shares = BTreeMap<UpstreamId, Share>;
-type Place = fn(&Shares, usize) -> Vec<UpstreamId>;
+type PlacementFn = fn(&Shares, usize) -> Vec<UpstreamId>;
 
-const SCHEMES: [(&str, Place); 3] = [
+const SCHEMES: [(&str, PlacementFn); 3] = [
     ("limpetplank", owners),
     ("modulo", modulo),
     ("rendezvous", rendezvous),
 ];
 
-/// Upstreams in a service and number of trials with other ids.
-const SIZES: [(usize, u64); 5] = [(3, 31), (7, 31), (14, 31), (100, 11), (1000, 1)];
+/// Number of upstreams in a service, and number of trials with different ids.
+const UPSTREAMS_AND_TRIALS: [(usize, u64); 5] = [(3, 31), (7, 31), (14, 31), (100, 11), (1000, 1)];
 
 fn main() {
-    rebuild();
-    decide();
-    resize();
-    movement();
+    measure_rebuild();
+    measure_decisions();
+    measure_bucket_count_change();
+    measure_movement();
 }
 
 fn hash(parts: [u64; 3]) -> u64 {
@@ -43,17 +43,18 @@
     XxHash64::oneshot(0, &bytes)
 }
 
-fn id(trial: u64, n: usize) -> UpstreamId {
+fn upstream_id(trial: u64, n: usize) -> UpstreamId {
     UpstreamId(hash([trial, n as u64, 0]))
 }
 
-/// The owners, spread over `buckets` where they have fewer.
+/// The owners of `buckets` buckets according to `route`, repeated if `route` uses
+/// fewer buckets.
 fn owners(shares: &Shares, buckets: usize) -> Vec<UpstreamId> {
     let owners: Vec<UpstreamId> = BucketOwners::new(shares).iter().collect();
     owners.iter().copied().cycle().take(buckets).collect()
 }
 
-/// Hash of the bucket modulo the number of upstreams that have a share.
+/// Owner by the hash of the bucket modulo the number of upstreams with a share.
 fn modulo(shares: &Shares, buckets: usize) -> Vec<UpstreamId> {
     let ids: Vec<UpstreamId> = shares.keys().copied().collect();
     (0..buckets)
@@ -61,7 +62,8 @@
         .collect()
 }
 
-/// The upstream with the least exponential of rate `share`, without quotas.
+/// Owner by weighted rendezvous hashing: the upstream with the lowest exponential
+/// random value of rate `share`, without quotas.
 fn rendezvous(shares: &Shares, buckets: usize) -> Vec<UpstreamId> {
     #[allow(clippy::cast_precision_loss)]
     let time = |bucket: usize, id: UpstreamId, share: Share| {
@@ -76,12 +78,14 @@
         .collect()
 }
 
-/// Share lists before and after each kind of change.
-fn changes(trial: u64, n: usize) -> Vec<(&'static str, Shares, Shares)> {
-    let base: Shares = (0..n).map(|at| (id(trial, at), Share::FULL)).collect();
+/// Shares before and after each kind of change.
+fn share_changes(trial: u64, n: usize) -> Vec<(&'static str, Shares, Shares)> {
+    let base: Shares = (0..n)
+        .map(|at| (upstream_id(trial, at), Share::FULL))
+        .collect();
     let with = |shares: &Shares, at: usize, share: u32| {
         let mut shares = shares.clone();
-        shares.insert(id(trial, at), Share(share));
+        shares.insert(upstream_id(trial, at), Share(share));
         shares.retain(|_, share| share.0 > 0);
         shares
     };
@@ -117,8 +121,8 @@
     })
 }
 
-/// Least number of buckets that any assignment with exact quotas moves.
-fn least(before: &[UpstreamId], after: &[UpstreamId]) -> i64 {
+/// Minimum number of buckets that an assignment with exact quotas moves.
+fn min_moved(before: &[UpstreamId], after: &[UpstreamId]) -> i64 {
     let (before, after) = (counts(before), counts(after));
     let gain = |(id, n): (&UpstreamId, &i64)| (n - before.get(id).unwrap_or(&0)).max(0);
     after.iter().map(gain).sum()
@@ -129,28 +133,28 @@
     (values[values.len() / 2], values[values.len() - 1])
 }
 
-/// Moved buckets over the least number, and the greatest excess of an upstream
-/// over its exact part in percent, after each change.
-fn movement() {
+/// For each change, prints the number of moved buckets relative to the minimum,
+/// and the largest excess of an upstream over its exact quota in percent.
+fn measure_movement() {
     println!("moved / least possible: median (worst); greatest excess over quota, median %");
-    for (n, trials) in SIZES {
+    for (n, trials) in UPSTREAMS_AND_TRIALS {
         let mut rows: BTreeMap<(usize, usize), (Vec<f64>, Vec<f64>)> = BTreeMap::new();
         let mut names = Vec::new();
         for trial in 0..trials {
-            let changes = changes(trial, n);
-            names = changes.iter().map(|change| change.0).collect();
-            for (row, (_, before, after)) in changes.iter().enumerate() {
+            let share_changes = share_changes(trial, n);
+            names = share_changes.iter().map(|change| change.0).collect();
+            for (row, (_, before, after)) in share_changes.iter().enumerate() {
                 let buckets = BucketOwners::new(before)
                     .bucket_count()
                     .max(BucketOwners::new(after).bucket_count());
-                let least = least(&owners(before, buckets), &owners(after, buckets));
+                let min_moved = min_moved(&owners(before, buckets), &owners(after, buckets));
                 for (column, (_, place)) in SCHEMES.iter().enumerate() {
                     let (from, to) = (place(before, buckets), place(after, buckets));
                     let moved = from.iter().zip(&to).filter(|(a, b)| a != b).count();
                     let cell = rows.entry((row, column)).or_default();
                     #[allow(clippy::cast_precision_loss)]
-                    cell.0.push(moved as f64 / least as f64);
-                    cell.1.push(excess(after, &to));
+                    cell.0.push(moved as f64 / min_moved as f64);
+                    cell.1.push(max_excess_percent(after, &to));
                 }
             }
         }
@@ -171,7 +175,7 @@
 }
 
 #[allow(clippy::cast_precision_loss)]
-fn excess(shares: &Shares, owners: &[UpstreamId]) -> f64 {
+fn max_excess_percent(shares: &Shares, owners: &[UpstreamId]) -> f64 {
     let total: u64 = shares.values().map(|share| u64::from(share.0)).sum();
     let counts = counts(owners);
     let of = |(id, n): (&UpstreamId, &i64)| {
@@ -181,7 +185,7 @@
     counts.iter().map(of).fold(0.0, f64::max)
 }
 
-fn rebuild() {
+fn measure_rebuild() {
     println!("rebuild of one service: median (worst)");
     for (n, rounds) in [
         (2, 201),
@@ -194,7 +198,9 @@
     ] {
         let mut times: Vec<f64> = (0..rounds)
             .map(|trial| {
-                let shares: Shares = (0..n).map(|at| (id(trial, at), Share::FULL)).collect();
+                let shares: Shares = (0..n)
+                    .map(|at| (upstream_id(trial, at), Share::FULL))
+                    .collect();
                 let start = Instant::now();
                 black_box(BucketOwners::new(&shares));
                 start.elapsed().as_secs_f64() * 1e3
@@ -205,11 +211,12 @@
     }
 }
 
-/// Flows that change their owner where the number of buckets changes.
-fn resize() {
+/// Counts the flows that change their owner when one upstream is added, for sizes
+/// around a change of the number of buckets.
+fn measure_bucket_count_change() {
     let flows = || (0..100_000_u64).map(|n| flow_key(ServiceId(1), &n.to_le_bytes()));
     for n in [1, 15, 16, 1024] {
-        let of = |n| (0..n).map(|at| (id(0, at), Share::FULL)).collect();
+        let of = |n| (0..n).map(|at| (upstream_id(0, at), Share::FULL)).collect();
         let (before, after) = (BucketOwners::new(&of(n)), BucketOwners::new(&of(n + 1)));
         let owner = |owners: &BucketOwners, flow| owners.owner(ServiceId(1), flow);
         let moved = flows()
@@ -222,7 +229,7 @@
     }
 }
 
-fn state(n: u32, upstreams: u32) -> ServiceState {
+fn service_state(n: u32, upstreams: u32) -> ServiceState {
     let ip = Ipv4Addr::from(0x0a00_0000 + n);
     let member = |at: u32| UpstreamMember {
         host: format!("h{n}-{at}").parse().unwrap(),
@@ -243,7 +250,7 @@
             targets: BTreeMap::new(),
         },
         members: (0..upstreams)
-            .map(|at| (id(u64::from(n), at as usize), member(at)))
+            .map(|at| (upstream_id(u64::from(n), at as usize), member(at)))
             .collect(),
         version: Version::default(),
     }
@@ -256,15 +263,16 @@
     number.unwrap_or(0)
 }
 
-/// 52,000 services of two upstreams, and 37,000 of two with 15,000 of one. The second reuses memory of the first, so only the
-/// first line of memory counts.
-fn decide() {
+/// Measures decisions with 52,000 services of two upstreams, and with 37,000
+/// services of two and 15,000 of one. The second table reuses memory of the first,
+/// so that only the first memory figure is valid.
+fn measure_decisions() {
     for (name, two) in [
         ("52,000 services, 104,000 upstreams", 52_000),
         ("52,000 services, 89,000 upstreams", 37_000),
     ] {
         let states: Vec<ServiceState> = (0..52_000)
-            .map(|n| state(n, if n < two { 2 } else { 1 }))
+            .map(|n| service_state(n, if n < two { 2 } else { 1 }))
             .collect();
         let (before, start) = (resident_kib(), Instant::now());
         let mut table = RoutingTable::default();
@@ -280,30 +288,34 @@
             .collect();
         for services in [100, states.len()] {
             let asked = &states[..services];
-            let map = lookup(asked, |service, _| assert!(plain.contains_key(&service)));
-            let placed = lookup(asked, |service, _| forwards(&table, service, None));
-            let named = lookup(asked, |service, id| forwards(&table, service, Some(id)));
-            println!("  flows of {services} services, median (p99) of means over {BATCH}, ns:");
+            let map = time_lookups(asked, |service, _| assert!(plain.contains_key(&service)));
+            let placed = time_lookups(asked, |service, _| assert_forwards(&table, service, None));
+            let named = time_lookups(asked, |service, id| {
+                assert_forwards(&table, service, Some(id));
+            });
+            println!(
+                "  flows of {services} services, median (p99) of means over {LOOKUPS_PER_BATCH}, ns:"
+            );
             println!("    plain map lookup {map}, decide by placement {placed}, by id {named}");
         }
     }
 }
 
-/// Decisions that are timed together, because one takes about as long as
-/// reading the clock.
-const BATCH: u64 = 100;
+/// Lookups that are timed together, because one takes about as long as reading
+/// the clock.
+const LOOKUPS_PER_BATCH: u64 = 100;
 
-fn forwards(table: &RoutingTable, service: ServiceId, upstream: Option<UpstreamId>) {
+fn assert_forwards(table: &RoutingTable, service: ServiceId, upstream: Option<UpstreamId>) {
     let flow = FlowKey(0x9e37_79b9_7f4a_7c15);
     let decision = table.decide(service, flow, FlowPhase::New, upstream);
     assert!(matches!(black_box(decision), Decision::Forward(_)));
 }
 
-/// Times `ask` on services in random order.
-fn lookup(states: &[ServiceState], ask: impl Fn(ServiceId, UpstreamId)) -> String {
+/// Measures the time of `ask` on random services.
+fn time_lookups(states: &[ServiceState], ask: impl Fn(ServiceId, UpstreamId)) -> String {
     let mut times = Histogram::<u64>::new(3).unwrap();
     for batch in 0..20_000 {
-        let asked: Vec<_> = (0..BATCH)
+        let asked: Vec<_> = (0..LOOKUPS_PER_BATCH)
             .map(|n| {
                 let at = usize::try_from(hash([batch, n, 5])).unwrap() % states.len();
                 let upstream = *states[at].members.keys().next().unwrap();
@@ -314,7 +326,7 @@
         for (service, upstream) in asked {
             ask(service, upstream);
         }
-        let mean = u64::try_from(start.elapsed().as_nanos()).unwrap() / BATCH;
+        let mean = u64::try_from(start.elapsed().as_nanos()).unwrap() / LOOKUPS_PER_BATCH;
         times.record(mean).unwrap();
     }
     let (median, p99) = (times.value_at_quantile(0.5), times.value_at_quantile(0.99));
--- a/crates/bench/src/bin/soak.rs
+++ b/crates/bench/src/bin/soak.rs
@@ -1,5 +1,5 @@
-//! Runs a site of real processes under load, planned events and faults, and
-//! judges it by the promises of the system.
+//! Runs a site of real processes under load, with planned events and faults, and
+//! checks the guarantees of the system.
 
 use std::{
     cell::RefCell,
@@ -10,14 +10,14 @@
     time::{Duration, Instant},
 };
 
-use bench::soak::{Faults, Figures, Load, Note, Operations, Site, Tally};
+use bench::soak::{FaultInjector, Figures, Load, Observation, Operations, Site, Tally};
 use clap::Parser;
 use comfy_table::{Table, presets::ASCII_MARKDOWN};
 use serde_json::{Map, Value};
 use tokio::sync::{mpsc, watch};
 
-/// Notes that may wait for the tally.
-const NOTES: usize = 1024;
+/// Capacity of the channel to the tally.
+const MAX_QUEUED_OBSERVATIONS: usize = 1024;
 
 #[derive(Debug, Parser)]
 #[command(about = "Runs a site under load, planned events and faults")]
@@ -42,7 +42,7 @@
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(e) => {
-            eprintln!("the soak cannot go on: {e}");
+            eprintln!("the soak failed: {e}");
             ExitCode::from(2)
         }
     }
@@ -57,28 +57,28 @@
     let site = Site::start(program, args.range).await?;
     let (service, operator) = (site.service(), site.operator());
     let site = Rc::new(RefCell::new(site));
-    let operations = Operations::prepare(operator, service)
+    let operations = Operations::create_service(operator, service)
         .await
-        .ok_or("the service does not get its upstreams")?;
+        .ok_or("the upstreams of the service got no share in time")?;
 
-    let (notes, notes_rx) = mpsc::channel(NOTES);
+    let (observations, observations_rx) = mpsc::channel(MAX_QUEUED_OBSERVATIONS);
     let (stop, stop_rx) = watch::channel(false);
-    let tally = actix_rt::spawn(Tally::default().run(notes_rx));
-    let load = Load::start(service, &notes, &stop_rx)?;
+    let tally = actix_rt::spawn(Tally::default().run(observations_rx));
+    let load = Load::start(service, &observations, &stop_rx)?;
     let operations = actix_rt::spawn(operations.run(stop_rx));
-    let faults = Faults::new(site.clone(), args.seed, notes.clone());
+    let faults = FaultInjector::new(site.clone(), args.seed, observations.clone());
     faults.run(Instant::now() + length).await?;
-    notes.send(Note::Stopping).await?;
-    drop(notes);
+    observations.send(Observation::Stopping).await?;
+    drop(observations);
     stop.send_replace(true);
-    load.ended().await;
+    load.join().await;
     let changes = operations.await?;
     let tally = tally.await?;
 
     let site = Rc::into_inner(site)
         .ok_or("the site is still in use")?
         .into_inner();
-    let figures = tally.judge(&site.runs().await, &changes);
+    let figures = tally.evaluate(&site.runs().await, &changes);
     report(args.seed, args.minutes, &figures);
     if !figures.passed {
         println!("logs of the processes: {}", site.keep_logs().display());
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,4 +1,5 @@
-//! Benchmarks of limpetplank. Each runs its baselines in the same run.
+//! Benchmarks of limpetplank. Each benchmark measures its baselines in the same
+//! run.
 
 pub mod admission;
 pub mod soak;
--- a/crates/bench/src/soak/faults.rs
+++ b/crates/bench/src/soak/faults.rs
@@ -1,4 +1,4 @@
-//! Planned and unplanned events, drawn from a seed.
+//! Planned and unplanned events, which are drawn from a seed.
 
 use std::{
     cell::RefCell,
@@ -12,150 +12,168 @@
 use rand::{Rng, SeedableRng, rngs::StdRng, seq::IndexedRandom};
 use tokio::sync::mpsc;
 
-use super::{Note, Part, Site, site::holds_by, tally::Event};
+use super::{Observation, Site, SiteProcess, site::wait_until, tally::Event};
 
-/// Longest time for a process to end gracefully. Feeds last 10 s, and a feed
-/// may stand still for as long as a fault.
-const GRACEFUL: Duration = Duration::from_mins(1);
+/// Timeout for a graceful exit. Feeds take 10 s, and a feed may stall for as long
+/// as a fault lasts.
+const GRACEFUL_EXIT_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// Time for a restarted process to take part again: a new upstream is known for
-/// 2 s before it gets a share.
-const SETTLE: Duration = Duration::from_secs(3);
+/// Time until a restarted process takes part again: a new upstream gets a share
+/// 2 s after it was announced.
+const SETTLE_TIME: Duration = Duration::from_secs(3);
 
-/// Part of the run in which all events are planned, so that what breaks cannot
-/// be put down to another one.
-const PLANNED_PART: f64 = 0.4;
+/// Fraction of the run, from its start, in which all events are planned, so that
+/// a broken flow cannot be attributed to an unplanned one.
+const PLANNED_RUN_FRACTION: f64 = 0.4;
 
-/// What happens to a process.
+/// What an event does to a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Kind {
-    /// SIGTERM, and a start once it has ended.
+enum EventKind {
+    /// SIGTERM, and a start after the exit.
     Restart,
-    /// SIGKILL, and a start after this time.
+    /// SIGKILL, and a start after this delay.
     Kill(Duration),
-    /// SIGSTOP, and SIGCONT after this time.
+    /// SIGSTOP, and SIGCONT after this delay.
     Freeze(Duration),
 }
 
-/// Lets events happen, one or two at a time.
-pub struct Faults {
+/// Runs random events, one or two at a time.
+pub struct FaultInjector {
     site: Rc<RefCell<Site>>,
     rng: StdRng,
-    notes: mpsc::Sender<Note>,
+    observations: mpsc::Sender<Observation>,
 }
 
-impl Faults {
-    /// Events for `site`.
+impl FaultInjector {
+    /// Creates an injector for `site`, whose events `seed` determines.
     #[must_use]
-    pub fn new(site: Rc<RefCell<Site>>, seed: u64, notes: mpsc::Sender<Note>) -> Self {
+    pub fn new(
+        site: Rc<RefCell<Site>>,
+        seed: u64,
+        observations: mpsc::Sender<Observation>,
+    ) -> Self {
         let rng = StdRng::seed_from_u64(seed);
-        Faults { site, rng, notes }
+        FaultInjector {
+            site,
+            rng,
+            observations,
+        }
     }
 
-    /// Starts no new event after `until`, and returns when all are over.
+    /// Runs events until `until`; returns when the last one is over.
     ///
     /// # Errors
     ///
-    /// A process cannot be started again.
+    /// A process cannot be restarted.
     pub async fn run(mut self, until: Instant) -> io::Result<()> {
         let start = Instant::now();
-        let planned_until = start + (until - start).mul_f64(PLANNED_PART);
+        let planned_until = start + (until - start).mul_f64(PLANNED_RUN_FRACTION);
         while Instant::now() < until {
             let planned = Instant::now() < planned_until;
             let (first, second) = self.draw(planned);
             let other = async {
                 match second {
-                    Some(event) => self.happen(event).await,
+                    Some(event) => self.run_event(event).await,
                     None => Ok(()),
                 }
             };
-            let (one, two) = tokio::join!(self.happen(first), other);
+            let (one, two) = tokio::join!(self.run_event(first), other);
             one.and(two)?;
         }
         Ok(())
     }
 
-    /// One event, and in a third of the draws another of a part of another role.
-    fn draw(&mut self, planned: bool) -> ((Part, Kind), Option<(Part, Kind)>) {
-        let parts: Vec<Part> = Site::parts().collect();
-        let part = *parts.choose(&mut self.rng).expect("a site has parts");
-        let others: Vec<Part> = parts
+    /// Draws one event, and with probability 1/3 a second one for a process of
+    /// another role.
+    fn draw(
+        &mut self,
+        planned: bool,
+    ) -> ((SiteProcess, EventKind), Option<(SiteProcess, EventKind)>) {
+        let processes: Vec<SiteProcess> = Site::all_processes().collect();
+        let process = *processes
+            .choose(&mut self.rng)
+            .expect("a site has processes");
+        let others: Vec<SiteProcess> = processes
             .into_iter()
-            .filter(|other| role(*other) != role(part))
+            .filter(|other| role(*other) != role(process))
             .collect();
         let other = *others.choose(&mut self.rng).expect("a site has roles");
-        let events = [part, other].map(|part| (part, self.draw_kind(planned)));
+        let events = [process, other].map(|process| (process, self.draw_kind(planned)));
         let both = self.rng.random_bool(1.0 / 3.0);
         (events[0], both.then_some(events[1]))
     }
 
-    fn draw_kind(&mut self, planned: bool) -> Kind {
+    fn draw_kind(&mut self, planned: bool) -> EventKind {
         let millis = Duration::from_millis(self.rng.random_range(500..4000));
         match self.rng.random_range(0..4) {
-            0 if !planned => Kind::Freeze(millis),
-            1 | 2 if !planned => Kind::Kill(millis),
-            _ => Kind::Restart,
+            0 if !planned => EventKind::Freeze(millis),
+            1 | 2 if !planned => EventKind::Kill(millis),
+            _ => EventKind::Restart,
         }
     }
 
-    async fn happen(&self, (part, kind): (Part, Kind)) -> io::Result<()> {
-        let from = Instant::now();
+    async fn run_event(&self, (process, kind): (SiteProcess, EventKind)) -> io::Result<()> {
+        let started_at = Instant::now();
         match kind {
-            Kind::Restart => {
-                self.signal(part, Signal::SIGTERM);
-                let ended = async || self.site.borrow_mut().ended(part).is_some();
-                if !holds_by(from + GRACEFUL, ended).await {
-                    self.note(Note::NotGraceful(format!("{part} did not end")))
-                        .await;
-                    self.kill(part).await;
-                } else if self.site.borrow_mut().ended(part) != Some(true) {
-                    self.note(Note::NotGraceful(format!("{part} ended with a failure")))
-                        .await;
+            EventKind::Restart => {
+                self.signal(process, Signal::SIGTERM);
+                let ended = async || self.site.borrow_mut().exit_success(process).is_some();
+                if !wait_until(started_at + GRACEFUL_EXIT_TIMEOUT, ended).await {
+                    self.record(Observation::UngracefulExit(format!(
+                        "{process} did not exit within {GRACEFUL_EXIT_TIMEOUT:?} after SIGTERM"
+                    )))
+                    .await;
+                    self.kill(process).await;
+                } else if self.site.borrow_mut().exit_success(process) != Some(true) {
+                    self.record(Observation::UngracefulExit(format!(
+                        "{process} exited with a failure status after SIGTERM"
+                    )))
+                    .await;
                 }
-                self.site.borrow_mut().spawn(part)?;
+                self.site.borrow_mut().spawn(process)?;
             }
-            Kind::Kill(pause) => {
-                self.kill(part).await;
+            EventKind::Kill(pause) => {
+                self.kill(process).await;
                 sleep(pause).await;
-                self.site.borrow_mut().spawn(part)?;
+                self.site.borrow_mut().spawn(process)?;
             }
-            Kind::Freeze(pause) => {
-                self.signal(part, Signal::SIGSTOP);
+            EventKind::Freeze(pause) => {
+                self.signal(process, Signal::SIGSTOP);
                 sleep(pause).await;
-                self.signal(part, Signal::SIGCONT);
+                self.signal(process, Signal::SIGCONT);
             }
         }
-        sleep(SETTLE).await;
+        sleep(SETTLE_TIME).await;
         let event = Event {
-            what: format!("{kind:?} {part}"),
-            planned: kind == Kind::Restart,
-            from,
-            until: Instant::now(),
+            description: format!("{kind:?} {process}"),
+            planned: kind == EventKind::Restart,
+            started_at,
+            ended_at: Instant::now(),
         };
-        self.note(Note::Event(event)).await;
+        self.record(Observation::Event(event)).await;
         Ok(())
     }
 
-    async fn kill(&self, part: Part) {
-        self.signal(part, Signal::SIGKILL);
-        let ended = async || self.site.borrow_mut().ended(part).is_some();
-        holds_by(Instant::now() + GRACEFUL, ended).await;
+    async fn kill(&self, process: SiteProcess) {
+        self.signal(process, Signal::SIGKILL);
+        let ended = async || self.site.borrow_mut().exit_success(process).is_some();
+        wait_until(Instant::now() + GRACEFUL_EXIT_TIMEOUT, ended).await;
     }
 
-    fn signal(&self, part: Part, signal: Signal) {
-        self.site.borrow().signal(part, signal);
+    fn signal(&self, process: SiteProcess, signal: Signal) {
+        self.site.borrow().signal(process, signal);
     }
 
-    async fn note(&self, note: Note) {
-        // The tally lives as long as any sender.
-        let _ = self.notes.send(note).await;
+    async fn record(&self, observation: Observation) {
+        // Cannot fail: the tally receives until the last sender is dropped.
+        let _ = self.observations.send(observation).await;
     }
 }
 
-fn role(part: Part) -> u8 {
-    match part {
-        Part::Control(_) => 0,
-        Part::Balancer(_) => 1,
-        Part::Agent(_) => 2,
+fn role(process: SiteProcess) -> u8 {
+    match process {
+        SiteProcess::Control(_) => 0,
+        SiteProcess::Balancer(_) => 1,
+        SiteProcess::Agent(_) => 2,
     }
 }
--- a/crates/bench/src/soak/mod.rs
+++ b/crates/bench/src/soak/mod.rs
@@ -1,9 +1,11 @@
-//! A site of real processes under load, planned events and faults.
+//! Runs a site of real processes under load, with planned events and faults.
 //!
 //! - [`Site`] starts, signals and restarts the processes;
-//! - [`Load`] sends requests and reads feeds, [`Operations`] makes changes;
-//! - [`Faults`] draws the events from the seed;
-//! - all of them send [`Note`]s to the [`Tally`], which judges the promises.
+//! - [`Load`] sends requests and reads feeds, [`Operations`] makes configuration
+//!   changes;
+//! - [`FaultInjector`] draws the events from the seed and runs them;
+//! - they send [`Observation`]s to the [`Tally`], which evaluates whether the
+//!   guarantees of the system held.
 
 mod faults;
 mod load;
@@ -11,8 +13,8 @@
 mod site;
 mod tally;
 
-pub use faults::Faults;
+pub use faults::FaultInjector;
 pub use load::Load;
-pub use operations::{Operations, Outcome};
-pub use site::{Part, Site};
-pub use tally::{Figures, Note, Tally};
+pub use operations::{ChangeOutcomes, Operations};
+pub use site::{Site, SiteProcess};
+pub use tally::{Figures, Observation, Tally};
--- a/crates/bench/src/soak/operations.rs
+++ b/crates/bench/src/soak/operations.rs
@@ -1,4 +1,4 @@
-//! The operator who changes the configuration.
+//! The operator task, which changes the configuration during a run.
 
 use std::{
     collections::BTreeMap,
@@ -14,53 +14,57 @@
 };
 use wire::request::{ChangeReply, Query, QueryReply};
 
-use super::site::{SERVICE, holds_by};
+use super::site::{SERVICE, wait_until};
 
-/// Slots of each upstream; a change adds up to 4.
-const CARRY: u32 = 16;
+/// Slots of each upstream in the first target; later targets add up to 4.
+const UPSTREAM_SLOTS: u32 = 16;
 
-/// Pause between two changes.
-const PAUSE: Duration = Duration::from_secs(2);
+/// Interval between two changes.
+const CHANGE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Time for a change to get its final answer.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Timeout for the final answer to a change and for the reply to a query.
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Changes between adding the new key and activating it. Both come once, since
-/// agents renew ids only every few minutes.
-const ADD_KEY_AT: u64 = 5;
-const ACTIVATE_KEY_AT: u64 = 12;
+/// Numbers of the changes that add a key and activate it. Each is made once,
+/// because agents renew connection ids only every few minutes.
+const ADD_KEY_AT_CHANGE: u64 = 5;
+const ACTIVATE_KEY_AT_CHANGE: u64 = 12;
 
-/// What came of the changes.
+/// Counts of the outcomes of the changes.
 #[derive(Debug, Default)]
-pub struct Outcome {
+pub struct ChangeOutcomes {
     /// Changes that were accepted.
     pub accepted: u64,
-    /// Changes that were refused or lost against another.
+    /// Changes that were refused or that conflicted with another one.
     pub refused: u64,
     /// Changes without a final answer.
     pub unknown: u64,
-    /// Accepted changes that the configuration no longer has, or that got
-    /// another answer later.
+    /// Accepted changes that are missing in the configuration or the audit
+    /// trail, or that got another answer later.
     pub lost: u64,
-    /// What was lost.
+    /// Description of each lost change.
     pub details: Vec<String>,
 }
 
-/// Makes changes and remembers what was accepted.
+/// Makes changes and keeps the accepted ones for the check at the end.
 pub struct Operations {
     operator: Operator,
-    outcome: Outcome,
+    outcomes: ChangeOutcomes,
     accepted: BTreeMap<ChangeId, Revision>,
     /// Last accepted target and its revision.
     last_target: Option<(Revision, Slots)>,
 }
 
 impl Operations {
-    /// Creates the service. `false` if it does not get upstreams in time.
-    pub async fn prepare(operator: Operator, service: std::net::SocketAddr) -> Option<Operations> {
+    /// Creates the service and waits until its upstreams have a share. `None` if
+    /// that takes longer than [`CHANGE_TIMEOUT`].
+    pub async fn create_service(
+        operator: Operator,
+        service: std::net::SocketAddr,
+    ) -> Option<Operations> {
         let mut operations = Operations {
             operator,
-            outcome: Outcome::default(),
+            outcomes: ChangeOutcomes::default(),
             accepted: BTreeMap::new(),
             last_target: None,
         };
@@ -70,27 +74,27 @@
         };
         operations.change(Revision(0), create).await;
         operations.set_target(0).await;
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + CHANGE_TIMEOUT;
         let upstreams = usize::from(super::site::UPSTREAMS);
         let operator = operations.operator.clone();
-        let ready = async || shared(&operator).await >= upstreams;
-        holds_by(deadline, ready).await.then_some(operations)
+        let ready = async || upstreams_with_share(&operator).await >= upstreams;
+        wait_until(deadline, ready).await.then_some(operations)
     }
 
-    /// Makes changes until `stop` is set, and checks them.
-    pub async fn run(mut self, stop: watch::Receiver<bool>) -> Outcome {
+    /// Makes changes until `stop` is set, then checks the accepted ones.
+    pub async fn run(mut self, stop: watch::Receiver<bool>) -> ChangeOutcomes {
         let mut n = 0;
         while !*stop.borrow() {
             n += 1;
             match n {
-                ADD_KEY_AT => self.add_key().await,
-                ACTIVATE_KEY_AT => self.change_keys(Change::ActivateKey).await,
+                ADD_KEY_AT_CHANGE => self.add_key().await,
+                ACTIVATE_KEY_AT_CHANGE => self.change_keys(Change::ActivateKey).await,
                 _ => self.set_target(n).await,
             }
-            sleep(PAUSE).await;
+            sleep(CHANGE_INTERVAL).await;
         }
-        self.check().await;
-        self.outcome
+        self.check_accepted_changes().await;
+        self.outcomes
     }
 
     async fn change(&mut self, base: Revision, change: Change) -> Option<Revision> {
@@ -100,19 +104,28 @@
             base,
             change,
         };
-        let reply = self.operator.change(&req, Instant::now() + PATIENCE).await;
+        let reply = self
+            .operator
+            .change(&req, Instant::now() + CHANGE_TIMEOUT)
+            .await;
         match &reply {
             ChangeReply::Final(Answer::Accepted(revision)) => {
-                self.outcome.accepted += 1;
+                self.outcomes.accepted += 1;
                 self.accepted.insert(req.id, *revision);
-                let again = self.operator.change(&req, Instant::now() + PATIENCE).await;
+                let again = self
+                    .operator
+                    .change(&req, Instant::now() + CHANGE_TIMEOUT)
+                    .await;
                 if matches!(&again, ChangeReply::Final(_)) && again != reply {
-                    self.lose(format!("{} was {reply:?}, then {again:?}", req.id));
+                    self.record_lost_change(format!(
+                        "{} was answered {reply:?}, then {again:?}",
+                        req.id
+                    ));
                 }
                 return Some(*revision);
             }
-            ChangeReply::Final(_) => self.outcome.refused += 1,
-            _ => self.outcome.unknown += 1,
+            ChangeReply::Final(_) => self.outcomes.refused += 1,
+            _ => self.outcomes.unknown += 1,
         }
         None
     }
@@ -121,7 +134,7 @@
         let Some(service) = self.service().await else {
             return;
         };
-        let carry = Slots(CARRY + u32::try_from(n % 5).unwrap_or_default());
+        let carry = Slots(UPSTREAM_SLOTS + u32::try_from(n % 5).unwrap_or_default());
         let change = Change::SetTarget {
             service: service_name(),
             class: ClassName::default(),
@@ -154,7 +167,7 @@
     }
 
     async fn query(&self, query: Query) -> Option<QueryReply> {
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + CHANGE_TIMEOUT;
         self.operator
             .query("/v1/query", &query, deadline)
             .await
@@ -176,17 +189,19 @@
         }
     }
 
-    /// Compares the configuration and the audit trail with what was accepted.
-    async fn check(&mut self) {
+    /// Compares the configuration and the audit trail with the accepted changes.
+    async fn check_accepted_changes(&mut self) {
         let service = self.service().await;
         let limit = 10_000;
         let Some(QueryReply::Audit(records)) = self.query(Query::Audit { limit }).await else {
-            return self.lose("the control group does not answer at the end".into());
+            return self.record_lost_change(
+                "the control group did not answer the audit query at the end of the run".into(),
+            );
         };
         for (id, revision) in self.accepted.clone() {
             let expected = Answer::Accepted(revision);
             if !records.iter().any(|r| r.id == id && r.answer == expected) {
-                self.lose(format!("{id} is not in the audit trail as {expected:?}"));
+                self.record_lost_change(format!("{id} is not in the audit trail as {expected:?}"));
             }
         }
         let Some((revision, carry)) = self.last_target else {
@@ -195,19 +210,20 @@
         let target = service
             .as_ref()
             .and_then(|s| s.targets.get(&ClassName::default()));
-        let carries = target.is_some_and(|target| target.carry == carry);
+        let target_matches = target.is_some_and(|target| target.carry == carry);
         let reverted = service.as_ref().is_none_or(|s| s.revision < revision);
-        // A change without an answer may have been made after the last one.
-        if reverted || (!carries && self.outcome.unknown == 0) {
-            self.lose(format!(
+        // A change without an answer may have been applied after the last
+        // accepted one.
+        if reverted || (!target_matches && self.outcomes.unknown == 0) {
+            self.record_lost_change(format!(
                 "the target of {revision} is not in force: {service:?}"
             ));
         }
     }
 
-    fn lose(&mut self, detail: String) {
-        self.outcome.lost += 1;
-        self.outcome.details.push(detail);
+    fn record_lost_change(&mut self, detail: String) {
+        self.outcomes.lost += 1;
+        self.outcomes.details.push(detail);
     }
 }
 
@@ -215,9 +231,10 @@
     SERVICE.parse().expect("a valid name")
 }
 
-/// Upstreams that get new flows.
-async fn shared(operator: &Operator) -> usize {
-    let deadline = Instant::now() + PATIENCE;
+/// Number of upstreams with a share above zero, that is, those that get new
+/// flows.
+async fn upstreams_with_share(operator: &Operator) -> usize {
+    let deadline = Instant::now() + CHANGE_TIMEOUT;
     match operator.query("/v1/query", &Query::Status, deadline).await {
         Ok(QueryReply::Status(status)) => {
             let upstreams = status.services.iter().flat_map(|s| &s.upstreams);
--- a/crates/bench/src/soak/site.rs
+++ b/crates/bench/src/soak/site.rs
@@ -26,22 +26,24 @@
 /// Name of the service.
 pub const SERVICE: &str = "vouchers";
 
-/// Control hosts and balancers.
-pub const CONTROL: u8 = 3;
+/// Number of control hosts.
+pub const CONTROL_HOSTS: u8 = 3;
+/// Number of balancers.
 pub const BALANCERS: u8 = 3;
 
-/// Upstreams, each with an agent.
+/// Number of upstreams, each with an agent.
 pub const UPSTREAMS: u8 = 4;
 
-/// Time between two health checks of the fabric, and for their answer.
-const CHECK: Duration = Duration::from_millis(200);
+/// Interval between two health checks of the fabric, and the timeout for their
+/// answers.
+const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Pause between two looks at a process.
-const LOOK: Duration = Duration::from_millis(50);
+/// Interval between two checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// One process of the site.
+/// A process of the site.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Part {
+pub enum SiteProcess {
     /// A control host.
     Control(u8),
     /// A balancer.
@@ -50,29 +52,29 @@
     Agent(u8),
 }
 
-impl fmt::Display for Part {
+impl fmt::Display for SiteProcess {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Part::Control(n) => write!(f, "control-{n}"),
-            Part::Balancer(n) => write!(f, "balancer-{n}"),
-            Part::Agent(n) => write!(f, "agent-{n}"),
+            SiteProcess::Control(n) => write!(f, "control-{n}"),
+            SiteProcess::Balancer(n) => write!(f, "balancer-{n}"),
+            SiteProcess::Agent(n) => write!(f, "agent-{n}"),
         }
     }
 }
 
-/// The running processes. All of them end with it.
+/// The running processes of a site, which are killed on drop.
 pub struct Site {
     program: PathBuf,
     range: u8,
     dir: TempDir,
-    processes: BTreeMap<Part, Child>,
+    processes: BTreeMap<SiteProcess, Child>,
     upstreams: Vec<UpstreamHandle>,
     fabric: FabricHandle,
-    starts: u32,
+    process_starts: u32,
 }
 
 impl Site {
-    /// Starts every process, the fabric and the upstreams.
+    /// Starts all processes, the fabric and the upstreams.
     ///
     /// # Errors
     ///
@@ -88,43 +90,43 @@
             processes: BTreeMap::new(),
             upstreams: Vec::new(),
             fabric: handle,
-            starts: 0,
+            process_starts: 0,
         };
         for n in 0..UPSTREAMS {
             let listen = (Ipv4Addr::LOCALHOST, 0).into();
             let upstream = Upstream::start(&format!("upstream-{n}"), listen);
             site.upstreams.push(upstream.map_err(io::Error::other)?);
         }
-        for part in Site::parts() {
-            site.spawn(part)?;
+        for process in Site::all_processes() {
+            site.spawn(process)?;
         }
         let balancers = (0..BALANCERS).map(|n| site.address(11 + n, 7101));
         actix_rt::spawn(check_health(site.fabric.clone(), balancers.collect()));
         Ok(site)
     }
 
-    /// Every process of a site.
-    pub fn parts() -> impl Iterator<Item = Part> {
-        let control = (0..CONTROL).map(Part::Control);
-        let balancers = (0..BALANCERS).map(Part::Balancer);
+    /// All processes of a site.
+    pub fn all_processes() -> impl Iterator<Item = SiteProcess> {
+        let control = (0..CONTROL_HOSTS).map(SiteProcess::Control);
+        let balancers = (0..BALANCERS).map(SiteProcess::Balancer);
         control
             .chain(balancers)
-            .chain((0..UPSTREAMS).map(Part::Agent))
+            .chain((0..UPSTREAMS).map(SiteProcess::Agent))
     }
 
-    /// Where callers reach the service.
+    /// Address of the service.
     #[must_use]
     pub fn service(&self) -> SocketAddr {
         self.fabric.service
     }
 
-    /// A client of the control group.
+    /// Creates a client of the control group.
     #[must_use]
     pub fn operator(&self) -> Operator {
         Operator::new(Http::default(), self.control())
     }
 
-    /// How often each claim has run, over all upstreams.
+    /// Number of runs of each claim, summed over all upstreams.
     pub async fn runs(&self) -> BTreeMap<Bytes, u64> {
         let mut all = BTreeMap::new();
         for upstream in &self.upstreams {
@@ -135,80 +137,80 @@
         all
     }
 
-    /// Keeps the folder with the logs, and returns its path.
+    /// Kills all processes, keeps the folder with their logs and returns its path.
     #[must_use]
     pub fn keep_logs(mut self) -> PathBuf {
-        self.end();
+        self.kill_all();
         self.dir.disable_cleanup(true);
         self.dir.path().into()
     }
 
-    /// Starts a process that does not run.
+    /// Starts a process, which must not be running.
     ///
     /// # Errors
     ///
     /// The process cannot be started.
-    pub fn spawn(&mut self, part: Part) -> io::Result<()> {
-        self.starts += 1;
+    pub fn spawn(&mut self, process: SiteProcess) -> io::Result<()> {
+        self.process_starts += 1;
         let log = self
             .dir
             .path()
-            .join(format!("{:03}-{part}.log", self.starts));
+            .join(format!("{:03}-{process}.log", self.process_starts));
         let child = Command::new(&self.program)
-            .args(self.args(part))
+            .args(self.args(process))
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(File::create(log)?)
             .spawn()?;
-        self.processes.insert(part, child);
+        self.processes.insert(process, child);
         Ok(())
     }
 
-    /// Sends a signal to a process.
-    pub fn signal(&self, part: Part, signal: Signal) {
-        if let Some(id) = self.processes.get(&part).map(Child::id) {
-            // A process that has ended meanwhile gets no signal.
+    /// Sends a signal to a process, if it is running.
+    pub fn signal(&self, process: SiteProcess, signal: Signal) {
+        if let Some(id) = self.processes.get(&process).map(Child::id) {
+            // Fails if the process has exited meanwhile.
             let _ = i32::try_from(id).map(|id| kill(Pid::from_raw(id), signal));
         }
     }
 
-    /// Whether a process has ended, and if so, whether by itself and well.
-    pub fn ended(&mut self, part: Part) -> Option<bool> {
-        let child = self.processes.get_mut(&part)?;
+    /// `None` while the process runs, else whether it exited with status 0.
+    pub fn exit_success(&mut self, process: SiteProcess) -> Option<bool> {
+        let child = self.processes.get_mut(&process)?;
         let status = child.try_wait().ok()??;
         Some(status.success())
     }
 
-    fn args(&self, part: Part) -> Vec<String> {
+    fn args(&self, process: SiteProcess) -> Vec<String> {
         let control: Vec<String> = self.control().iter().map(ToString::to_string).collect();
         let control = control.join(",");
         let at = |host, port| self.address(host, port);
         let node = |n: u8| {
             vec![
-                format!("--host={part}"),
+                format!("--host={process}"),
                 format!("--data-centre=dc{}", n % 3),
                 format!("--control={control}"),
             ]
         };
-        let (role, args) = match part {
-            Part::Control(n) => (
+        let (role, args) = match process {
+            SiteProcess::Control(n) => (
                 "control",
                 vec![
                     format!("--listen={}", at(1 + n, 7000)),
                     format!(
                         "--data-dir={}",
-                        self.dir.path().join(part.to_string()).display()
+                        self.dir.path().join(process.to_string()).display()
                     ),
                     format!("--group={control}"),
                 ],
             ),
-            Part::Balancer(n) => {
+            SiteProcess::Balancer(n) => {
                 let mut args = node(n);
                 args.push(format!("--fabric-listen={}", at(11 + n, 7101)));
                 args.push(format!("--return-listen={}", at(11 + n, 7100)));
                 ("balancer", args)
             }
-            Part::Agent(n) => {
+            SiteProcess::Agent(n) => {
                 let mut args = node(n);
                 let upstream = self.upstreams[usize::from(n)].address;
                 args.push(format!("--service={SERVICE}"));
@@ -222,14 +224,16 @@
     }
 
     fn control(&self) -> Vec<SocketAddr> {
-        (0..CONTROL).map(|n| self.address(1 + n, 7000)).collect()
+        (0..CONTROL_HOSTS)
+            .map(|n| self.address(1 + n, 7000))
+            .collect()
     }
 
     fn address(&self, host: u8, port: u16) -> SocketAddr {
         (Ipv4Addr::new(127, 77, self.range, host), port).into()
     }
 
-    fn end(&mut self) {
+    fn kill_all(&mut self) {
         for child in self.processes.values_mut() {
             let _ = child.kill();
             let _ = child.wait();
@@ -239,23 +243,24 @@
 
 impl Drop for Site {
     fn drop(&mut self) {
-        self.end();
+        self.kill_all();
     }
 }
 
-/// Waits until `check` holds, at most until `deadline`.
-pub async fn holds_by(deadline: Instant, mut check: impl AsyncFnMut() -> bool) -> bool {
+/// Polls `check` until it returns `true`. Returns `false` if it has not done so
+/// by `deadline`.
+pub async fn wait_until(deadline: Instant, mut check: impl AsyncFnMut() -> bool) -> bool {
     while !check().await {
         if Instant::now() >= deadline {
             return false;
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
     true
 }
 
-/// Stands in for the health check of a fabric: hands datagrams only to balancers
-/// that answer a probe in time, and to all if none does.
+/// Simulates the health check of a fabric, which sends datagrams only to
+/// balancers that answer a probe in time, and to all of them if none answers.
 async fn check_health(fabric: FabricHandle, balancers: BTreeSet<SocketAddr>) {
     let Ok(socket) = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).await else {
         return;
@@ -271,7 +276,7 @@
                 healthy.insert(from);
             }
         };
-        let _ = timeout(CHECK, answers).await;
+        let _ = timeout(HEALTH_CHECK_INTERVAL, answers).await;
         let used = if healthy.is_empty() {
             balancers.clone()
         } else {
--- a/crates/bench/src/soak/tally.rs
+++ b/crates/bench/src/soak/tally.rs
@@ -1,4 +1,4 @@
-//! The task that counts what happened and judges it.
+//! The task that collects the observations of a run and evaluates them.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -8,66 +8,66 @@
 use bytes::Bytes;
 use tokio::sync::mpsc;
 
-use super::Outcome;
+use super::ChangeOutcomes;
 
-/// Time around an unplanned event in which a flow that stands still is put
-/// down to it.
-const BEFORE: Duration = Duration::from_millis(500);
-const AFTER: Duration = Duration::from_secs(5);
+/// A flow whose last data arrived between `ATTRIBUTION_BEFORE` the start of an
+/// unplanned event and `ATTRIBUTION_AFTER` its end counts as broken by it.
+const ATTRIBUTION_BEFORE: Duration = Duration::from_millis(500);
+const ATTRIBUTION_AFTER: Duration = Duration::from_secs(5);
 
-/// Something that happened.
+/// An observation that a task of the run reports.
 #[derive(Debug)]
-pub enum Note {
+pub enum Observation {
     /// A request was sent.
     Sent,
-    /// Its whole answer came.
+    /// The complete answer to a request arrived.
     Answered,
-    /// No connection came about, so it was not sent.
+    /// The connection for a request could not be opened, so it was not sent.
     NotConnected,
-    /// It was refused as not run; the id if it is a claim.
+    /// A request was refused as not run, with the id if it was a claim.
     NotRun(Option<Bytes>),
-    /// Its answer is lost.
+    /// The outcome of a request is unknown.
     Unknown,
-    /// An answer that the upstream broke off did not pass as whole.
-    SeenAsCut,
-    /// No more requests begin.
+    /// The caller detected that the upstream truncated the answer.
+    TruncationDetected,
+    /// No more requests are started.
     Stopping,
-    /// A flow broke.
-    Broken(Break),
-    /// An answer was not the one to the request, or was cut and passed as
-    /// whole.
-    Wrong(String),
-    /// A planned or an unplanned event is over.
+    /// A flow broke before its answer was complete.
+    FlowBroken(BrokenFlow),
+    /// An answer belongs to another request, or was truncated and looked
+    /// complete to the caller.
+    WrongAnswer(String),
+    /// A planned or unplanned event is over.
     Event(Event),
-    /// A process that was to end gracefully did not.
-    NotGraceful(String),
+    /// A process did not exit gracefully after SIGTERM.
+    UngracefulExit(String),
 }
 
-/// A flow that broke.
+/// A flow that broke before its answer was complete.
 #[derive(Debug)]
-pub struct Break {
-    /// When it last got something.
-    pub at: Instant,
-    /// Whether the other side closed the connection.
-    pub closed: bool,
-    /// What the caller saw.
-    pub what: String,
+pub struct BrokenFlow {
+    /// When the caller last received data.
+    pub last_received_at: Instant,
+    /// Whether the peer closed the connection.
+    pub closed_by_peer: bool,
+    /// Kind of request and error at the caller.
+    pub description: String,
 }
 
-/// An event of the schedule.
+/// An event that the run caused.
 #[derive(Debug, Clone)]
 pub struct Event {
-    /// What happened to what.
-    pub what: String,
-    /// Whether nothing may break by it.
+    /// Kind of event and process.
+    pub description: String,
+    /// Whether the event is planned, so that it must break no flow.
     pub planned: bool,
-    /// When it began.
-    pub from: Instant,
-    /// When everything ran again.
-    pub until: Instant,
+    /// When the event started.
+    pub started_at: Instant,
+    /// When the process took part in the site again.
+    pub ended_at: Instant,
 }
 
-/// Counts notes.
+/// Counts of the observations of a run.
 #[derive(Debug, Default)]
 pub struct Tally {
     sent: u64,
@@ -75,42 +75,42 @@
     not_connected: u64,
     not_run: u64,
     unknown: u64,
-    seen_as_cut: u64,
+    truncations_detected: u64,
     stopping: bool,
     not_run_claims: BTreeSet<Bytes>,
-    broken: Vec<Break>,
-    wrong: Vec<String>,
+    broken_flows: Vec<BrokenFlow>,
+    wrong_answers: Vec<String>,
     events: Vec<Event>,
-    not_graceful: Vec<String>,
+    ungraceful_exits: Vec<String>,
     last_answer: Option<Instant>,
     longest_gap: Duration,
 }
 
-/// What a run showed: each figure with its name, and whether any breaks a
-/// promise.
+/// Results of a run: the figures with their names, and whether the guarantees
+/// held.
 #[derive(Debug)]
 pub struct Figures {
     /// Name and value, in the order of the report.
     pub rows: Vec<(&'static str, u64)>,
-    /// Details of what is not as it should be.
+    /// Description of each violation.
     pub details: Vec<String>,
-    /// Whether every promise held.
+    /// Whether every guarantee held.
     pub passed: bool,
 }
 
 impl Tally {
-    /// Counts until the last sender is gone.
-    pub async fn run(mut self, mut notes: mpsc::Receiver<Note>) -> Tally {
-        while let Some(note) = notes.recv().await {
-            self.count(note);
+    /// Collects observations until the last sender is dropped.
+    pub async fn run(mut self, mut observations: mpsc::Receiver<Observation>) -> Tally {
+        while let Some(observation) = observations.recv().await {
+            self.count(observation);
         }
         self
     }
 
-    fn count(&mut self, note: Note) {
-        match note {
-            Note::Sent => self.sent += 1,
-            Note::Answered => {
+    fn count(&mut self, observation: Observation) {
+        match observation {
+            Observation::Sent => self.sent += 1,
+            Observation::Answered => {
                 self.answered += 1;
                 let now = Instant::now();
                 let gap = self.last_answer.map_or(Duration::ZERO, |last| now - last);
@@ -119,44 +119,49 @@
                 }
                 self.last_answer = Some(now);
             }
-            Note::NotConnected => self.not_connected += 1,
-            Note::NotRun(claim) => {
+            Observation::NotConnected => self.not_connected += 1,
+            Observation::NotRun(claim) => {
                 self.not_run += 1;
                 self.not_run_claims.extend(claim);
             }
-            Note::Unknown => self.unknown += 1,
-            Note::SeenAsCut => self.seen_as_cut += 1,
-            Note::Stopping => self.stopping = true,
-            Note::Broken(broken) => self.broken.push(broken),
-            Note::Wrong(what) => self.wrong.push(what),
-            Note::Event(event) => self.events.push(event),
-            Note::NotGraceful(what) => self.not_graceful.push(what),
+            Observation::Unknown => self.unknown += 1,
+            Observation::TruncationDetected => self.truncations_detected += 1,
+            Observation::Stopping => self.stopping = true,
+            Observation::FlowBroken(broken) => self.broken_flows.push(broken),
+            Observation::WrongAnswer(what) => self.wrong_answers.push(what),
+            Observation::Event(event) => self.events.push(event),
+            Observation::UngracefulExit(what) => self.ungraceful_exits.push(what),
         }
     }
 
-    /// Judges the run by how often each claim has run and by the changes.
+    /// Evaluates the run, given the number of runs of each claim and the outcomes
+    /// of the changes.
     #[must_use]
-    pub fn judge(&self, runs: &BTreeMap<Bytes, u64>, changes: &Outcome) -> Figures {
+    pub fn evaluate(&self, runs: &BTreeMap<Bytes, u64>, changes: &ChangeOutcomes) -> Figures {
         let count = |n: usize| n as u64;
-        let doubled = count(runs.values().filter(|runs| **runs > 1).count());
-        let ran: Vec<_> = self
+        let ran_repeatedly = count(runs.values().filter(|runs| **runs > 1).count());
+        let not_run_but_ran: Vec<_> = self
             .not_run_claims
             .iter()
             .filter(|id| runs.contains_key(*id))
             .collect();
         let (by_unplanned, by_planned): (Vec<_>, Vec<_>) = self
-            .broken
+            .broken_flows
             .iter()
             .partition(|broken| self.is_unplanned(broken));
         let planned = self.events.iter().filter(|event| event.planned).count();
-        let mut details: Vec<String> = self.wrong.clone();
-        details.extend(ran.iter().map(|id| format!("said not-run but ran: {id:?}")));
+        let mut details: Vec<String> = self.wrong_answers.clone();
+        details.extend(
+            not_run_but_ran
+                .iter()
+                .map(|id| format!("said not-run but ran: {id:?}")),
+        );
         details.extend(by_planned.iter().map(|broken| self.describe(broken)));
-        details.extend(self.not_graceful.clone());
+        details.extend(self.ungraceful_exits.clone());
         details.extend(changes.details.clone());
-        let passed = doubled == 0
-            && ran.is_empty()
-            && self.wrong.is_empty()
+        let passed = ran_repeatedly == 0
+            && not_run_but_ran.is_empty()
+            && self.wrong_answers.is_empty()
             && changes.lost == 0
             && by_planned.is_empty();
         let gap = u64::try_from(self.longest_gap.as_millis()).unwrap_or(u64::MAX);
@@ -166,13 +171,16 @@
             ("refused as not run", self.not_run),
             ("not connected", self.not_connected),
             ("unknown", self.unknown),
-            ("cut by the upstream and seen as cut", self.seen_as_cut),
+            (
+                "cut by the upstream and seen as cut",
+                self.truncations_detected,
+            ),
             ("claims that ran", count(runs.len())),
-            ("claims that ran more than once", doubled),
-            ("claims said not-run that ran", count(ran.len())),
+            ("claims that ran more than once", ran_repeatedly),
+            ("claims said not-run that ran", count(not_run_but_ran.len())),
             (
                 "answers mixed, or cut and passed as whole",
-                count(self.wrong.len()),
+                count(self.wrong_answers.len()),
             ),
             ("planned events", count(planned)),
             ("unplanned events", count(self.events.len() - planned)),
@@ -183,7 +191,7 @@
             ),
             (
                 "processes that did not end gracefully",
-                count(self.not_graceful.len()),
+                count(self.ungraceful_exits.len()),
             ),
             ("changes accepted", changes.accepted),
             ("changes refused or in conflict", changes.refused),
@@ -198,20 +206,34 @@
         }
     }
 
-    /// What broke, and the events around it.
-    fn describe(&self, Break { at, what, .. }: &Break) -> String {
-        let around = |event: &&Event| event.from <= *at + AFTER && *at <= event.until + AFTER;
+    /// Describes a broken flow and lists the events around it.
+    fn describe(
+        &self,
+        BrokenFlow {
+            last_received_at,
+            description,
+            ..
+        }: &BrokenFlow,
+    ) -> String {
+        let around = |event: &&Event| {
+            event.started_at <= *last_received_at + ATTRIBUTION_AFTER
+                && *last_received_at <= event.ended_at + ATTRIBUTION_AFTER
+        };
         let near = self.events.iter().filter(around);
-        let near: Vec<_> = near.map(|event| event.what.as_str()).collect();
-        format!("broken: {what}; near: {}", near.join(", "))
+        let near: Vec<_> = near.map(|event| event.description.as_str()).collect();
+        format!("broken: {description}; near: {}", near.join(", "))
     }
 
-    /// Whether a flow may have broken by an unplanned event. A process that is
-    /// killed or frozen closes no connection.
-    fn is_unplanned(&self, broken: &Break) -> bool {
-        let at = broken.at;
+    /// Whether an unplanned event can have broken the flow. This excludes flows
+    /// that the peer closed, because a process that is killed or paused closes
+    /// no connection.
+    fn is_unplanned(&self, broken: &BrokenFlow) -> bool {
+        let at = broken.last_received_at;
         let mut unplanned = self.events.iter().filter(|event| !event.planned);
-        !broken.closed
-            && unplanned.any(|event| event.from <= at + BEFORE && at <= event.until + AFTER)
+        !broken.closed_by_peer
+            && unplanned.any(|event| {
+                event.started_at <= at + ATTRIBUTION_BEFORE
+                    && at <= event.ended_at + ATTRIBUTION_AFTER
+            })
     }
 }
