--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -19,7 +19,7 @@
 //! that revision is in force on every node, which the state cannot know and
 //! the caller has to check, `ActivateKey` swaps the two. The superseded key is
 //! still accepted; the next `AddKey` replaces it, which is refused for
-//! [`KEY_RETIRES_AFTER`] because flows may still carry its ids. A key that
+//! [`KEY_RETIREMENT_DELAY`] because flows may still carry its ids. A key that
 //! waits for its activation may be replaced at any time: nobody used it.
 //!
 //! # Example
@@ -52,5 +52,7 @@
 mod version;
 
 pub use error::{Category, Error, Result};
-pub use request::{ANSWER_KEPT, AUDIT_KEPT, ID_AHEAD, KEY_RETIRES_AFTER, Record, Summary};
-pub use version::{Changes, Delta, DrainMark, FORMAT, Keys, REMOVED_KEPT, State};
+pub use request::{
+    ANSWER_RETENTION, KEY_RETIREMENT_DELAY, MAX_AUDIT_RECORDS, MAX_ID_CLOCK_SKEW, Record, Summary,
+};
+pub use version::{Changes, Delta, DrainMark, Keys, MAX_TOMBSTONES, SNAPSHOT_FORMAT, State};
--- a/crates/config/src/request/answers.rs
+++ b/crates/config/src/request/answers.rs
@@ -12,13 +12,13 @@
 /// Time for which a first answer is kept, counted in log time from the later
 /// of the change and the date of its id. As long as an id is young enough to
 /// be run, its answer is therefore still known.
-pub const ANSWER_KEPT: Duration = Duration::from_hours(24);
+pub const ANSWER_RETENTION: Duration = Duration::from_hours(24);
 
 /// How far ahead of log time an id may be dated.
 ///
 /// An hour lets in a host whose clock is badly set and still bounds how long
 /// an answer has to be kept.
-pub const ID_AHEAD: Duration = Duration::from_hours(1);
+pub const MAX_ID_CLOCK_SKEW: Duration = Duration::from_hours(1);
 
 /// Digest of everything that a request says.
 ///
@@ -78,8 +78,10 @@
     pub(crate) fn keep(&mut self, id: ChangeId, digest: u64, now: UnixMillis, answer: Answer) {
         // The date of an id that is refused as too far ahead is capped, so
         // that a broken clock cannot make an answer stay for years.
-        let dated = id.created_at().clamp(now, now.saturating_add(ANSWER_KEPT));
-        let until = dated.saturating_add(ANSWER_KEPT);
+        let dated = id
+            .created_at()
+            .clamp(now, now.saturating_add(ANSWER_RETENTION));
+        let until = dated.saturating_add(ANSWER_RETENTION);
         self.by_end.insert((until, id));
         self.by_id.insert(
             id,
@@ -110,10 +112,10 @@
 
 /// Checks that an id that was not seen before is neither too old nor too new.
 pub(crate) fn check_date(id: ChangeId, now: UnixMillis) -> Result<(), Refusal> {
-    if id.created_at().saturating_add(ANSWER_KEPT) < now {
+    if id.created_at().saturating_add(ANSWER_RETENTION) < now {
         return Err(Refusal::IdExpired(id));
     }
-    if id.created_at() > now.saturating_add(ID_AHEAD) {
+    if id.created_at() > now.saturating_add(MAX_ID_CLOCK_SKEW) {
         return Err(Refusal::IdInFuture(id));
     }
     Ok(())
--- a/crates/config/src/request/apply.rs
+++ b/crates/config/src/request/apply.rs
@@ -19,7 +19,7 @@
 /// Agents renew connection ids at least every 10 minutes; a key that goes
 /// sooner would break flows that still carry its ids. Twice that time leaves
 /// room for slow distribution and for callers that are late to switch to a new id.
-pub const KEY_RETIRES_AFTER: Duration = Duration::from_mins(20);
+pub const KEY_RETIREMENT_DELAY: Duration = Duration::from_mins(20);
 
 /// Why a change was not made.
 enum Failure {
--- a/crates/config/src/request/audit.rs
+++ b/crates/config/src/request/audit.rs
@@ -9,7 +9,7 @@
 };
 
 /// Number of audit records that are kept.
-pub const AUDIT_KEPT: usize = 10_000;
+pub const MAX_AUDIT_RECORDS: usize = 10_000;
 
 /// One line of the audit trail.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/config/src/request/mod.rs
+++ b/crates/config/src/request/mod.rs
@@ -5,6 +5,6 @@
 mod audit;
 
 pub(crate) use answers::Answers;
-pub use answers::{ANSWER_KEPT, ID_AHEAD};
-pub use apply::KEY_RETIRES_AFTER;
-pub use audit::{AUDIT_KEPT, Record, Summary};
+pub use answers::{ANSWER_RETENTION, MAX_ID_CLOCK_SKEW};
+pub use apply::KEY_RETIREMENT_DELAY;
+pub use audit::{MAX_AUDIT_RECORDS, Record, Summary};
--- a/crates/config/src/version/index.rs
+++ b/crates/config/src/version/index.rs
@@ -13,7 +13,7 @@
 
 /// Number of removed services, and of drain marks taken back, that are
 /// remembered. A reader that missed more removals gets a snapshot.
-pub const REMOVED_KEPT: usize = 10_000;
+pub const MAX_TOMBSTONES: usize = 10_000;
 
 /// What was last changed at a revision.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -181,7 +181,7 @@
         self.changed.remove(&service.revision);
         self.removed_names.insert(by.name.clone(), revision);
         self.objects.removed.insert(revision, by);
-        if self.objects.removed.len() > REMOVED_KEPT {
+        if self.objects.removed.len() > MAX_TOMBSTONES {
             self.forget_removal();
         }
     }
@@ -207,7 +207,7 @@
         }
         self.index_drain(&host, &mark);
         self.objects.drains.insert(host, mark);
-        if self.cleared.len() > REMOVED_KEPT {
+        if self.cleared.len() > MAX_TOMBSTONES {
             self.forget_cleared();
         }
     }
--- a/crates/config/src/version/mark.rs
+++ b/crates/config/src/version/mark.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use types::{CidKey, KeySet, OperatorName, Revision, ServiceId, ServiceName, UnixMillis};
 
-use crate::request::KEY_RETIRES_AFTER;
+use crate::request::KEY_RETIREMENT_DELAY;
 
 /// An operator's wish that the upstream of a host leaves or stays.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -43,7 +43,7 @@
     /// but a superseded one only when no flow can carry its ids any more.
     pub(crate) fn accepts(&self, key: &CidKey, now: UnixMillis) -> bool {
         let superseded = self.set.other.is_some() && self.pending().is_none();
-        let retired = now >= self.activated_at.saturating_add(KEY_RETIRES_AFTER);
+        let retired = now >= self.activated_at.saturating_add(KEY_RETIREMENT_DELAY);
         key.generation == self.set.current.generation.next() && (retired || !superseded)
     }
 }
--- a/crates/config/src/version/mod.rs
+++ b/crates/config/src/version/mod.rs
@@ -10,7 +10,7 @@
 pub(crate) use index::{Object, Versions};
 pub(crate) use mark::Removed;
 pub use mark::{DrainMark, Keys};
-pub use snapshot::FORMAT;
+pub use snapshot::SNAPSHOT_FORMAT;
 pub use state::State;
 
-pub use index::REMOVED_KEPT;
+pub use index::MAX_TOMBSTONES;
--- a/crates/config/src/version/snapshot.rs
+++ b/crates/config/src/version/snapshot.rs
@@ -6,7 +6,7 @@
 use crate::error::{ErrorKind, Result};
 
 /// Format of the snapshots that this build writes and reads.
-pub const FORMAT: u32 = 2;
+pub const SNAPSHOT_FORMAT: u32 = 2;
 
 impl State {
     /// Writes the whole state. Equal states give equal bytes.
@@ -23,7 +23,7 @@
     /// # Ok::<(), config::Error>(())
     /// ```
     pub fn encode<W: Write>(&self, mut w: W) -> Result<()> {
-        rmp_serde::encode::write(&mut w, &FORMAT)?;
+        rmp_serde::encode::write(&mut w, &SNAPSHOT_FORMAT)?;
         rmp_serde::encode::write(&mut w, self)?;
         Ok(())
     }
@@ -33,11 +33,11 @@
     /// # Errors
     ///
     /// Fails when the reader does, when the bytes are no snapshot and when
-    /// their format is not [`FORMAT`].
+    /// their format is not [`SNAPSHOT_FORMAT`].
     pub fn decode<R: Read>(mut r: R) -> Result<Self> {
         let found: u32 = rmp_serde::decode::from_read(&mut r)?;
-        if found != FORMAT {
-            let known = FORMAT;
+        if found != SNAPSHOT_FORMAT {
+            let known = SNAPSHOT_FORMAT;
             return Err(ErrorKind::Format { found, known }.into());
         }
         Ok(rmp_serde::decode::from_read(&mut r)?)
--- a/crates/config/src/version/state.rs
+++ b/crates/config/src/version/state.rs
@@ -9,7 +9,7 @@
 use types::{HostName, Revision, RoutingSet, Service, ServiceId, ServiceName, UnixMillis};
 
 use super::{Changes, Delta, DrainMark, Keys, Object, Versions};
-use crate::request::{AUDIT_KEPT, Answers, Record};
+use crate::request::{Answers, MAX_AUDIT_RECORDS, Record};
 
 /// The configuration after some entry of the log.
 ///
@@ -141,7 +141,7 @@
 
     /// Adds a record to the audit trail.
     pub(crate) fn record(&mut self, record: Record) {
-        if self.audit.len() == AUDIT_KEPT {
+        if self.audit.len() == MAX_AUDIT_RECORDS {
             self.audit.pop_front();
         }
         self.audit.push_back(record);
--- a/crates/config/tests/bounds.rs
+++ b/crates/config/tests/bounds.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{HOUR, Log, MINUTE, START, add_key, create, delete, drain, id, snapshot};
-use config::{AUDIT_KEPT, Category, Delta, FORMAT, REMOVED_KEPT, State};
+use config::{Category, Delta, MAX_AUDIT_RECORDS, MAX_TOMBSTONES, SNAPSHOT_FORMAT, State};
 use types::{Answer, Change, Refusal, Revision, ServiceId, UnixMillis};
 
 /// Guards against a key that goes while flows still carry its ids.
@@ -75,18 +75,18 @@
 #[test]
 fn removals_and_records_are_bounded() {
     let mut log = Log::default();
-    let last = REMOVED_KEPT as u64 + 1;
+    let last = MAX_TOMBSTONES as u64 + 1;
     for n in 0..last {
         log.ask("ana", 0, create("a", 1));
         log.ask("ana", 2 * n + 1, delete("a"));
     }
-    assert_eq!(log.state.audit().len(), AUDIT_KEPT);
+    assert_eq!(log.state.audit().len(), MAX_AUDIT_RECORDS);
     // The first removal, at revision 2, is forgotten.
     assert_eq!(log.state.delta_since(Revision(1)), Delta::SnapshotNeeded);
     let Delta::Changes(changes) = log.state.delta_since(Revision(2)) else {
         panic!("every removal after revision 2 is known");
     };
-    assert_eq!(changes.removed.len(), REMOVED_KEPT);
+    assert_eq!(changes.removed.len(), MAX_TOMBSTONES);
     let ids = changes.removed.iter().map(|id| u64::from(id.0));
     assert!(ids.eq(1..last));
     // Ids are never used again.
@@ -100,11 +100,11 @@
 #[test]
 fn marks_taken_back_are_bounded() {
     let mut log = Log::default();
-    for n in 0..=REMOVED_KEPT as u64 {
+    for n in 0..=MAX_TOMBSTONES as u64 {
         log.ask("ana", 0, drain(&format!("h{n}"), true));
         log.ask("ana", 2 * n + 1, drain(&format!("h{n}"), false));
     }
-    assert_eq!(log.state.drains().len(), REMOVED_KEPT);
+    assert_eq!(log.state.drains().len(), MAX_TOMBSTONES);
     assert_eq!(log.state.delta_since(Revision(1)), Delta::SnapshotNeeded);
     let refused = Answer::Refused(Refusal::UnknownBase(Revision(2)));
     assert_eq!(log.ask("ana", 2, drain("h0", true)), refused);
@@ -123,6 +123,6 @@
     let category = |bytes: &[u8]| State::decode(bytes).unwrap_err().category();
     assert_eq!(category(&other), Category::Format);
     assert_eq!(category(short), Category::Io);
-    let format = u8::try_from(FORMAT).unwrap();
+    let format = u8::try_from(SNAPSHOT_FORMAT).unwrap();
     assert_eq!(category(&[format, 0xc1]), Category::Data);
 }
