--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -53,6 +53,7 @@
 
 pub use error::{Category, Error, Result};
 pub use request::{
-    ANSWER_RETENTION, KEY_RETIREMENT_DELAY, MAX_AUDIT_RECORDS, MAX_ID_CLOCK_SKEW, Record, Summary,
+    ANSWER_RETENTION, AuditRecord, ChangeSummary, KEY_RETIREMENT_DELAY, MAX_AUDIT_RECORDS,
+    MAX_ID_CLOCK_SKEW,
 };
 pub use version::{Changes, Delta, DrainMark, Keys, MAX_TOMBSTONES, SNAPSHOT_FORMAT, State};
--- a/crates/config/src/request/apply.rs
+++ b/crates/config/src/request/apply.rs
@@ -10,7 +10,7 @@
 
 use super::{
     answers::{check_date, digest},
-    audit::Record,
+    audit::AuditRecord,
 };
 use crate::version::{DrainMark, Keys, Removed, State, Versions};
 
@@ -89,7 +89,7 @@
             Some(first) => first,
             None => (self.run_first(index, req, digest), false),
         };
-        self.record(Record::new(index, now, req, answer.clone(), resend));
+        self.record(AuditRecord::new(index, now, req, answer.clone(), resend));
         answer
     }
 
--- a/crates/config/src/request/audit.rs
+++ b/crates/config/src/request/audit.rs
@@ -13,7 +13,7 @@
 
 /// One line of the audit trail.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Record {
+pub struct AuditRecord {
     /// Index of the log entry that carried the change.
     pub index: Revision,
     /// Time of the log when the change was run.
@@ -25,14 +25,14 @@
     /// Revision that the operator saw.
     pub base: Revision,
     /// What was asked.
-    pub change: Summary,
+    pub change: ChangeSummary,
     /// What the operator was answered.
     pub answer: Answer,
     /// Whether the answer is that of an earlier record with the same id.
     pub resend: bool,
 }
 
-impl Record {
+impl AuditRecord {
     pub(crate) fn new(
         index: Revision,
         at: UnixMillis,
@@ -40,13 +40,13 @@
         answer: Answer,
         resend: bool,
     ) -> Self {
-        Record {
+        AuditRecord {
             index,
             at,
             author: req.author.clone(),
             id: req.id,
             base: req.base,
-            change: Summary::from(&req.change),
+            change: ChangeSummary::from(&req.change),
             answer,
             resend,
         }
@@ -55,7 +55,7 @@
 
 /// A change without the secrets that it carries.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Summary {
+pub enum ChangeSummary {
     /// A service was to be created.
     CreateService(ServiceName, SocketAddr),
     /// A service was to be deleted.
@@ -77,52 +77,52 @@
     Group(GroupRequest),
 }
 
-impl fmt::Display for Summary {
+impl fmt::Display for ChangeSummary {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Summary::CreateService(name, address) => {
+            ChangeSummary::CreateService(name, address) => {
                 write!(f, "create service {name} at {address}")
             }
-            Summary::DeleteService(name) => write!(f, "delete service {name}"),
-            Summary::SetTarget(service, class, target) => write!(
+            ChangeSummary::DeleteService(name) => write!(f, "delete service {name}"),
+            ChangeSummary::SetTarget(service, class, target) => write!(
                 f,
                 "set target of {service} {class}: carry {}, connections {}, leave within {:?}, \
                  path prefix {}",
                 target.carry, target.connections, target.leave_within, target.path_prefix
             ),
-            Summary::DeleteTarget(service, class) => {
+            ChangeSummary::DeleteTarget(service, class) => {
                 write!(f, "delete target of {service} {class}")
             }
-            Summary::SetDrain(host, true) => write!(f, "drain upstream of {host}"),
-            Summary::SetDrain(host, false) => write!(f, "stop draining upstream of {host}"),
-            Summary::AddKey(generation) => write!(f, "add key of generation {generation}"),
-            Summary::ActivateKey => f.write_str("activate the other key"),
-            Summary::ReplaceRoutes(number, rules) => {
+            ChangeSummary::SetDrain(host, true) => write!(f, "drain upstream of {host}"),
+            ChangeSummary::SetDrain(host, false) => write!(f, "stop draining upstream of {host}"),
+            ChangeSummary::AddKey(generation) => write!(f, "add key of generation {generation}"),
+            ChangeSummary::ActivateKey => f.write_str("activate the other key"),
+            ChangeSummary::ReplaceRoutes(number, rules) => {
                 write!(f, "replace the routes by set {number} of {rules} rules")
             }
-            Summary::Group(change) => write!(f, "change the control group: {change}"),
+            ChangeSummary::Group(change) => write!(f, "change the control group: {change}"),
         }
     }
 }
 
-impl From<&Change> for Summary {
+impl From<&Change> for ChangeSummary {
     fn from(change: &Change) -> Self {
         match change.clone() {
-            Change::CreateService { name, address } => Summary::CreateService(name, address),
-            Change::DeleteService { name } => Summary::DeleteService(name),
+            Change::CreateService { name, address } => ChangeSummary::CreateService(name, address),
+            Change::DeleteService { name } => ChangeSummary::DeleteService(name),
             Change::SetTarget {
                 service,
                 class,
                 target,
-            } => Summary::SetTarget(service, class, target),
-            Change::DeleteTarget { service, class } => Summary::DeleteTarget(service, class),
-            Change::SetDrain { host, drain } => Summary::SetDrain(host, drain),
-            Change::AddKey { key } => Summary::AddKey(key.generation),
-            Change::ActivateKey => Summary::ActivateKey,
+            } => ChangeSummary::SetTarget(service, class, target),
+            Change::DeleteTarget { service, class } => ChangeSummary::DeleteTarget(service, class),
+            Change::SetDrain { host, drain } => ChangeSummary::SetDrain(host, drain),
+            Change::AddKey { key } => ChangeSummary::AddKey(key.generation),
+            Change::ActivateKey => ChangeSummary::ActivateKey,
             Change::ReplaceRoutes(set) => {
-                Summary::ReplaceRoutes(set.number, set.rules.len() as u64)
+                ChangeSummary::ReplaceRoutes(set.number, set.rules.len() as u64)
             }
-            Change::NoteGroup { change, .. } => Summary::Group(change),
+            Change::NoteGroup { change, .. } => ChangeSummary::Group(change),
         }
     }
 }
--- a/crates/config/src/version/state.rs
+++ b/crates/config/src/version/state.rs
@@ -9,7 +9,7 @@
 use types::{HostName, Revision, RoutingSet, Service, ServiceId, ServiceName, UnixMillis};
 
 use super::{Changes, Delta, DrainMark, Keys, Object, Versions};
-use crate::request::{Answers, MAX_AUDIT_RECORDS, Record};
+use crate::request::{Answers, AuditRecord, MAX_AUDIT_RECORDS};
 
 /// The configuration after some entry of the log.
 ///
@@ -22,7 +22,7 @@
     now: UnixMillis,
     pub(crate) versions: Versions,
     pub(crate) answers: Answers,
-    audit: VecDeque<Record>,
+    audit: VecDeque<AuditRecord>,
 }
 
 impl State {
@@ -76,7 +76,7 @@
     }
 
     /// The audit trail, the oldest record first.
-    pub fn audit(&self) -> impl DoubleEndedIterator<Item = &Record> + ExactSizeIterator {
+    pub fn audit(&self) -> impl DoubleEndedIterator<Item = &AuditRecord> + ExactSizeIterator {
         self.audit.iter()
     }
 
@@ -140,7 +140,7 @@
     }
 
     /// Adds a record to the audit trail.
-    pub(crate) fn record(&mut self, record: Record) {
+    pub(crate) fn record(&mut self, record: AuditRecord) {
         if self.audit.len() == MAX_AUDIT_RECORDS {
             self.audit.pop_front();
         }
--- a/crates/config/tests/routes.rs
+++ b/crates/config/tests/routes.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{Log, replace_routes, snapshot};
-use config::{State, Summary};
+use config::{ChangeSummary, State};
 use types::{Answer, Refusal, RoutingSetNumber};
 
 fn number(log: &Log) -> Option<u64> {
@@ -49,5 +49,8 @@
     let restored = State::decode(&snapshot(&log.state)[..]).unwrap();
     assert_eq!(restored, log.state);
     let last = log.state.audit().last().unwrap();
-    assert_eq!(last.change, Summary::ReplaceRoutes(RoutingSetNumber(4), 1));
+    assert_eq!(
+        last.change,
+        ChangeSummary::ReplaceRoutes(RoutingSetNumber(4), 1)
+    );
 }
--- a/crates/limpetctl/src/request/audit.rs
+++ b/crates/limpetctl/src/request/audit.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use config::{Record, Summary};
+use config::{AuditRecord, ChangeSummary};
 use serde::Serialize;
 use types::{Answer, UnixMillis};
 use wire::request::{Query, QueryReply};
@@ -36,8 +36,8 @@
     resend: bool,
 }
 
-impl From<&Record> for RecordView {
-    fn from(record: &Record) -> Self {
+impl From<&AuditRecord> for RecordView {
+    fn from(record: &AuditRecord) -> Self {
         let (answer, detail) = answer(&record.answer);
         RecordView {
             index: record.index.0,
@@ -108,23 +108,27 @@
     }
 }
 
-fn change(change: &Summary) -> String {
+fn change(change: &ChangeSummary) -> String {
     match change {
-        Summary::CreateService(name, address) => format!("create service {name} at {address}"),
-        Summary::DeleteService(name) => format!("delete service {name}"),
-        Summary::SetTarget(service, class, t) => format!(
+        ChangeSummary::CreateService(name, address) => {
+            format!("create service {name} at {address}")
+        }
+        ChangeSummary::DeleteService(name) => format!("delete service {name}"),
+        ChangeSummary::SetTarget(service, class, t) => format!(
             "set target {service} {class}: carry {}, connections {}, leave within {} ms, prefix {}",
             t.carry,
             t.connections,
             t.leave_within.as_millis(),
             t.path_prefix
         ),
-        Summary::DeleteTarget(service, class) => format!("delete target {service} {class}"),
-        Summary::SetDrain(host, true) => format!("drain {host}"),
-        Summary::SetDrain(host, false) => format!("undrain {host}"),
-        Summary::AddKey(generation) => format!("add key of generation {generation}"),
-        Summary::ActivateKey => "activate key".to_owned(),
-        Summary::ReplaceRoutes(number, rules) => format!("routing set {number}: {rules} rules"),
-        Summary::Group(change) => format!("control group: {change}"),
+        ChangeSummary::DeleteTarget(service, class) => format!("delete target {service} {class}"),
+        ChangeSummary::SetDrain(host, true) => format!("drain {host}"),
+        ChangeSummary::SetDrain(host, false) => format!("undrain {host}"),
+        ChangeSummary::AddKey(generation) => format!("add key of generation {generation}"),
+        ChangeSummary::ActivateKey => "activate key".to_owned(),
+        ChangeSummary::ReplaceRoutes(number, rules) => {
+            format!("routing set {number}: {rules} rules")
+        }
+        ChangeSummary::Group(change) => format!("control group: {change}"),
     }
 }
--- a/crates/limpetd/tests/control.rs
+++ b/crates/limpetd/tests/control.rs
@@ -13,7 +13,7 @@
 
 use actix_rt::time::sleep;
 use client::{Http, NodeReport, Operator, Step, SyncSettings, SyncTask};
-use config::Summary;
+use config::ChangeSummary;
 use harness::{PATIENCE, Plan, SERVICE, Site, accepted, control_address, wait_for};
 use nix::sys::signal::Signal;
 use tokio::sync::{mpsc, watch};
@@ -505,7 +505,8 @@
             panic!("no audit trail");
         };
         records.iter().any(|record| {
-            record.change == Summary::Group(made) && matches!(record.answer, Answer::Accepted(_))
+            record.change == ChangeSummary::Group(made)
+                && matches!(record.answer, Answer::Accepted(_))
         })
     })
     .await;
--- a/crates/limpetd/tests/tls.rs
+++ b/crates/limpetd/tests/tls.rs
@@ -471,7 +471,7 @@
     reply.unwrap()
 }
 
-async fn audit(site: &Site) -> Vec<config::Record> {
+async fn audit(site: &Site) -> Vec<config::AuditRecord> {
     match query(site, &Query::Audit { limit: 100 }).await {
         QueryReply::Audit(records) => records,
         other => panic!("unexpected reply {other:?}"),
--- a/crates/wire/src/request/operator.rs
+++ b/crates/wire/src/request/operator.rs
@@ -7,7 +7,7 @@
     time::Duration,
 };
 
-use config::{DrainMark, Record};
+use config::{AuditRecord, DrainMark};
 use serde::{Deserialize, Serialize};
 use serde_with::{DurationMilliSeconds, serde_as};
 use types::{
@@ -114,7 +114,7 @@
     /// To [`Query::Keys`].
     Keys(Option<KeysReport>),
     /// To [`Query::Audit`].
-    Audit(Vec<Record>),
+    Audit(Vec<AuditRecord>),
     /// To [`Query::Status`].
     Status(Box<StatusReport>),
     /// To [`Query::Lagging`].
