--- a/crates/bench/src/bin/control.rs
+++ b/crates/bench/src/bin/control.rs
@@ -94,9 +94,9 @@
         ],
     );
     for count in [100u32, 1_000, 10_000, 52_000] {
-        let mut state = config::State::default();
+        let mut state = config::ConfigState::default();
         let mut index = 0;
-        let mut apply = |state: &mut config::State, base, change| {
+        let mut apply = |state: &mut config::ConfigState, base, change| {
             index += 1;
             let req = request(base, change);
             state.apply(Revision(index), req.id.created_at(), &req);
@@ -112,7 +112,7 @@
         state.encode(&mut bytes).unwrap();
         let encoded = started.elapsed();
         let started = Instant::now();
-        black_box(config::State::decode(&bytes[..]).unwrap());
+        black_box(config::ConfigState::decode(&bytes[..]).unwrap());
         let decoded = started.elapsed();
         let mut base = state.revision();
         let name = format!("service-{}", count - 1);
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,6 +1,6 @@
 //! The configuration as a deterministic state machine.
 //!
-//! The replicated log hands every committed change to [`State::apply`]; all
+//! The replicated log hands every committed change to [`ConfigState::apply`]; all
 //! members of the control group that applied the same entries hold equal
 //! states. What lives as long as a version of the configuration is in
 //! `version`, what belongs to one change in `request`.
@@ -25,7 +25,7 @@
 //! # Example
 //!
 //! ```
-//! use config::{Delta, State};
+//! use config::{Delta, ConfigState};
 //! use types::{Answer, Change, ChangeId, ChangeRequest, Revision};
 //!
 //! let id = ChangeId::generate();
@@ -38,7 +38,7 @@
 //!         address: ([127, 0, 0, 1], 4433).into(),
 //!     },
 //! };
-//! let mut state = State::default();
+//! let mut state = ConfigState::default();
 //! assert_eq!(state.apply(Revision(7), id.created_at(), &req), Answer::Accepted(Revision(7)));
 //! // A resend gets the first answer and changes nothing.
 //! assert_eq!(state.apply(Revision(8), id.created_at(), &req), Answer::Accepted(Revision(7)));
@@ -56,4 +56,4 @@
     ANSWER_RETENTION, AuditRecord, ChangeSummary, KEY_RETIREMENT_DELAY, MAX_AUDIT_RECORDS,
     MAX_ID_CLOCK_SKEW,
 };
-pub use version::{Changes, Delta, DrainMark, Keys, MAX_TOMBSTONES, SNAPSHOT_FORMAT, State};
+pub use version::{Changes, ConfigState, Delta, DrainMark, Keys, MAX_TOMBSTONES, SNAPSHOT_FORMAT};
--- a/crates/config/src/request/apply.rs
+++ b/crates/config/src/request/apply.rs
@@ -12,7 +12,7 @@
     answers::{check_date, digest},
     audit::AuditRecord,
 };
-use crate::version::{DrainMark, Keys, Removed, State, Versions};
+use crate::version::{ConfigState, DrainMark, Keys, Removed, Versions};
 
 /// Time in the log before a key that was superseded may be replaced.
 ///
@@ -71,12 +71,12 @@
     }
 }
 
-impl State {
+impl ConfigState {
     /// Runs the change of the log entry `index`, which the leader stamped
     /// with `at`, and returns its final answer.
     ///
     /// Indexes must rise from call to call; gaps are fine. After a restart the
-    /// log goes on behind [`applied`](State::applied): an entry that is given
+    /// log goes on behind [`applied`](ConfigState::applied): an entry that is given
     /// again would be recorded as a resend. Stamps may go back: time in the
     /// log is the latest stamp so far. The cost is
     /// logarithmic in the size of the configuration, apart from one clone of
--- a/crates/config/src/version/mod.rs
+++ b/crates/config/src/version/mod.rs
@@ -11,6 +11,6 @@
 pub(crate) use mark::Removed;
 pub use mark::{DrainMark, Keys};
 pub use snapshot::SNAPSHOT_FORMAT;
-pub use state::State;
+pub use state::ConfigState;
 
 pub use index::MAX_TOMBSTONES;
--- a/crates/config/src/version/snapshot.rs
+++ b/crates/config/src/version/snapshot.rs
@@ -2,13 +2,13 @@
 
 use std::io::{Read, Write};
 
-use super::State;
+use super::ConfigState;
 use crate::error::{ErrorKind, Result};
 
 /// Format of the snapshots that this build writes and reads.
 pub const SNAPSHOT_FORMAT: u32 = 2;
 
-impl State {
+impl ConfigState {
     /// Writes the whole state. Equal states give equal bytes.
     ///
     /// # Errors
@@ -16,10 +16,10 @@
     /// Fails when the writer does.
     ///
     /// ```
-    /// let state = config::State::default();
+    /// let state = config::ConfigState::default();
     /// let mut bytes = Vec::new();
     /// state.encode(&mut bytes)?;
-    /// assert_eq!(config::State::decode(&bytes[..])?, state);
+    /// assert_eq!(config::ConfigState::decode(&bytes[..])?, state);
     /// # Ok::<(), config::Error>(())
     /// ```
     pub fn encode<W: Write>(&self, mut w: W) -> Result<()> {
@@ -28,7 +28,7 @@
         Ok(())
     }
 
-    /// Reads a state that [`encode`](State::encode) wrote.
+    /// Reads a state that [`encode`](ConfigState::encode) wrote.
     ///
     /// # Errors
     ///
--- a/crates/config/src/version/state.rs
+++ b/crates/config/src/version/state.rs
@@ -15,7 +15,7 @@
 ///
 /// Equal logs give equal states with equal snapshots.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct State {
+pub struct ConfigState {
     /// Last entry that was applied, whatever its answer.
     applied: Revision,
     /// Latest stamp of a leader so far.
@@ -25,7 +25,7 @@
     audit: VecDeque<AuditRecord>,
 }
 
-impl State {
+impl ConfigState {
     /// Revision of the last accepted change.
     #[must_use]
     pub fn revision(&self) -> Revision {
--- a/crates/config/tests/bounds.rs
+++ b/crates/config/tests/bounds.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{HOUR, Log, MINUTE, START, add_key, create, delete, drain, id, snapshot};
-use config::{Category, Delta, MAX_AUDIT_RECORDS, MAX_TOMBSTONES, SNAPSHOT_FORMAT, State};
+use config::{Category, ConfigState, Delta, MAX_AUDIT_RECORDS, MAX_TOMBSTONES, SNAPSHOT_FORMAT};
 use types::{Answer, Change, Refusal, Revision, ServiceId, UnixMillis};
 
 /// Guards against a key that goes while flows still carry its ids.
@@ -120,7 +120,7 @@
     let mut other = bytes.clone();
     other[0] += 1;
     let short = &bytes[..bytes.len() - 1];
-    let category = |bytes: &[u8]| State::decode(bytes).unwrap_err().category();
+    let category = |bytes: &[u8]| ConfigState::decode(bytes).unwrap_err().category();
     assert_eq!(category(&other), Category::Format);
     assert_eq!(category(short), Category::Io);
     let format = u8::try_from(SNAPSHOT_FORMAT).unwrap();
--- a/crates/config/tests/common/mod.rs
+++ b/crates/config/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 
 use arbtest::arbitrary::{Result, Unstructured};
-use config::State;
+use config::ConfigState;
 use types::{
     Answer, Change, ChangeId, ChangeRequest, CidKey, ClassName, KeyGeneration, Revision,
     RouteWeight, RoutingRule, RoutingSet, RoutingSetNumber, Slots, Target, UnixMillis,
@@ -80,7 +80,7 @@
 
 /// A log that writes itself: each change is the next entry.
 pub struct Log {
-    pub state: State,
+    pub state: ConfigState,
     pub now: UnixMillis,
     next: u64,
 }
@@ -88,7 +88,7 @@
 impl Default for Log {
     fn default() -> Self {
         Log {
-            state: State::default(),
+            state: ConfigState::default(),
             now: START,
             next: 1,
         }
@@ -123,7 +123,7 @@
     }
 }
 
-pub fn snapshot(state: &State) -> Vec<u8> {
+pub fn snapshot(state: &ConfigState) -> Vec<u8> {
     let mut bytes = Vec::new();
     state.encode(&mut bytes).unwrap();
     bytes
@@ -136,7 +136,7 @@
 /// and stamps that go back or jump.
 pub fn random_log(u: &mut Unstructured) -> Result<Vec<Entry>> {
     let mut log: Vec<Entry> = Vec::new();
-    let mut state = State::default();
+    let mut state = ConfigState::default();
     let mut now = START;
     for index in 1..=u.int_in_range(1..=60)? {
         now.0 = (now.0 + u.int_in_range(0..=30 * MINUTE)?) - u.int_in_range(0..=5 * MINUTE)?;
@@ -151,7 +151,7 @@
 fn random_request(
     u: &mut Unstructured,
     log: &[Entry],
-    state: &State,
+    state: &ConfigState,
     now: UnixMillis,
 ) -> Result<ChangeRequest> {
     let change = random_change(u)?;
@@ -179,7 +179,7 @@
 }
 
 /// Present revision of the object that a change is about; 0 if there is none.
-fn present(state: &State, change: &Change) -> Revision {
+fn present(state: &ConfigState, change: &Change) -> Revision {
     let revision = match change {
         Change::CreateService { .. } | Change::NoteGroup { .. } | Change::ReplaceRoutes(_) => None,
         Change::DeleteService { name }
--- a/crates/config/tests/properties.rs
+++ b/crates/config/tests/properties.rs
@@ -6,7 +6,7 @@
 
 use arbtest::arbtest;
 use common::{Entry, START, create, delete, drain, id, random_log, set_target, snapshot};
-use config::{Changes, Delta, State};
+use config::{Changes, ConfigState, Delta};
 use types::{
     Answer, Change, ChangeRequest, Conflict, HostName, KeySet, Revision, Service, ServiceId,
 };
@@ -31,14 +31,14 @@
     }
 }
 
-fn run<'a>(state: &mut State, log: impl IntoIterator<Item = &'a Entry>) -> Vec<Answer> {
+fn run<'a>(state: &mut ConfigState, log: impl IntoIterator<Item = &'a Entry>) -> Vec<Answer> {
     log.into_iter()
         .map(|(index, at, req)| state.apply(*index, *at, req))
         .collect()
 }
 
 /// What a state tells, without the traces that every entry leaves.
-fn told(state: &State) -> (Revision, Changes, Vec<u64>) {
+fn told(state: &ConfigState) -> (Revision, Changes, Vec<u64>) {
     let marks = state.drains().values().map(|m| m.revision.0).collect();
     (state.revision(), state.everything(), marks)
 }
@@ -48,7 +48,7 @@
 fn random_logs_reach_every_kind_of_answer() {
     let mut seen = [[0; 2]; 3];
     for_each_log(|log, _| {
-        let mut state = State::default();
+        let mut state = ConfigState::default();
         run(&mut state, log);
         for record in state.audit() {
             let kind = match record.answer {
@@ -67,14 +67,14 @@
 #[test]
 fn a_snapshot_and_the_rest_of_the_log_equal_the_whole_log() {
     for_each_log(|log, cut| {
-        let (mut whole, mut again) = (State::default(), State::default());
+        let (mut whole, mut again) = (ConfigState::default(), ConfigState::default());
         let answers = run(&mut whole, log);
         assert_eq!(run(&mut again, log), answers);
         assert_eq!(snapshot(&again), snapshot(&whole));
 
-        let mut first = State::default();
+        let mut first = ConfigState::default();
         run(&mut first, &log[..cut]);
-        let mut restored = State::decode(&snapshot(&first)[..]).unwrap();
+        let mut restored = ConfigState::decode(&snapshot(&first)[..]).unwrap();
         assert_eq!(restored, first);
         assert_eq!(run(&mut restored, &log[cut..]), answers[cut..]);
         assert_eq!(snapshot(&restored), snapshot(&whole));
@@ -85,7 +85,7 @@
 #[test]
 fn a_resend_gets_the_first_answer_and_changes_nothing() {
     for_each_log(|log, cut| {
-        let mut state = State::default();
+        let mut state = ConfigState::default();
         let answers = run(&mut state, log);
         let Some(entry) = log.get(cut) else { return };
         // The first request with the id fixed what the id stands for.
@@ -104,7 +104,7 @@
 #[test]
 fn exactly_one_of_the_changes_with_one_base_is_accepted() {
     for_each_log(|log, cut| {
-        let mut state = State::default();
+        let mut state = ConfigState::default();
         run(&mut state, &log[..cut]);
         let a = "a".parse().unwrap();
         let (base, changes) = match state.service(&a) {
@@ -125,7 +125,7 @@
 }
 
 /// Applies changes with the same base; the first one has to win.
-fn race(state: &mut State, base: Revision, changes: [Change; 3]) {
+fn race(state: &mut ConfigState, base: Revision, changes: [Change; 3]) {
     let winner = Revision(state.applied().0 + 1);
     for (n, change) in (0..).zip(changes) {
         let index = Revision(winner.0 + n);
@@ -159,7 +159,7 @@
 }
 
 impl Copy {
-    fn update(&mut self, state: &State) {
+    fn update(&mut self, state: &ConfigState) {
         let changes = match state.delta_since(self.revision) {
             Delta::Changes(changes) => changes,
             Delta::SnapshotNeeded => {
@@ -186,7 +186,7 @@
 #[test]
 fn a_delta_brings_an_old_copy_up_to_date() {
     for_each_log(|log, cut| {
-        let mut state = State::default();
+        let mut state = ConfigState::default();
         run(&mut state, &log[..cut]);
         let mut old = Copy::default();
         old.update(&state);
--- a/crates/config/tests/routes.rs
+++ b/crates/config/tests/routes.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{Log, replace_routes, snapshot};
-use config::{ChangeSummary, State};
+use config::{ChangeSummary, ConfigState};
 use types::{Answer, Refusal, RoutingSetNumber};
 
 fn number(log: &Log) -> Option<u64> {
@@ -46,7 +46,7 @@
 fn a_set_survives_a_snapshot_and_is_in_the_audit_trail() {
     let mut log = Log::default();
     log.ask("mira", 0, replace_routes(4, "a", 1));
-    let restored = State::decode(&snapshot(&log.state)[..]).unwrap();
+    let restored = ConfigState::decode(&snapshot(&log.state)[..]).unwrap();
     assert_eq!(restored, log.state);
     let last = log.state.audit().last().unwrap();
     assert_eq!(
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,7 +1,7 @@
 //! The control host: a member of the control group.
 //!
 //! One task, the group task, owns the decisions: [`consensus::Consensus`], the
-//! [`config::State`] that the log drives and, at the leader, the
+//! [`config::ConfigState`] that the log drives and, at the leader, the
 //! [`member::Registry`]. It talks by message with the disk, with one task for
 //! each other member, and with the HTTP server.
 //!
--- a/crates/control/src/process/group.rs
+++ b/crates/control/src/process/group.rs
@@ -6,7 +6,7 @@
 };
 
 use bytes::Bytes;
-use config::State;
+use config::ConfigState;
 use consensus::{
     Completion, Consensus, EntryPayload, Group, Input, LogEntry, Message, Output, RequestToken,
     Snapshot, Status,
@@ -63,7 +63,7 @@
 pub struct GroupTask {
     cfg: Settings,
     consensus: Consensus,
-    state: State,
+    state: ConfigState,
     leadership: Option<Leadership>,
     pending: BTreeMap<RequestToken, Pending>,
     next_token: u64,
@@ -98,7 +98,7 @@
         let mut task = GroupTask {
             cfg,
             consensus,
-            state: State::default(),
+            state: ConfigState::default(),
             leadership: None,
             pending: BTreeMap::new(),
             next_token: 0,
@@ -313,9 +313,9 @@
 
     fn load(&mut self, snapshot: &Snapshot) -> Result<()> {
         self.state = if snapshot.state.is_empty() {
-            State::default()
+            ConfigState::default()
         } else {
-            State::decode(&snapshot.state[..])?
+            ConfigState::decode(&snapshot.state[..])?
         };
         self.compacted = snapshot.position.index;
         Ok(())
--- a/crates/control/src/process/leadership.rs
+++ b/crates/control/src/process/leadership.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use config::State;
+use config::ConfigState;
 use member::Registry;
 use types::{Revision, Term};
 
@@ -44,7 +44,7 @@
     }
 
     /// Takes the configuration after `self.known` over into the registry.
-    pub fn learn(&mut self, state: &State) {
+    pub fn learn(&mut self, state: &ConfigState) {
         if self.known == state.revision() && self.known != Revision(0) {
             return;
         }
@@ -84,7 +84,7 @@
     }
 
     /// Takes the nodes that are to be answered now.
-    pub fn take_due(&mut self, now: Instant, state: &State) -> Vec<Waiter> {
+    pub fn take_due(&mut self, now: Instant, state: &ConfigState) -> Vec<Waiter> {
         let view = View {
             state,
             registry: &self.registry,
--- a/crates/control/src/version/mod.rs
+++ b/crates/control/src/version/mod.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use config::{Changes, Delta, State};
+use config::{Changes, ConfigState, Delta};
 use member::Registry;
 use types::{ClassLoads, Revision, Role, ServiceId, ServiceState, UpstreamId, Version};
 use wire::{ServiceSubset, SyncReply, SyncRequest, Update};
@@ -11,7 +11,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct View<'a> {
     /// The committed configuration.
-    pub state: &'a State,
+    pub state: &'a ConfigState,
     /// The leader's membership.
     pub registry: &'a Registry,
 }
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -36,7 +36,7 @@
     }
 }
 
-pub fn apply(state: &mut config::State, index: u64, change: Change) {
+pub fn apply(state: &mut config::ConfigState, index: u64, change: Change) {
     let req = request(Revision(0), change);
     let at = req.id.created_at().max(UnixMillis(1));
     let answer = state.apply(Revision(index), at, &req);
--- a/crates/control/tests/version.rs
+++ b/crates/control/tests/version.rs
@@ -25,7 +25,7 @@
 
 struct Leader {
     start: Instant,
-    state: config::State,
+    state: config::ConfigState,
     registry: Registry,
 }
 
@@ -33,7 +33,7 @@
     /// A leader with two services, the first with one upstream.
     fn new(settled: bool) -> Self {
         let start = Instant::now();
-        let mut state = config::State::default();
+        let mut state = config::ConfigState::default();
         apply(&mut state, 1, create("vouchers", 4433));
         apply(&mut state, 2, create("badges", 4434));
         let mut registry = Registry::new(Settings::default(), start, Term(TERM));
--- a/crates/limpetctl/tests/common/host.rs
+++ b/crates/limpetctl/tests/common/host.rs
@@ -10,7 +10,7 @@
 
 use actix_web::{App, HttpResponse, HttpServer, web};
 use bytes::Bytes;
-use config::State;
+use config::ConfigState;
 use serde::Serialize;
 use types::{
     Change, ChangeId, ChangeRequest, ClassName, MemberId, Revision, Role, Slots, Term, UnixMillis,
@@ -78,7 +78,7 @@
 
 struct Running {
     host: Host,
-    state: State,
+    state: ConfigState,
     index: u64,
     voters: BTreeMap<MemberId, SocketAddr>,
     learners: BTreeMap<MemberId, SocketAddr>,
@@ -122,7 +122,7 @@
         let made = host.made.clone();
         let mut running = Running {
             host,
-            state: State::default(),
+            state: ConfigState::default(),
             index: 0,
             voters: [1, 2, 3].map(voter).into(),
             learners: BTreeMap::new(),
--- a/crates/replica/src/process/group.rs
+++ b/crates/replica/src/process/group.rs
@@ -8,7 +8,7 @@
 };
 
 use bytes::Bytes;
-use config::State;
+use config::ConfigState;
 use consensus::{
     Completion, Consensus, EntryPayload, Envelope, Group, GroupChange, Input, LogEntry, Message,
     Output, Rejection, RequestToken, Snapshot, Status,
@@ -50,7 +50,7 @@
     cfg: Settings,
     membership_policy: MembershipPolicy,
     consensus: Consensus,
-    state: State,
+    state: ConfigState,
     pending: BTreeMap<RequestToken, PendingRequest>,
     next_token: u64,
     /// Answers to applied entries, until their proposals are reported as accepted.
@@ -103,7 +103,7 @@
             membership_policy: MembershipPolicy::new(cfg.membership),
             cfg,
             consensus,
-            state: State::default(),
+            state: ConfigState::default(),
             pending: BTreeMap::new(),
             next_token: 0,
             answers: BTreeMap::new(),
@@ -256,7 +256,7 @@
 
     fn load_snapshot(&mut self, snapshot: &Snapshot) -> Result<()> {
         if !snapshot.state.is_empty() {
-            self.state = State::decode(&snapshot.state[..])?;
+            self.state = ConfigState::decode(&snapshot.state[..])?;
         }
         self.publish();
         Ok(())
