--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -56,4 +56,6 @@
     ANSWER_RETENTION, AuditRecord, ChangeSummary, KEY_RETIREMENT_DELAY, MAX_AUDIT_RECORDS,
     MAX_ID_CLOCK_SKEW,
 };
-pub use version::{Changes, ConfigState, Delta, DrainMark, Keys, MAX_TOMBSTONES, SNAPSHOT_FORMAT};
+pub use version::{
+    Changes, ConfigState, Delta, DrainMark, KeyRotationState, MAX_TOMBSTONES, SNAPSHOT_FORMAT,
+};
--- a/crates/config/src/request/apply.rs
+++ b/crates/config/src/request/apply.rs
@@ -12,7 +12,7 @@
     answers::{check_date, digest},
     audit::AuditRecord,
 };
-use crate::version::{ConfigState, DrainMark, Keys, Removed, Versions};
+use crate::version::{ConfigState, DrainMark, KeyRotationState, Removed, Versions};
 
 /// Time in the log before a key that was superseded may be replaced.
 ///
@@ -76,7 +76,7 @@
     /// with `at`, and returns its final answer.
     ///
     /// Indexes must rise from call to call; gaps are fine. After a restart the
-    /// log goes on behind [`applied`](ConfigState::applied): an entry that is given
+    /// log goes on behind [`last_applied`](ConfigState::last_applied): an entry that is given
     /// again would be recorded as a resend. Stamps may go back: time in the
     /// log is the latest stamp so far. The cost is
     /// logarithmic in the size of the configuration, apart from one clone of
@@ -84,7 +84,7 @@
     pub fn apply(&mut self, index: Revision, at: UnixMillis, req: &ChangeRequest) -> Answer {
         self.advance(index, at);
         let digest = digest(req);
-        let now = self.now();
+        let now = self.log_time();
         let (answer, resend) = match self.answers.first(req.id, digest) {
             Some(first) => first,
             None => (self.run_first(index, req, digest), false),
@@ -95,7 +95,7 @@
 
     /// Runs a change whose id was not seen before.
     fn run_first(&mut self, index: Revision, req: &ChangeRequest, digest: u64) -> Answer {
-        let now = self.now();
+        let now = self.log_time();
         let answer = match check_date(req.id, now) {
             // Not kept: the id stays expired, as time in the log never goes back.
             Err(expired @ Refusal::IdExpired(_)) => return Answer::Refused(expired),
@@ -277,7 +277,7 @@
         Ok(())
     }
 
-    fn seen_keys(&self, entry: &Entry) -> Result<Option<Keys>, Failure> {
+    fn seen_keys(&self, entry: &Entry) -> Result<Option<KeyRotationState>, Failure> {
         match self.keys() {
             Some(keys) => entry.check_base(keys.revision, &keys.author)?,
             None => entry.check_unseen()?,
@@ -287,7 +287,7 @@
 
     fn add_key(&mut self, entry: &Entry, key: &CidKey) -> Result<(), Failure> {
         let keys = match self.seen_keys(entry)? {
-            None if key.generation.0 < KeyGeneration::COUNT => Keys {
+            None if key.generation.0 < KeyGeneration::COUNT => KeyRotationState {
                 set: KeySet {
                     current: key.clone(),
                     other: None,
@@ -296,7 +296,7 @@
                 revision: entry.index,
                 author: entry.author.clone(),
             },
-            Some(keys) if keys.accepts(key, entry.at) => Keys {
+            Some(keys) if keys.accepts(key, entry.at) => KeyRotationState {
                 set: KeySet {
                     current: keys.set.current,
                     other: Some(key.clone()),
@@ -316,7 +316,7 @@
         let Some(pending) = keys.pending().cloned() else {
             return Err(Refusal::KeyRotation.into());
         };
-        self.put_keys(Keys {
+        self.put_keys(KeyRotationState {
             set: KeySet {
                 current: pending,
                 other: Some(keys.set.current),
--- a/crates/config/src/version/index.rs
+++ b/crates/config/src/version/index.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize, Serializer};
 use types::{HostName, Revision, RoutingSet, Service, ServiceId, ServiceName};
 
-use super::mark::{DrainMark, Keys, Removed};
+use super::mark::{DrainMark, KeyRotationState, Removed};
 
 /// Number of removed services, and of drain marks taken back, that are
 /// remembered. A reader that missed more removals gets a snapshot.
@@ -50,7 +50,7 @@
     services: BTreeMap<ServiceId, Service>,
     removed: BTreeMap<Revision, Removed>,
     drains: BTreeMap<HostName, DrainMark>,
-    keys: Option<Keys>,
+    keys: Option<KeyRotationState>,
     /// The routing set with the highest number that was accepted.
     routes: Option<Arc<RoutingSet>>,
 }
@@ -104,7 +104,7 @@
         &self.objects.drains
     }
 
-    pub(crate) fn keys(&self) -> Option<&Keys> {
+    pub(crate) fn keys(&self) -> Option<&KeyRotationState> {
         self.objects.keys.as_ref()
     }
 
@@ -235,7 +235,7 @@
     }
 
     /// Sets the keys at their revision.
-    pub(crate) fn put_keys(&mut self, keys: Keys) {
+    pub(crate) fn put_keys(&mut self, keys: KeyRotationState) {
         self.objects.revision = keys.revision;
         if let Some(former) = &self.objects.keys {
             self.changed.remove(&former.revision);
--- a/crates/config/src/version/mark.rs
+++ b/crates/config/src/version/mark.rs
@@ -18,7 +18,7 @@
 
 /// The keys and how far their rotation is.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Keys {
+pub struct KeyRotationState {
     /// The valid keys.
     pub set: KeySet,
     /// Time of the log since which `set.current` is in use.
@@ -29,7 +29,7 @@
     pub author: OperatorName,
 }
 
-impl Keys {
+impl KeyRotationState {
     /// The key that waits for its activation; a superseded one does not.
     #[must_use]
     pub fn pending(&self) -> Option<&CidKey> {
--- a/crates/config/src/version/mod.rs
+++ b/crates/config/src/version/mod.rs
@@ -9,7 +9,7 @@
 pub use delta::{Changes, Delta};
 pub(crate) use index::{Object, Versions};
 pub(crate) use mark::Removed;
-pub use mark::{DrainMark, Keys};
+pub use mark::{DrainMark, KeyRotationState};
 pub use snapshot::SNAPSHOT_FORMAT;
 pub use state::ConfigState;
 
--- a/crates/config/src/version/state.rs
+++ b/crates/config/src/version/state.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use types::{HostName, Revision, RoutingSet, Service, ServiceId, ServiceName, UnixMillis};
 
-use super::{Changes, Delta, DrainMark, Keys, Object, Versions};
+use super::{Changes, Delta, DrainMark, KeyRotationState, Object, Versions};
 use crate::request::{Answers, AuditRecord, MAX_AUDIT_RECORDS};
 
 /// The configuration after some entry of the log.
@@ -17,9 +17,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct ConfigState {
     /// Last entry that was applied, whatever its answer.
-    applied: Revision,
+    last_applied: Revision,
     /// Latest stamp of a leader so far.
-    now: UnixMillis,
+    log_time: UnixMillis,
     pub(crate) versions: Versions,
     pub(crate) answers: Answers,
     audit: VecDeque<AuditRecord>,
@@ -34,14 +34,14 @@
 
     /// Index of the last entry that was applied, whatever its answer.
     #[must_use]
-    pub fn applied(&self) -> Revision {
-        self.applied
+    pub fn last_applied(&self) -> Revision {
+        self.last_applied
     }
 
     /// Time of the log: the latest stamp so far.
     #[must_use]
-    pub fn now(&self) -> UnixMillis {
-        self.now
+    pub fn log_time(&self) -> UnixMillis {
+        self.log_time
     }
 
     /// Every service by its id.
@@ -58,7 +58,7 @@
 
     /// The keys for connection ids; `None` before the first was added.
     #[must_use]
-    pub fn keys(&self) -> Option<&Keys> {
+    pub fn keys(&self) -> Option<&KeyRotationState> {
         self.versions.keys()
     }
 
@@ -82,7 +82,7 @@
 
     /// Number of first answers that are kept.
     #[must_use]
-    pub fn answers_kept(&self) -> usize {
+    pub fn retained_answer_count(&self) -> usize {
         self.answers.len()
     }
 
@@ -110,7 +110,7 @@
     /// Everything that a reader needs that has nothing or too old a revision.
     /// It replaces what the reader has.
     #[must_use]
-    pub fn everything(&self) -> Changes {
+    pub fn full_changes(&self) -> Changes {
         let drains = self.drains().iter().filter(|(_, mark)| mark.drain);
         Changes {
             revision: self.revision(),
@@ -134,9 +134,9 @@
 
     /// Moves on to the entry `index` with the stamp `at`.
     pub(crate) fn advance(&mut self, index: Revision, at: UnixMillis) {
-        self.applied = index;
-        self.now = self.now.max(at);
-        self.answers.expire(self.now);
+        self.last_applied = index;
+        self.log_time = self.log_time.max(at);
+        self.answers.expire(self.log_time);
     }
 
     /// Adds a record to the audit trail.
--- a/crates/config/tests/bounds.rs
+++ b/crates/config/tests/bounds.rs
@@ -40,7 +40,7 @@
         assert_eq!(log.send(&req), answer, "{age}");
         log.wait(1);
         assert_eq!(log.send(&req), Answer::Refused(Refusal::IdExpired(req.id)));
-        assert_eq!(log.state.answers_kept(), 0);
+        assert_eq!(log.state.retained_answer_count(), 0);
     }
     for (ahead, runs) in [(HOUR, true), (HOUR + 1, false), (1_000 * day, false)] {
         let mut log = Log::default();
@@ -66,7 +66,7 @@
     let latest = log.now;
     log.now = START;
     log.ask("ana", 0, create("b", 2));
-    assert_eq!(log.state.now(), latest);
+    assert_eq!(log.state.log_time(), latest);
     assert!(log.state.audit().all(|record| record.at == latest));
 }
 
--- a/crates/config/tests/common/mod.rs
+++ b/crates/config/tests/common/mod.rs
@@ -157,7 +157,7 @@
     let change = random_change(u)?;
     let dated = UnixMillis(now.0 - u.int_in_range(0..=HOUR)?);
     let fresh = ChangeRequest {
-        id: id(dated, state.applied().0),
+        id: id(dated, state.last_applied().0),
         author: u.choose(&["ana", "boris"])?.parse().unwrap(),
         base: if u.ratio(3, 4)? {
             present(state, &change)
--- a/crates/config/tests/dialogues.rs
+++ b/crates/config/tests/dialogues.rs
@@ -41,10 +41,10 @@
             self.text,
             "revision {} of {}",
             state.revision(),
-            state.applied()
+            state.last_applied()
         )
         .unwrap();
-        writeln!(self.text, "{:#?}", state.everything()).unwrap();
+        writeln!(self.text, "{:#?}", state.full_changes()).unwrap();
         self.text
     }
 }
--- a/crates/config/tests/properties.rs
+++ b/crates/config/tests/properties.rs
@@ -40,7 +40,7 @@
 /// What a state tells, without the traces that every entry leaves.
 fn told(state: &ConfigState) -> (Revision, Changes, Vec<u64>) {
     let marks = state.drains().values().map(|m| m.revision.0).collect();
-    (state.revision(), state.everything(), marks)
+    (state.revision(), state.full_changes(), marks)
 }
 
 /// Guards against random logs that reach too little to show anything.
@@ -91,10 +91,10 @@
         // The first request with the id fixed what the id stands for.
         let first = log.iter().position(|(_, _, r)| r.id == entry.2.id).unwrap();
         let req = &log[first].2;
-        let before = (told(&state), state.answers_kept());
-        let index = Revision(state.applied().0 + 1);
-        assert_eq!(state.apply(index, state.now(), req), answers[first]);
-        assert_eq!((told(&state), state.answers_kept()), before);
+        let before = (told(&state), state.retained_answer_count());
+        let index = Revision(state.last_applied().0 + 1);
+        assert_eq!(state.apply(index, state.log_time(), req), answers[first]);
+        assert_eq!((told(&state), state.retained_answer_count()), before);
         assert!(state.audit().last().unwrap().resend);
     });
 }
@@ -126,11 +126,11 @@
 
 /// Applies changes with the same base; the first one has to win.
 fn race(state: &mut ConfigState, base: Revision, changes: [Change; 3]) {
-    let winner = Revision(state.applied().0 + 1);
+    let winner = Revision(state.last_applied().0 + 1);
     for (n, change) in (0..).zip(changes) {
         let index = Revision(winner.0 + n);
         let req = ChangeRequest {
-            id: id(state.now().max(START), index.0 + 1_000_000),
+            id: id(state.log_time().max(START), index.0 + 1_000_000),
             author: "vera".parse().unwrap(),
             base,
             change,
@@ -164,7 +164,7 @@
             Delta::Changes(changes) => changes,
             Delta::SnapshotNeeded => {
                 *self = Copy::default();
-                state.everything()
+                state.full_changes()
             }
         };
         self.revision = changes.revision;
--- a/crates/control/src/process/group.rs
+++ b/crates/control/src/process/group.rs
@@ -485,7 +485,7 @@
 
     /// Replaces the applied log by a snapshot when it has grown long.
     fn compact(&mut self, commit: Revision) -> Result<()> {
-        let through = self.state.applied().min(commit);
+        let through = self.state.last_applied().min(commit);
         if through.0 < self.compacted.0 + self.cfg.compact_after {
             return Ok(());
         }
--- a/crates/control/src/process/leadership.rs
+++ b/crates/control/src/process/leadership.rs
@@ -50,7 +50,7 @@
         }
         let changes = match state.delta_since(self.known) {
             config::Delta::Changes(changes) => changes,
-            config::Delta::SnapshotNeeded => state.everything(),
+            config::Delta::SnapshotNeeded => state.full_changes(),
         };
         for id in changes.removed {
             self.registry.remove_service(id);
--- a/crates/control/src/version/mod.rs
+++ b/crates/control/src/version/mod.rs
@@ -82,7 +82,7 @@
         };
         let (snapshot, changes) = match delta {
             Delta::Changes(changes) => (false, changes),
-            Delta::SnapshotNeeded => (true, self.state.everything()),
+            Delta::SnapshotNeeded => (true, self.state.full_changes()),
         };
         let ids = self.changed_services(req, &changes, snapshot);
         Update {
--- a/crates/replica/src/process/group.rs
+++ b/crates/replica/src/process/group.rs
@@ -402,7 +402,7 @@
     }
 
     fn compact(&mut self) -> Result<()> {
-        let through = self.state.applied();
+        let through = self.state.last_applied();
         let mut state = Vec::new();
         self.state.encode(&mut state)?;
         let state = Bytes::from(state);
