--- a/crates/balancer/src/connection/mod.rs
+++ b/crates/balancer/src/connection/mod.rs
@@ -21,7 +21,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DropCause {
     /// It could not be read.
-    Input(wire::Category),
+    Undecodable(wire::Category),
     /// The table has no place for it.
     Route(DropReason),
     /// Smaller than the first packet of a connection must be.
@@ -29,14 +29,14 @@
     /// With its prefix it is larger than a UDP datagram can be.
     Oversized,
     /// An answer from a host that is no agent of the service.
-    Sender,
+    UnauthorizedSender,
     /// A probe that is not answered: its sender is no agent, or answers cannot
     /// leave through this balancer.
-    Probe,
+    UnansweredProbe,
     /// The socket would not take it.
-    Send,
+    SendFailed,
     /// The socket returned an error instead of a datagram.
-    Receive,
+    ReceiveFailed,
 }
 
 impl DropCause {
@@ -44,14 +44,14 @@
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
-            DropCause::Input(category) => category.as_str(),
+            DropCause::Undecodable(category) => category.as_str(),
             DropCause::Route(reason) => reason.as_str(),
             DropCause::Undersized => "undersized",
             DropCause::Oversized => "oversized",
-            DropCause::Sender => "sender",
-            DropCause::Probe => "probe",
-            DropCause::Send => "send",
-            DropCause::Receive => "receive",
+            DropCause::UnauthorizedSender => "sender",
+            DropCause::UnansweredProbe => "probe",
+            DropCause::SendFailed => "send",
+            DropCause::ReceiveFailed => "receive",
         }
     }
 }
@@ -75,7 +75,7 @@
         match QuicHeader::decode(packet) {
             Ok(QuicHeader::Short { dcid }) => self.established(service, dcid),
             Ok(QuicHeader::Long { kind, dcid }) => self.handshake(service, kind, dcid, packet),
-            Err(e) => Verdict::Drop(DropCause::Input(e.category())),
+            Err(e) => Verdict::Drop(DropCause::Undecodable(e.category())),
         }
     }
 
@@ -93,14 +93,14 @@
         if self.is_agent_of(from, service) {
             Ok(())
         } else {
-            Err(DropCause::Sender)
+            Err(DropCause::UnauthorizedSender)
         }
     }
 
     fn established(&self, service: ServiceId, dcid: &[u8]) -> Verdict {
         match self.decode(dcid) {
             Some(id) => self.by_id(service, dcid, &id),
-            None => Verdict::Drop(DropCause::Input(wire::Category::UnknownId)),
+            None => Verdict::Drop(DropCause::Undecodable(wire::Category::UnknownId)),
         }
     }
 
@@ -114,7 +114,7 @@
         match (self.decode(dcid), kind) {
             (Some(id), _) => self.by_id(service, dcid, &id),
             (None, LongHeaderKind::Handshake) => {
-                Verdict::Drop(DropCause::Input(wire::Category::UnknownId))
+                Verdict::Drop(DropCause::Undecodable(wire::Category::UnknownId))
             }
             (None, LongHeaderKind::MayOpen) if packet.len() < MIN_OPENING => {
                 Verdict::Drop(DropCause::Undersized)
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -17,6 +17,6 @@
 pub use connection::{DropCause, Verdict};
 pub use error::{Error, Result};
 pub use process::{
-    Datapath, DirectIngress, FabricIngress, Ingress, Links, Metrics, Settings, bind, run,
+    Datapath, DirectIngress, FabricIngress, Ingress, Metrics, Settings, SyncChannels, bind, run,
 };
 pub use version::Classifier;
--- a/crates/balancer/src/process/datapath.rs
+++ b/crates/balancer/src/process/datapath.rs
@@ -18,7 +18,7 @@
 use wire::{Prefix, Update};
 
 use super::{
-    ingress::{Ingress, Received},
+    ingress::{Ingress, IngressDatagram},
     metrics::Metrics,
 };
 use crate::{Classifier, DropCause, Verdict};
@@ -41,7 +41,7 @@
 
 /// Channels between the data path and the sync task.
 #[derive(Debug)]
-pub struct Links {
+pub struct SyncChannels {
     /// New versions.
     pub steps: mpsc::Receiver<Step>,
     /// What the control group is told of this balancer.
@@ -53,13 +53,13 @@
     ingress: I,
     /// Socket towards the agents.
     agents: UdpSocket,
-    links: Links,
+    links: SyncChannels,
     classifier: Classifier,
     /// Whether a version is in force.
     has_version: bool,
     /// When a stopping balancer ends; `None` while it is to go on.
     end_at: Option<Instant>,
-    linger: Duration,
+    shutdown_grace_period: Duration,
     metrics: Metrics,
     /// No log line about a dropped datagram before this instant.
     next_drop_log: Instant,
@@ -75,13 +75,13 @@
 }
 
 impl<I: Ingress> Datapath<I> {
-    /// Creates the task. Once it is to stop, it goes on for `linger`.
+    /// Creates the task. Once it is to stop, it goes on for `shutdown_grace_period`.
     pub fn new(
         ingress: I,
         agents: UdpSocket,
-        links: Links,
+        links: SyncChannels,
         metrics: Metrics,
-        linger: Duration,
+        shutdown_grace_period: Duration,
     ) -> Self {
         Datapath {
             ingress,
@@ -90,7 +90,7 @@
             classifier: Classifier::default(),
             has_version: false,
             end_at: None,
-            linger,
+            shutdown_grace_period,
             metrics,
             next_drop_log: Instant::now(),
             buf: vec![0; BUFFER],
@@ -128,10 +128,10 @@
     /// Stops being chosen: the membership no longer lists the balancer once
     /// its lease ends, and probes of agents and fabric get no answer.
     fn leave(&mut self) {
-        self.end_at = Some(Instant::now() + self.linger);
+        self.end_at = Some(Instant::now() + self.shutdown_grace_period);
         self.metrics.serving.set(0);
         self.links.report.send_replace(NodeReport::default());
-        log::info!(event = "balancer_leaving", linger:? = self.linger; "leaving; still forwarding");
+        log::info!(event = "balancer_leaving", linger:? = self.shutdown_grace_period; "leaving; still forwarding");
     }
 
     /// Whether new flows may be sent through this balancer.
@@ -162,13 +162,13 @@
                 // Errors of earlier sends show up here and concern no datagram.
                 Poll::Ready(Err(_)) => {
                     errors += 1;
-                    self.count_drop(DropCause::Receive);
+                    self.count_drop(DropCause::ReceiveFailed);
                     continue;
                 }
                 Poll::Ready(Ok(received)) => received,
             };
             let result = match received {
-                Ok(Received::Packet {
+                Ok(IngressDatagram::Packet {
                     from,
                     endpoints,
                     datagram,
@@ -178,19 +178,19 @@
                         Err(DropCause::Oversized)
                     }
                     Verdict::Forward(hop) => {
-                        self.ingress.note_forwarded(from);
+                        self.ingress.record_forwarded(from);
                         let sent = self.agents.try_send_to(datagram, hop.address);
-                        sent.map(|_| self.metrics.forwarded.inc())
-                            .map_err(|_| DropCause::Send)
+                        sent.map(|_| self.metrics.forwarded_datagrams.inc())
+                            .map_err(|_| DropCause::SendFailed)
                     }
                     Verdict::Drop(cause) => Err(cause),
                 },
-                Ok(Received::Probe { from, datagram }) if serving => self
+                Ok(IngressDatagram::Probe { from, datagram }) if serving => self
                     .ingress
-                    .try_echo(from, datagram)
-                    .map_err(|_| DropCause::Send),
-                Ok(Received::Probe { .. }) => Err(DropCause::Probe),
-                Err(e) => Err(DropCause::Input(e.category())),
+                    .try_echo_probe(from, datagram)
+                    .map_err(|_| DropCause::SendFailed),
+                Ok(IngressDatagram::Probe { .. }) => Err(DropCause::UnansweredProbe),
+                Err(e) => Err(DropCause::Undecodable(e.category())),
             };
             if let Err(cause) = result {
                 self.count_drop(cause);
@@ -209,7 +209,7 @@
                 Poll::Pending => return Poll::Pending,
                 Poll::Ready(Err(_)) => {
                     errors += 1;
-                    self.count_drop(DropCause::Receive);
+                    self.count_drop(DropCause::ReceiveFailed);
                     continue;
                 }
                 Poll::Ready(Ok(from)) => from,
@@ -226,29 +226,29 @@
     fn answer(&mut self, from: SocketAddr, len: usize) -> Result<(), DropCause> {
         let datagram = &self.buf[..len];
         let (prefix, packet) =
-            Prefix::decode(datagram).map_err(|e| DropCause::Input(e.category()))?;
-        let send = |_: io::Error| DropCause::Send;
+            Prefix::decode(datagram).map_err(|e| DropCause::Undecodable(e.category()))?;
+        let send = |_: io::Error| DropCause::SendFailed;
         match prefix {
             Prefix::Local => {
                 // An agent whose answers could not leave here must not choose
                 // this balancer.
                 let useful = self.is_serving()
-                    && self.ingress.can_answer()
+                    && self.ingress.can_send_answers()
                     && self.classifier.is_agent(from);
                 if !useful {
-                    return Err(DropCause::Probe);
+                    return Err(DropCause::UnansweredProbe);
                 }
                 self.agents.try_send_to(datagram, from).map_err(send)?;
-                self.metrics.probes.inc();
+                self.metrics.answered_probes.inc();
             }
             Prefix::Proxy(endpoints) => {
                 self.classifier.check_answer(from, &endpoints)?;
                 self.ingress
-                    .try_send(&endpoints, datagram, packet)
+                    .try_send_answer(&endpoints, datagram, packet)
                     .map_err(send)?;
-                self.metrics.returned.inc();
+                self.metrics.returned_datagrams.inc();
             }
-            Prefix::PassedOn(_) => return Err(DropCause::Input(wire::Category::Malformed)),
+            Prefix::PassedOn(_) => return Err(DropCause::Undecodable(wire::Category::Malformed)),
         }
         Ok(())
     }
@@ -259,7 +259,7 @@
         let version = update.version;
         self.classifier.apply(update);
         self.ingress
-            .set_services(self.classifier.service_addresses().collect());
+            .set_service_addresses(self.classifier.service_addresses().collect());
         self.has_version = true;
         self.metrics.serving.set(i64::from(self.is_serving()));
         let revision = i64::try_from(version.revision.0).unwrap_or(i64::MAX);
@@ -271,7 +271,7 @@
     fn count_drop(&mut self, cause: DropCause) {
         let count = self.metrics.count_drop(cause);
         // A balancer that the fabric has not used yet gets probes all the time.
-        if cause == DropCause::Probe {
+        if cause == DropCause::UnansweredProbe {
             return;
         }
         let now = Instant::now();
--- a/crates/balancer/src/process/ingress.rs
+++ b/crates/balancer/src/process/ingress.rs
@@ -27,7 +27,7 @@
 
 /// What came from the side of the callers.
 #[derive(Debug)]
-pub enum Received<'a> {
+pub enum IngressDatagram<'a> {
     /// A datagram of a caller, already with its prefix.
     Packet {
         /// Who handed it over: the fabric or the caller.
@@ -59,32 +59,36 @@
         &mut self,
         cx: &mut Context<'_>,
         buf: &'a mut [u8],
-    ) -> Poll<io::Result<wire::Result<Received<'a>>>>;
+    ) -> Poll<io::Result<wire::Result<IngressDatagram<'a>>>>;
 
     /// Notes that a datagram handed over by `from` was forwarded.
-    fn note_forwarded(&mut self, from: SocketAddr);
+    fn record_forwarded(&mut self, from: SocketAddr);
 
     /// Sends the answer in `datagram`, which has its prefix, to the caller.
     ///
     /// # Errors
     ///
     /// The socket does not take it, or there is no socket for the service.
-    fn try_send(&mut self, endpoints: &Endpoints, datagram: &[u8], packet: &[u8])
-    -> io::Result<()>;
+    fn try_send_answer(
+        &mut self,
+        endpoints: &Endpoints,
+        datagram: &[u8],
+        packet: &[u8],
+    ) -> io::Result<()>;
 
     /// Sends a probe of the fabric back.
     ///
     /// # Errors
     ///
     /// The socket does not take it.
-    fn try_echo(&mut self, from: SocketAddr, datagram: &[u8]) -> io::Result<()>;
+    fn try_echo_probe(&mut self, from: SocketAddr, datagram: &[u8]) -> io::Result<()>;
 
     /// Whether answers can leave.
-    fn can_answer(&self) -> bool;
+    fn can_send_answers(&self) -> bool;
 
     /// Opens and closes sockets so that they match the addresses of the
     /// services.
-    fn set_services(&mut self, addresses: BTreeSet<SocketAddr>);
+    fn set_service_addresses(&mut self, addresses: BTreeSet<SocketAddr>);
 
     /// Tries again to open what could not be opened.
     fn retry(&mut self);
@@ -132,42 +136,42 @@
         &mut self,
         cx: &mut Context<'_>,
         buf: &'a mut [u8],
-    ) -> Poll<io::Result<wire::Result<Received<'a>>>> {
+    ) -> Poll<io::Result<wire::Result<IngressDatagram<'a>>>> {
         let mut read = ReadBuf::new(buf);
         let from = ready!(self.socket.poll_recv_from(cx, &mut read))?;
         let len = read.filled().len();
         let datagram = &buf[..len];
         Poll::Ready(Ok(match Prefix::decode(datagram) {
-            Ok((Prefix::Proxy(endpoints), packet)) => Ok(Received::Packet {
+            Ok((Prefix::Proxy(endpoints), packet)) => Ok(IngressDatagram::Packet {
                 from,
                 endpoints,
                 datagram,
                 packet,
             }),
-            Ok((Prefix::Local, _)) => Ok(Received::Probe { from, datagram }),
+            Ok((Prefix::Local, _)) => Ok(IngressDatagram::Probe { from, datagram }),
             Ok((Prefix::PassedOn(_), _)) => Err(wire::Error::unexpected_prefix()),
             Err(e) => Err(e),
         }))
     }
 
-    fn note_forwarded(&mut self, from: SocketAddr) {
+    fn record_forwarded(&mut self, from: SocketAddr) {
         self.fabric = Some(from);
     }
 
-    fn try_send(&mut self, _: &Endpoints, datagram: &[u8], _: &[u8]) -> io::Result<()> {
+    fn try_send_answer(&mut self, _: &Endpoints, datagram: &[u8], _: &[u8]) -> io::Result<()> {
         let fabric = self.fabric.ok_or(io::ErrorKind::NotConnected)?;
         self.socket.try_send_to(datagram, fabric).map(drop)
     }
 
-    fn try_echo(&mut self, from: SocketAddr, datagram: &[u8]) -> io::Result<()> {
+    fn try_echo_probe(&mut self, from: SocketAddr, datagram: &[u8]) -> io::Result<()> {
         self.socket.try_send_to(datagram, from).map(drop)
     }
 
-    fn can_answer(&self) -> bool {
+    fn can_send_answers(&self) -> bool {
         self.fabric.is_some()
     }
 
-    fn set_services(&mut self, _: BTreeSet<SocketAddr>) {}
+    fn set_service_addresses(&mut self, _: BTreeSet<SocketAddr>) {}
 
     fn retry(&mut self) {}
 }
@@ -228,7 +232,7 @@
         &mut self,
         cx: &mut Context<'_>,
         buf: &'a mut [u8],
-    ) -> Poll<io::Result<wire::Result<Received<'a>>>> {
+    ) -> Poll<io::Result<wire::Result<IngressDatagram<'a>>>> {
         // The packet is received behind the place of the longest prefix, so
         // that the prefix can be put in front without moving the packet.
         let (endpoints, len) = ready!(self.poll_any(cx, &mut buf[wire::MAX_PREFIX_LEN..]))?;
@@ -238,7 +242,7 @@
         let start = packet_start - self.prefix.len();
         let end = packet_start + len;
         buf[start..packet_start].copy_from_slice(&self.prefix);
-        Poll::Ready(Ok(Ok(Received::Packet {
+        Poll::Ready(Ok(Ok(IngressDatagram::Packet {
             from: endpoints.caller,
             endpoints,
             datagram: &buf[start..end],
@@ -246,9 +250,14 @@
         })))
     }
 
-    fn note_forwarded(&mut self, _: SocketAddr) {}
+    fn record_forwarded(&mut self, _: SocketAddr) {}
 
-    fn try_send(&mut self, endpoints: &Endpoints, _: &[u8], packet: &[u8]) -> io::Result<()> {
+    fn try_send_answer(
+        &mut self,
+        endpoints: &Endpoints,
+        _: &[u8],
+        packet: &[u8],
+    ) -> io::Result<()> {
         let socket = self
             .sockets
             .get(&endpoints.service)
@@ -257,15 +266,15 @@
     }
 
     /// Callers send no probes.
-    fn try_echo(&mut self, _: SocketAddr, _: &[u8]) -> io::Result<()> {
+    fn try_echo_probe(&mut self, _: SocketAddr, _: &[u8]) -> io::Result<()> {
         Err(io::ErrorKind::Unsupported.into())
     }
 
-    fn can_answer(&self) -> bool {
+    fn can_send_answers(&self) -> bool {
         !self.sockets.is_empty()
     }
 
-    fn set_services(&mut self, mut addresses: BTreeSet<SocketAddr>) {
+    fn set_service_addresses(&mut self, mut addresses: BTreeSet<SocketAddr>) {
         addresses.retain(|address| self.only.is_none_or(|ip| ip == address.ip()));
         self.sockets
             .retain(|address, _| addresses.contains(address));
--- a/crates/balancer/src/process/metrics.rs
+++ b/crates/balancer/src/process/metrics.rs
@@ -10,11 +10,11 @@
 #[derive(Debug)]
 pub struct Metrics {
     /// Datagrams sent to agents.
-    pub forwarded: IntCounter,
+    pub forwarded_datagrams: IntCounter,
     /// Datagrams sent to callers.
-    pub returned: IntCounter,
+    pub returned_datagrams: IntCounter,
     /// Probes of agents that were answered.
-    pub probes: IntCounter,
+    pub answered_probes: IntCounter,
     /// Revision of the configuration that is in force.
     pub revision: IntGauge,
     /// 1 while the balancer has a version and is not stopping.
@@ -50,15 +50,15 @@
         )?;
         registry.register(Box::new(dropped.clone()))?;
         Ok(Metrics {
-            forwarded: counter(
+            forwarded_datagrams: counter(
                 "limpet_balancer_forwarded_datagrams_total",
                 "Datagrams of callers that were sent to agents.",
             )?,
-            returned: counter(
+            returned_datagrams: counter(
                 "limpet_balancer_returned_datagrams_total",
                 "Datagrams of agents that were sent to callers.",
             )?,
-            probes: counter(
+            answered_probes: counter(
                 "limpet_balancer_probes_total",
                 "Health probes of agents that were answered.",
             )?,
--- a/crates/balancer/src/process/mod.rs
+++ b/crates/balancer/src/process/mod.rs
@@ -10,8 +10,8 @@
 use tokio::sync::{mpsc, watch};
 use types::{BalancerAnnouncement, Role};
 
-pub use datapath::{Datapath, Links};
-pub use ingress::{DirectIngress, FabricIngress, Ingress, Received, bind};
+pub use datapath::{Datapath, SyncChannels};
+pub use ingress::{DirectIngress, FabricIngress, Ingress, IngressDatagram, bind};
 pub use metrics::Metrics;
 pub use settings::Settings;
 
@@ -58,11 +58,11 @@
     let http = Http::new(cfg.credentials.as_ref());
     let sync = actix_rt::spawn(SyncTask::new(sync, http, report_rx, step_tx).run());
 
-    let links = Links {
+    let links = SyncChannels {
         steps: step_rx,
         report: report_tx,
     };
-    Datapath::new(ingress, agents, links, metrics, cfg.linger)
+    Datapath::new(ingress, agents, links, metrics, cfg.shutdown_grace_period)
         .run(stop)
         .await;
     sync.abort();
--- a/crates/balancer/src/process/settings.rs
+++ b/crates/balancer/src/process/settings.rs
@@ -7,10 +7,10 @@
 
 use types::{DataCentre, HostName};
 
-/// Default of [`Settings::linger`]. A lease of 3 s ends, the news takes at most
+/// Default of [`Settings::shutdown_grace_period`]. A lease of 3 s ends, the news takes at most
 /// the 1 s that a sync request is held, and 1 s is left for the packets on
 /// their way.
-const LINGER: Duration = Duration::from_secs(5);
+const DEFAULT_SHUTDOWN_GRACE_PERIOD: Duration = Duration::from_secs(5);
 
 /// Settings of a balancer.
 #[derive(Debug, Clone)]
@@ -31,7 +31,7 @@
     pub services_listen: Option<IpAddr>,
     /// Time for which a stopping balancer goes on forwarding, so that agents
     /// and fabric can turn to others. Longer than the lease of a balancer.
-    pub linger: Duration,
+    pub shutdown_grace_period: Duration,
     /// Proofs of identity; plain HTTP without them.
     pub credentials: Option<auth::Credentials>,
 }
@@ -47,7 +47,7 @@
             fabric_listen: None,
             return_listen: (Ipv4Addr::LOCALHOST, 0).into(),
             services_listen: None,
-            linger: LINGER,
+            shutdown_grace_period: DEFAULT_SHUTDOWN_GRACE_PERIOD,
             credentials: None,
         }
     }
--- a/crates/balancer/tests/classifier.rs
+++ b/crates/balancer/tests/classifier.rs
@@ -58,7 +58,7 @@
 }
 
 fn input(category: Category) -> Verdict {
-    Verdict::Drop(DropCause::Input(category))
+    Verdict::Drop(DropCause::Undecodable(category))
 }
 
 fn route(reason: DropReason) -> Verdict {
@@ -152,8 +152,8 @@
     let cases = [
         (agent(1), 1, Ok(())),
         (agent(3), 3, Ok(())),
-        (agent(2), 1, Err(DropCause::Sender)),
-        (agent(9), 1, Err(DropCause::Sender)),
+        (agent(2), 1, Err(DropCause::UnauthorizedSender)),
+        (agent(9), 1, Err(DropCause::UnauthorizedSender)),
         (agent(1), 9, Err(unknown)),
     ];
     for (from, n, result) in cases {
--- a/crates/balancer/tests/datapath.rs
+++ b/crates/balancer/tests/datapath.rs
@@ -9,7 +9,7 @@
 };
 
 use actix_rt::{task::JoinHandle, time::timeout};
-use balancer::{Datapath, DirectIngress, FabricIngress, Ingress, Links, Metrics, bind};
+use balancer::{Datapath, DirectIngress, FabricIngress, Ingress, Metrics, SyncChannels, bind};
 use client::{NodeReport, Step};
 use common::{cid, keys, long, short, snapshot, state};
 use prometheus::Registry;
@@ -83,7 +83,7 @@
                 return_address: returns,
             }),
         });
-        let links = Links {
+        let links = SyncChannels {
             steps: step_rx,
             report: report_tx,
         };
--- a/crates/balancer/tests/log.rs
+++ b/crates/balancer/tests/log.rs
@@ -7,7 +7,7 @@
     time::{Duration, Instant},
 };
 
-use balancer::{Datapath, FabricIngress, Links, Metrics, bind};
+use balancer::{Datapath, FabricIngress, Metrics, SyncChannels, bind};
 use client::NodeReport;
 use log::{LevelFilter, Log, Metadata, Record};
 use prometheus::Registry;
@@ -44,7 +44,7 @@
     let (report, _) = watch::channel(NodeReport::default());
     let (_stop, stop) = watch::channel(false);
     let metrics = Metrics::new(&Registry::new()).unwrap();
-    let links = Links { steps, report };
+    let links = SyncChannels { steps, report };
     let datapath = Datapath::new(ingress, bind(any).unwrap(), links, metrics, Duration::ZERO);
     actix_rt::spawn(datapath.run(stop));
 
--- a/crates/bench/src/bin/datagrams.rs
+++ b/crates/bench/src/bin/datagrams.rs
@@ -18,7 +18,7 @@
     time::{Duration, Instant},
 };
 
-use balancer::{Datapath, FabricIngress, Links, Metrics, bind};
+use balancer::{Datapath, FabricIngress, Metrics, SyncChannels, bind};
 use client::{NodeReport, Step};
 use comfy_table::{Table, presets::ASCII_MARKDOWN};
 use prometheus::{IntCounter, Registry};
@@ -347,7 +347,7 @@
 /// Starts the data path of a balancer with a table.
 fn balancer(size: Size, port: u16) -> Subject {
     let metrics = Metrics::new(&Registry::new()).expect("metrics");
-    let forwarded = Counter::Balancer(metrics.forwarded.clone());
+    let forwarded = Counter::Balancer(metrics.forwarded_datagrams.clone());
     let (steps, step_rx) = mpsc::channel(1);
     let (started_tx, started_rx) = oneshot::channel();
     thread::spawn(move || {
@@ -357,7 +357,7 @@
             started_tx.send((address, this_task())).expect("main waits");
             let agents = bind(any()).expect("agent socket");
             let (report, _) = watch::channel(NodeReport::default());
-            let links = Links {
+            let links = SyncChannels {
                 steps: step_rx,
                 report,
             };
--- a/crates/limpetd/src/process/local.rs
+++ b/crates/limpetd/src/process/local.rs
@@ -73,7 +73,7 @@
     let (host, data_centre) = place();
     balancer::Settings {
         // The agent in the same process has already ended.
-        linger: Duration::ZERO,
+        shutdown_grace_period: Duration::ZERO,
         ..balancer::Settings::new(host, data_centre, vec![args.control])
     }
 }
