--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -1,32 +1,34 @@
-//! The error of this crate.
+//! Error type of this crate.
 
 /// A [`std::result::Result`] with this crate's [`Error`].
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// A snapshot of the configuration could not be written or read.
+/// Failure to write or read a snapshot of the configuration.
 #[derive(Debug, thiserror::Error)]
 #[error(transparent)]
 pub struct Error(Box<ErrorKind>);
 
-/// What kind of failure it was.
+/// Kind of failure.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Category {
-    /// The writer or the reader failed.
+    /// I/O error of the writer or the reader, including a truncated snapshot.
     Io,
-    /// The bytes are no snapshot.
+    /// The data cannot be decoded as a snapshot.
     Data,
-    /// The snapshot has a format that this build does not know.
+    /// This build does not support the format version of the snapshot.
     Format,
 }
 
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ErrorKind {
-    #[error("cannot write the configuration snapshot: {0}")]
+    #[error("failed to write the configuration snapshot: {0}")]
     Encode(#[from] rmp_serde::encode::Error),
-    #[error("cannot read the configuration snapshot: {0}")]
+    #[error("failed to read the configuration snapshot: {0}")]
     Decode(#[from] rmp_serde::decode::Error),
-    #[error("configuration snapshot has format {found}; this build reads format {known}")]
-    Format { found: u32, known: u32 },
+    #[error(
+        "unsupported format {found} of the configuration snapshot; this build reads format {supported}"
+    )]
+    Format { found: u32, supported: u32 },
 }
 
 impl<E: Into<ErrorKind>> From<E> for Error {
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,26 +1,29 @@
 //! The configuration as a deterministic state machine.
 //!
-//! The replicated log hands every committed change to [`ConfigState::apply`]; all
-//! members of the control group that applied the same entries hold equal
-//! states. What lives as long as a version of the configuration is in
-//! `version`, what belongs to one change in `request`.
+//! Every committed entry of the replicated log is applied by
+//! [`ConfigState::apply`]; members of the control group that applied the same
+//! entries have equal states. Module `version` holds the data of a
+//! configuration version, module `request` the processing of a single change.
 //!
-//! # Objects and bases
+//! # Objects and base revisions
 //!
 //! The objects are services (with their targets), drain marks and the key
-//! set. A change names the revision of its object that the operator saw, 0
-//! for none, and is accepted only if that is still the present one. Removed
-//! services and drain marks that were taken back stay known for a while with
-//! their last revision, so a change based on an earlier state conflicts.
+//! set. Changes use optimistic concurrency: each carries the revision of its
+//! object that the operator read (its base, 0 if there was no object) and is
+//! accepted only if that revision is still current. The last
+//! [`MAX_TOMBSTONES`] removed services and cleared drain marks are retained
+//! with their last revision, so that a change based on an earlier state is
+//! detected as a conflict.
 //!
 //! # Key rotation
 //!
-//! `AddKey` puts a key of the next generation beside the current one. Once
-//! that revision is in force on every node, which the state cannot know and
-//! the caller has to check, `ActivateKey` swaps the two. The superseded key is
-//! still accepted; the next `AddKey` replaces it, which is refused for
-//! [`KEY_RETIREMENT_DELAY`] because flows may still carry its ids. A key that
-//! waits for its activation may be replaced at any time: nobody used it.
+//! `AddKey` adds a key of the next generation next to the current one. Once
+//! that revision is in force on every node, `ActivateKey` swaps the two; the
+//! state has no data about the nodes, so the leader must check this first. The
+//! superseded key is still accepted until the next `AddKey` replaces it, which
+//! is refused for [`KEY_RETIREMENT_DELAY`] because flows may still use
+//! connection ids of that key. A pending key may be replaced at any time,
+//! because no connection id was issued with it.
 //!
 //! # Example
 //!
@@ -40,7 +43,7 @@
 //! };
 //! let mut state = ConfigState::default();
 //! assert_eq!(state.apply(Revision(7), id.created_at(), &req), Answer::Accepted(Revision(7)));
-//! // A resend gets the first answer and changes nothing.
+//! // A retry returns the first answer and changes nothing.
 //! assert_eq!(state.apply(Revision(8), id.created_at(), &req), Answer::Accepted(Revision(7)));
 //! assert_eq!(state.revision(), Revision(7));
 //! assert!(matches!(state.delta_since(Revision(7)), Delta::Changes(c) if c.is_empty()));
--- a/crates/config/src/request/apply.rs
+++ b/crates/config/src/request/apply.rs
@@ -1,4 +1,4 @@
-//! Runs one change against the configuration.
+//! Application of a change to the configuration.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -9,61 +9,64 @@
 };
 
 use super::{
-    answers::{check_date, digest},
     audit::AuditRecord,
+    first_answers::{check_id_time, request_digest},
+};
+use crate::version::{
+    ConfigState, DrainMark, KeyRotationState, ServiceTombstone, VersionedObjects,
 };
-use crate::version::{ConfigState, DrainMark, KeyRotationState, Removed, Versions};
 
-/// Time in the log before a key that was superseded may be replaced.
+/// Log time for which a superseded key must stay before it may be replaced.
 ///
-/// Agents renew connection ids at least every 10 minutes; a key that goes
-/// sooner would break flows that still carry its ids. Twice that time leaves
-/// room for slow distribution and for callers that are late to switch to a new id.
+/// Agents renew connection ids at least every 10 minutes; removing a key sooner
+/// breaks flows that still use its ids. Twice that time allows for slow
+/// distribution of keys and for callers that are late to switch to a new id.
 pub const KEY_RETIREMENT_DELAY: Duration = Duration::from_mins(20);
 
-/// Why a change was not made.
-enum Failure {
+/// Reason for which a change is not accepted.
+enum Rejection {
     Conflict(Conflict),
     Refused(Refusal),
 }
 
-impl From<Refusal> for Failure {
+impl From<Refusal> for Rejection {
     fn from(refusal: Refusal) -> Self {
-        Failure::Refused(refusal)
+        Rejection::Refused(refusal)
     }
 }
 
-impl From<Failure> for Answer {
-    fn from(failure: Failure) -> Self {
-        match failure {
-            Failure::Conflict(conflict) => Answer::Conflict(conflict),
-            Failure::Refused(refusal) => Answer::Refused(refusal),
+impl From<Rejection> for Answer {
+    fn from(rejection: Rejection) -> Self {
+        match rejection {
+            Rejection::Conflict(conflict) => Answer::Conflict(conflict),
+            Rejection::Refused(refusal) => Answer::Refused(refusal),
         }
     }
 }
 
-/// Where and by whom a change is made.
-struct Entry<'a> {
+/// Log position, author and base revision of a change.
+struct ChangeContext<'a> {
     index: Revision,
-    at: UnixMillis,
+    log_time: UnixMillis,
     author: &'a OperatorName,
     base: Revision,
 }
 
-impl Entry<'_> {
-    /// Checks that the operator saw the present revision of the object.
-    fn check_base(&self, present: Revision, author: &OperatorName) -> Result<(), Failure> {
-        if self.base == present {
+impl ChangeContext<'_> {
+    /// Checks that the change is based on the current revision of the object.
+    /// `author` made that revision and is named in the conflict.
+    fn check_base(&self, current: Revision, author: &OperatorName) -> Result<(), Rejection> {
+        if self.base == current {
             return Ok(());
         }
-        Err(Failure::Conflict(Conflict {
-            winner: present,
+        Err(Rejection::Conflict(Conflict {
+            winner: current,
             author: author.clone(),
         }))
     }
 
-    /// Checks that the operator saw no object where there is none.
-    fn check_unseen(&self) -> Result<(), Failure> {
+    /// Checks that a change of an object that does not exist has base 0.
+    fn check_no_base(&self) -> Result<(), Rejection> {
         if self.base == Revision(0) {
             return Ok(());
         }
@@ -72,66 +75,69 @@
 }
 
 impl ConfigState {
-    /// Runs the change of the log entry `index`, which the leader stamped
-    /// with `at`, and returns its final answer.
+    /// Applies the change of the log entry `index`, to which the leader
+    /// assigned the timestamp `at`, and returns its final answer.
     ///
-    /// Indexes must rise from call to call; gaps are fine. After a restart the
-    /// log goes on behind [`last_applied`](ConfigState::last_applied): an entry that is given
-    /// again would be recorded as a resend. Stamps may go back: time in the
-    /// log is the latest stamp so far. The cost is
-    /// logarithmic in the size of the configuration, apart from one clone of
-    /// the changed object.
+    /// Indexes must increase from call to call; gaps are allowed. After a
+    /// restart, replay must resume after
+    /// [`last_applied`](ConfigState::last_applied): an entry that is applied
+    /// again is recorded as a retry. Timestamps may decrease, as the clock of
+    /// a new leader may be behind: log time is the highest timestamp so far.
+    /// The cost is logarithmic in the size of the configuration, plus one clone
+    /// of the changed object.
     pub fn apply(&mut self, index: Revision, at: UnixMillis, req: &ChangeRequest) -> Answer {
-        self.advance(index, at);
-        let digest = digest(req);
+        self.advance_to(index, at);
+        let digest = request_digest(req);
         let now = self.log_time();
-        let (answer, resend) = match self.answers.first(req.id, digest) {
+        let (answer, resend) = match self.first_answers.get(req.id, digest) {
             Some(first) => first,
-            None => (self.run_first(index, req, digest), false),
+            None => (self.apply_new(index, req, digest), false),
         };
-        self.record(AuditRecord::new(index, now, req, answer.clone(), resend));
+        self.append_audit(AuditRecord::new(index, now, req, answer.clone(), resend));
         answer
     }
 
-    /// Runs a change whose id was not seen before.
-    fn run_first(&mut self, index: Revision, req: &ChangeRequest, digest: u64) -> Answer {
+    /// Applies a change whose id has no retained answer.
+    fn apply_new(&mut self, index: Revision, req: &ChangeRequest, digest: u64) -> Answer {
         let now = self.log_time();
-        let answer = match check_date(req.id, now) {
-            // Not kept: the id stays expired, as time in the log never goes back.
+        let answer = match check_id_time(req.id, now) {
+            // The answer need not be stored: log time never decreases, so the
+            // id stays expired.
             Err(expired @ Refusal::IdExpired(_)) => return Answer::Refused(expired),
             Err(refusal) => Answer::Refused(refusal),
             Ok(()) => {
-                let entry = Entry {
+                let cx = ChangeContext {
                     index,
-                    at: now,
+                    log_time: now,
                     author: &req.author,
                     base: req.base,
                 };
-                match self.versions.run(&entry, &req.change) {
+                match self.objects.apply_change(&cx, &req.change) {
                     Ok(()) => Answer::Accepted(index),
-                    Err(failure) => failure.into(),
+                    Err(rejection) => rejection.into(),
                 }
             }
         };
-        self.answers.keep(req.id, digest, now, answer.clone());
+        self.first_answers
+            .insert(req.id, digest, now, answer.clone());
         answer
     }
 }
 
-impl Versions {
-    fn run(&mut self, entry: &Entry, change: &Change) -> Result<(), Failure> {
+impl VersionedObjects {
+    fn apply_change(&mut self, cx: &ChangeContext, change: &Change) -> Result<(), Rejection> {
         match change {
-            Change::CreateService { name, address } => self.create(entry, name, *address),
-            Change::DeleteService { name } => self.delete(entry, name),
+            Change::CreateService { name, address } => self.create_service(cx, name, *address),
+            Change::DeleteService { name } => self.delete_service(cx, name),
             Change::SetTarget {
                 service,
                 class,
                 target,
-            } => self.set_target(entry, service, class, target),
-            Change::DeleteTarget { service, class } => self.delete_target(entry, service, class),
-            Change::SetDrain { host, drain } => self.set_drain(entry, host, *drain),
-            Change::AddKey { key } => self.add_key(entry, key),
-            Change::ActivateKey => self.activate_key(entry),
+            } => self.set_target(cx, service, class, target),
+            Change::DeleteTarget { service, class } => self.delete_target(cx, service, class),
+            Change::SetDrain { host, drain } => self.set_drain(cx, host, *drain),
+            Change::AddKey { key } => self.add_key(cx, key),
+            Change::ActivateKey => self.activate_key(cx),
             Change::ReplaceRoutes(set) => self.replace_routes(set),
             Change::NoteGroup { refused, .. } => match refused {
                 Some(refusal) => Err(Refusal::Group(*refusal).into()),
@@ -140,65 +146,71 @@
         }
     }
 
-    fn create(
+    fn create_service(
         &mut self,
-        entry: &Entry,
+        cx: &ChangeContext,
         name: &ServiceName,
         address: SocketAddr,
-    ) -> Result<(), Failure> {
+    ) -> Result<(), Rejection> {
         if let Some(present) = self.service(name) {
-            return Err(Failure::Conflict(Conflict {
+            return Err(Rejection::Conflict(Conflict {
                 winner: present.revision,
                 author: present.author.clone(),
             }));
         }
-        entry.check_unseen()?;
+        cx.check_no_base()?;
         if let Some(owner) = self.service_at(address) {
             return Err(Refusal::AddressInUse(address, owner.name.clone()).into());
         }
-        let id = self.new_id();
+        let id = self.allocate_service_id();
         self.put_service(Service {
             id,
             name: name.clone(),
             address,
-            revision: entry.index,
-            author: entry.author.clone(),
+            revision: cx.index,
+            author: cx.author.clone(),
             targets: BTreeMap::new(),
         });
         Ok(())
     }
 
-    /// Why a change of a service that does not exist is not made.
-    ///
-    /// An operator who saw the service before its removal lost a race.
-    fn missing(&self, entry: &Entry, name: &ServiceName) -> Failure {
-        match self.removal(name) {
-            Some((revision, removed)) if entry.base != Revision(0) => Failure::Conflict(Conflict {
-                winner: revision,
-                author: removed.author.clone(),
-            }),
+    /// Returns the rejection of a change to a service that does not exist: a
+    /// conflict with the removal if the operator had read the service before it
+    /// and the removal is still retained.
+    fn missing_service(&self, cx: &ChangeContext, name: &ServiceName) -> Rejection {
+        match self.tombstone(name) {
+            Some((revision, tombstone)) if cx.base != Revision(0) => {
+                Rejection::Conflict(Conflict {
+                    winner: revision,
+                    author: tombstone.author.clone(),
+                })
+            }
             _ => Refusal::UnknownService(name.clone()).into(),
         }
     }
 
-    /// The service as the operator saw it.
-    fn seen(&self, entry: &Entry, name: &ServiceName) -> Result<Service, Failure> {
+    /// Returns the service if its current revision is the base of the change.
+    fn service_at_base(
+        &self,
+        cx: &ChangeContext,
+        name: &ServiceName,
+    ) -> Result<Service, Rejection> {
         let Some(service) = self.service(name) else {
-            return Err(self.missing(entry, name));
+            return Err(self.missing_service(cx, name));
         };
-        entry.check_base(service.revision, &service.author)?;
+        cx.check_base(service.revision, &service.author)?;
         Ok(service.clone())
     }
 
-    fn delete(&mut self, entry: &Entry, name: &ServiceName) -> Result<(), Failure> {
-        let service = self.seen(entry, name)?;
+    fn delete_service(&mut self, cx: &ChangeContext, name: &ServiceName) -> Result<(), Rejection> {
+        let service = self.service_at_base(cx, name)?;
         self.remove_service(
             &service,
-            entry.index,
-            Removed {
+            cx.index,
+            ServiceTombstone {
                 id: service.id,
                 name: name.clone(),
-                author: entry.author.clone(),
+                author: cx.author.clone(),
             },
         );
         Ok(())
@@ -206,103 +218,113 @@
 
     fn set_target(
         &mut self,
-        entry: &Entry,
+        cx: &ChangeContext,
         name: &ServiceName,
         class: &ClassName,
         target: &Target,
-    ) -> Result<(), Failure> {
-        let mut service = self.seen(entry, name)?;
+    ) -> Result<(), Rejection> {
+        let mut service = self.service_at_base(cx, name)?;
         if target.carry.0 == 0 || target.connections.0 == 0 {
             return Err(Refusal::EmptyTarget.into());
         }
-        let same_prefix = |(other, t): &(&ClassName, &Target)| {
+        let uses_same_prefix = |(other, t): &(&ClassName, &Target)| {
             *other != class && t.path_prefix == target.path_prefix
         };
-        if let Some((other, _)) = service.targets.iter().find(same_prefix) {
+        if let Some((other, _)) = service.targets.iter().find(uses_same_prefix) {
             return Err(Refusal::PrefixInUse(other.clone()).into());
         }
         service.targets.insert(class.clone(), target.clone());
-        self.change_service(entry, service);
+        self.update_service(cx, service);
         Ok(())
     }
 
     fn delete_target(
         &mut self,
-        entry: &Entry,
+        cx: &ChangeContext,
         name: &ServiceName,
         class: &ClassName,
-    ) -> Result<(), Failure> {
-        let mut service = self.seen(entry, name)?;
+    ) -> Result<(), Rejection> {
+        let mut service = self.service_at_base(cx, name)?;
         if service.targets.remove(class).is_none() {
             return Err(Refusal::UnknownClass(name.clone(), class.clone()).into());
         }
-        self.change_service(entry, service);
+        self.update_service(cx, service);
         Ok(())
     }
 
-    /// Sets are ordered by their own numbers, not by a base: a set that a
-    /// higher one has overtaken needs no answer but that it is settled.
-    fn replace_routes(&mut self, set: &RoutingSet) -> Result<(), Failure> {
-        let leads_nowhere = |rule: &RoutingRule| rule.weights.values().all(|part| part.0 == 0);
-        if let Some((address, _)) = set.rules.iter().find(|(_, rule)| leads_nowhere(rule)) {
+    /// Routing sets are ordered by their own numbers instead of a base
+    /// revision. A set whose number is not higher than the current one is
+    /// accepted without effect, because it is superseded.
+    fn replace_routes(&mut self, set: &RoutingSet) -> Result<(), Rejection> {
+        let has_only_zero_parts =
+            |rule: &RoutingRule| rule.weights.values().all(|part| part.0 == 0);
+        if let Some((address, _)) = set.rules.iter().find(|(_, rule)| has_only_zero_parts(rule)) {
             return Err(Refusal::EmptyRule(set.number, *address).into());
         }
-        if self.routes().is_none_or(|held| held.number < set.number) {
+        if self
+            .routes()
+            .is_none_or(|current| current.number < set.number)
+        {
             self.put_routes(set.clone());
         }
         Ok(())
     }
 
-    fn change_service(&mut self, entry: &Entry, service: Service) {
+    fn update_service(&mut self, cx: &ChangeContext, service: Service) {
         self.put_service(Service {
-            revision: entry.index,
-            author: entry.author.clone(),
+            revision: cx.index,
+            author: cx.author.clone(),
             ..service
         });
     }
 
-    fn set_drain(&mut self, entry: &Entry, host: &HostName, drain: bool) -> Result<(), Failure> {
+    fn set_drain(
+        &mut self,
+        cx: &ChangeContext,
+        host: &HostName,
+        drain: bool,
+    ) -> Result<(), Rejection> {
         match self.drain_mark(host) {
-            Some(mark) => entry.check_base(mark.revision, &mark.author)?,
-            None => entry.check_unseen()?,
+            Some(mark) => cx.check_base(mark.revision, &mark.author)?,
+            None => cx.check_no_base()?,
         }
         self.put_drain(
             host.clone(),
             DrainMark {
                 drain,
-                revision: entry.index,
-                author: entry.author.clone(),
+                revision: cx.index,
+                author: cx.author.clone(),
             },
         );
         Ok(())
     }
 
-    fn seen_keys(&self, entry: &Entry) -> Result<Option<KeyRotationState>, Failure> {
+    fn keys_at_base(&self, cx: &ChangeContext) -> Result<Option<KeyRotationState>, Rejection> {
         match self.keys() {
-            Some(keys) => entry.check_base(keys.revision, &keys.author)?,
-            None => entry.check_unseen()?,
+            Some(keys) => cx.check_base(keys.revision, &keys.author)?,
+            None => cx.check_no_base()?,
         }
         Ok(self.keys().cloned())
     }
 
-    fn add_key(&mut self, entry: &Entry, key: &CidKey) -> Result<(), Failure> {
-        let keys = match self.seen_keys(entry)? {
+    fn add_key(&mut self, cx: &ChangeContext, key: &CidKey) -> Result<(), Rejection> {
+        let keys = match self.keys_at_base(cx)? {
             None if key.generation.0 < KeyGeneration::COUNT => KeyRotationState {
                 set: KeySet {
                     current: key.clone(),
                     other: None,
                 },
-                activated_at: entry.at,
-                revision: entry.index,
-                author: entry.author.clone(),
+                activated_at: cx.log_time,
+                revision: cx.index,
+                author: cx.author.clone(),
             },
-            Some(keys) if keys.accepts(key, entry.at) => KeyRotationState {
+            Some(keys) if keys.may_add(key, cx.log_time) => KeyRotationState {
                 set: KeySet {
                     current: keys.set.current,
                     other: Some(key.clone()),
                 },
-                revision: entry.index,
-                author: entry.author.clone(),
+                revision: cx.index,
+                author: cx.author.clone(),
                 ..keys
             },
             _ => return Err(Refusal::KeyRotation.into()),
@@ -311,8 +333,8 @@
         Ok(())
     }
 
-    fn activate_key(&mut self, entry: &Entry) -> Result<(), Failure> {
-        let keys = self.seen_keys(entry)?.ok_or(Refusal::KeyRotation)?;
+    fn activate_key(&mut self, cx: &ChangeContext) -> Result<(), Rejection> {
+        let keys = self.keys_at_base(cx)?.ok_or(Refusal::KeyRotation)?;
         let Some(pending) = keys.pending().cloned() else {
             return Err(Refusal::KeyRotation.into());
         };
@@ -321,9 +343,9 @@
                 current: pending,
                 other: Some(keys.set.current),
             },
-            activated_at: entry.at,
-            revision: entry.index,
-            author: entry.author.clone(),
+            activated_at: cx.log_time,
+            revision: cx.index,
+            author: cx.author.clone(),
         });
         Ok(())
     }
--- a/crates/config/src/request/audit.rs
+++ b/crates/config/src/request/audit.rs
@@ -1,4 +1,4 @@
-//! The audit trail.
+//! Records of the audit trail.
 
 use std::{fmt, net::SocketAddr};
 
@@ -8,27 +8,27 @@
     OperatorName, Revision, RoutingSetNumber, ServiceName, Target, UnixMillis,
 };
 
-/// Number of audit records that are kept.
+/// Number of audit records that are retained.
 pub const MAX_AUDIT_RECORDS: usize = 10_000;
 
-/// One line of the audit trail.
+/// One record of the audit trail.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AuditRecord {
     /// Index of the log entry that carried the change.
     pub index: Revision,
-    /// Time of the log when the change was run.
+    /// Log time at which the change was applied.
     pub at: UnixMillis,
-    /// Who asked.
+    /// Operator who requested the change.
     pub author: OperatorName,
-    /// Identity of the change.
+    /// Change id, which is the idempotency key of the change.
     pub id: ChangeId,
-    /// Revision that the operator saw.
+    /// Revision of the object on which the operator based the change.
     pub base: Revision,
-    /// What was asked.
+    /// The requested change.
     pub change: ChangeSummary,
-    /// What the operator was answered.
+    /// Answer to the operator.
     pub answer: Answer,
-    /// Whether the answer is that of an earlier record with the same id.
+    /// Whether this is a retry, answered as the earlier record with the same id.
     pub resend: bool,
 }
 
@@ -53,27 +53,26 @@
     }
 }
 
-/// A change without the secrets that it carries.
+/// Description of a change without key secrets.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ChangeSummary {
-    /// A service was to be created.
+    /// Create a service at an address.
     CreateService(ServiceName, SocketAddr),
-    /// A service was to be deleted.
+    /// Delete a service.
     DeleteService(ServiceName),
-    /// A target was to be set.
+    /// Set the target of a class.
     SetTarget(ServiceName, ClassName, Target),
-    /// A target was to be removed.
+    /// Delete the target of a class.
     DeleteTarget(ServiceName, ClassName),
-    /// An upstream's host was to be marked as leaving (or not any more).
+    /// Set (true) or clear (false) the drain mark of a host.
     SetDrain(HostName, bool),
-    /// A key of this generation was to be added.
+    /// Add a key of this generation.
     AddKey(KeyGeneration),
-    /// The other key was to become the current one.
+    /// Make the pending key the current one.
     ActivateKey,
-    /// The routing set was to be replaced by one with this number and this
-    /// many rules.
+    /// Replace the routing set; number and rule count of the new set.
     ReplaceRoutes(RoutingSetNumber, u64),
-    /// The control group was to be changed.
+    /// Change the membership of the control group.
     Group(GroupRequest),
 }
 
--- a/crates/config/src/request/mod.rs
+++ b/crates/config/src/request/mod.rs
@@ -1,10 +1,10 @@
-//! What lives for one change.
+//! Processing of a single change: deduplication, application and audit.
 
-mod answers;
 mod apply;
 mod audit;
+mod first_answers;
 
-pub(crate) use answers::Answers;
-pub use answers::{ANSWER_RETENTION, MAX_ID_CLOCK_SKEW};
 pub use apply::KEY_RETIREMENT_DELAY;
 pub use audit::{AuditRecord, ChangeSummary, MAX_AUDIT_RECORDS};
+pub(crate) use first_answers::FirstAnswers;
+pub use first_answers::{ANSWER_RETENTION, MAX_ID_CLOCK_SKEW};
--- a/crates/config/src/version/state.rs
+++ b/crates/config/src/version/config_state.rs
@@ -1,4 +1,4 @@
-//! The state that the log drives.
+//! The replicated state.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -8,20 +8,20 @@
 use serde::{Deserialize, Serialize};
 use types::{HostName, Revision, RoutingSet, Service, ServiceId, ServiceName, UnixMillis};
 
-use super::{Changes, Delta, DrainMark, KeyRotationState, Object, Versions};
-use crate::request::{Answers, AuditRecord, MAX_AUDIT_RECORDS};
+use super::{Changes, Delta, DrainMark, KeyRotationState, Object, VersionedObjects};
+use crate::request::{AuditRecord, FirstAnswers, MAX_AUDIT_RECORDS};
 
-/// The configuration after some entry of the log.
+/// The configuration after applying a prefix of the log.
 ///
-/// Equal logs give equal states with equal snapshots.
+/// Applying equal logs gives equal states with equal snapshots.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct ConfigState {
-    /// Last entry that was applied, whatever its answer.
+    /// Index of the last applied entry, including rejected changes.
     last_applied: Revision,
-    /// Latest stamp of a leader so far.
+    /// Highest leader timestamp so far.
     log_time: UnixMillis,
-    pub(crate) versions: Versions,
-    pub(crate) answers: Answers,
+    pub(crate) objects: VersionedObjects,
+    pub(crate) first_answers: FirstAnswers,
     audit: VecDeque<AuditRecord>,
 }
 
@@ -29,86 +29,86 @@
     /// Revision of the last accepted change.
     #[must_use]
     pub fn revision(&self) -> Revision {
-        self.versions.revision()
+        self.objects.revision()
     }
 
-    /// Index of the last entry that was applied, whatever its answer.
+    /// Index of the last applied entry, including rejected changes.
     #[must_use]
     pub fn last_applied(&self) -> Revision {
         self.last_applied
     }
 
-    /// Time of the log: the latest stamp so far.
+    /// Log time: the highest timestamp that a leader assigned to an applied entry.
     #[must_use]
     pub fn log_time(&self) -> UnixMillis {
         self.log_time
     }
 
-    /// Every service by its id.
+    /// Services by id.
     #[must_use]
     pub fn services(&self) -> &BTreeMap<ServiceId, Service> {
-        self.versions.services()
+        self.objects.services()
     }
 
-    /// The service of a name.
+    /// The service with the given name.
     #[must_use]
     pub fn service(&self, name: &ServiceName) -> Option<&Service> {
-        self.versions.service(name)
+        self.objects.service(name)
     }
 
-    /// The keys for connection ids; `None` before the first was added.
+    /// Key rotation state; `None` before the first key was added.
     #[must_use]
     pub fn keys(&self) -> Option<&KeyRotationState> {
-        self.versions.keys()
+        self.objects.keys()
     }
 
     /// The routing set in force; `None` before the first one was accepted.
     #[must_use]
     pub fn routes(&self) -> Option<&Arc<RoutingSet>> {
-        self.versions.routes()
+        self.objects.routes()
     }
 
-    /// Drain marks by host. Marks that were taken back are included, with
-    /// `drain` false, because a later change must name their revision.
+    /// Drain marks by host. Cleared marks are included, with `drain` false,
+    /// because the base of a later change must be their revision.
     #[must_use]
     pub fn drains(&self) -> &BTreeMap<HostName, DrainMark> {
-        self.versions.drains()
+        self.objects.drains()
     }
 
-    /// The audit trail, the oldest record first.
+    /// Records of the audit trail, oldest first.
     pub fn audit(&self) -> impl DoubleEndedIterator<Item = &AuditRecord> + ExactSizeIterator {
         self.audit.iter()
     }
 
-    /// Number of first answers that are kept.
+    /// Number of retained first answers.
     #[must_use]
     pub fn retained_answer_count(&self) -> usize {
-        self.answers.len()
+        self.first_answers.len()
     }
 
-    /// What a reader of revision `have` lacks.
+    /// Changes for a reader that has revision `have`.
     ///
-    /// The cost is in proportion to what changed. A reader that has more than
-    /// this state gets no changes: this member is behind, and the reader must
-    /// keep what it has.
+    /// The cost is proportional to the number of changes. A reader whose
+    /// revision is higher than that of this state gets no changes: this member
+    /// lags behind, and the reader must keep its revision.
     #[must_use]
     pub fn delta_since(&self, have: Revision) -> Delta {
-        if have == Revision(0) || have < self.versions.floor() {
+        if have == Revision(0) || have < self.objects.compacted_revision() {
             return Delta::SnapshotNeeded;
         }
         let mut changes = Changes {
             revision: self.revision(),
-            removed: self.versions.removed_after(have).collect(),
+            removed: self.objects.removed_after(have).collect(),
             ..Changes::default()
         };
-        for object in self.versions.changed_after(have) {
+        for object in self.objects.changed_after(have) {
             self.add_object(&mut changes, object);
         }
         Delta::Changes(changes)
     }
 
-    /// Everything that a reader needs that has nothing or too old a revision.
-    /// It replaces what the reader has.
+    /// The whole configuration, for a reader whose revision is missing or too
+    /// old for a delta. It replaces the reader's copy.
     #[must_use]
     pub fn full_changes(&self) -> Changes {
         let drains = self.drains().iter().filter(|(_, mark)| mark.drain);
@@ -132,15 +132,17 @@
         }
     }
 
-    /// Moves on to the entry `index` with the stamp `at`.
-    pub(crate) fn advance(&mut self, index: Revision, at: UnixMillis) {
+    /// Advances to the entry `index` with the timestamp `at` and removes the
+    /// answers that expired.
+    pub(crate) fn advance_to(&mut self, index: Revision, at: UnixMillis) {
         self.last_applied = index;
         self.log_time = self.log_time.max(at);
-        self.answers.expire(self.log_time);
+        self.first_answers.remove_expired(self.log_time);
     }
 
-    /// Adds a record to the audit trail.
-    pub(crate) fn record(&mut self, record: AuditRecord) {
+    /// Appends a record to the audit trail; the oldest one is dropped at
+    /// [`MAX_AUDIT_RECORDS`].
+    pub(crate) fn append_audit(&mut self, record: AuditRecord) {
         if self.audit.len() == MAX_AUDIT_RECORDS {
             self.audit.pop_front();
         }
--- a/crates/config/src/version/delta.rs
+++ b/crates/config/src/version/delta.rs
@@ -1,36 +1,38 @@
-//! What changed between two revisions.
+//! Changes between two revisions.
 
 use std::collections::BTreeMap;
 
 use types::{HostName, KeySet, Revision, Service, ServiceId};
 
-/// Answer to a reader that has the configuration of some revision.
+/// Difference between a revision that a reader has and the current one.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Delta {
-    /// What the reader lacks; empty if it lacks nothing.
+    /// The changes since then; empty if the reader is up to date.
     Changes(Changes),
-    /// What was removed since is no longer known, or the reader has nothing
-    /// yet: it needs everything.
+    /// The reader has no revision yet, or removals since its revision are no
+    /// longer retained. It needs [`ConfigState::full_changes`].
+    ///
+    /// [`ConfigState::full_changes`]: crate::ConfigState::full_changes
     SnapshotNeeded,
 }
 
-/// Changed parts of the configuration.
+/// Changed objects of the configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Changes {
-    /// Revision that the reader has once the changes are made.
+    /// Revision of the reader after it applied the changes.
     pub revision: Revision,
     /// Services that were created or changed.
     pub services: Vec<Service>,
-    /// Services that were removed; the reader may not know all of them.
+    /// Removed services, possibly including some that the reader never had.
     pub removed: Vec<ServiceId>,
     /// The keys, if they changed.
     pub keys: Option<KeySet>,
-    /// Hosts whose drain mark was set (true) or taken back (false).
+    /// Hosts whose drain mark was set (true) or cleared (false).
     pub drains: BTreeMap<HostName, bool>,
 }
 
 impl Changes {
-    /// Whether nothing changed.
+    /// Whether no object changed.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.services.is_empty()
--- a/crates/config/src/version/mod.rs
+++ b/crates/config/src/version/mod.rs
@@ -1,16 +1,16 @@
-//! What changes with a version of the configuration.
+//! Data of a configuration version.
 
+mod config_state;
 mod delta;
-mod index;
-mod mark;
+mod objects;
 mod snapshot;
-mod state;
+mod versioned_objects;
 
+pub use config_state::ConfigState;
 pub use delta::{Changes, Delta};
-pub(crate) use index::{Object, Versions};
-pub(crate) use mark::Removed;
-pub use mark::{DrainMark, KeyRotationState};
+pub(crate) use objects::ServiceTombstone;
+pub use objects::{DrainMark, KeyRotationState};
 pub use snapshot::SNAPSHOT_FORMAT;
-pub use state::ConfigState;
+pub(crate) use versioned_objects::{Object, VersionedObjects};
 
-pub use index::MAX_TOMBSTONES;
+pub use versioned_objects::MAX_TOMBSTONES;
--- a/crates/config/src/version/snapshot.rs
+++ b/crates/config/src/version/snapshot.rs
@@ -1,19 +1,19 @@
-//! The state as bytes.
+//! Encoding of the state as a snapshot.
 
 use std::io::{Read, Write};
 
 use super::ConfigState;
 use crate::error::{ErrorKind, Result};
 
-/// Format of the snapshots that this build writes and reads.
+/// Format version of the snapshots that this build writes and reads.
 pub const SNAPSHOT_FORMAT: u32 = 2;
 
 impl ConfigState {
-    /// Writes the whole state. Equal states give equal bytes.
+    /// Writes the state as a snapshot. Equal states give equal bytes.
     ///
     /// # Errors
     ///
-    /// Fails when the writer does.
+    /// The writer failed.
     ///
     /// ```
     /// let state = config::ConfigState::default();
@@ -28,17 +28,17 @@
         Ok(())
     }
 
-    /// Reads a state that [`encode`](ConfigState::encode) wrote.
+    /// Reads a snapshot written by [`encode`](ConfigState::encode).
     ///
     /// # Errors
     ///
-    /// Fails when the reader does, when the bytes are no snapshot and when
-    /// their format is not [`SNAPSHOT_FORMAT`].
+    /// The reader failed, the data cannot be decoded, or its format version is
+    /// not [`SNAPSHOT_FORMAT`].
     pub fn decode<R: Read>(mut r: R) -> Result<Self> {
         let found: u32 = rmp_serde::decode::from_read(&mut r)?;
         if found != SNAPSHOT_FORMAT {
-            let known = SNAPSHOT_FORMAT;
-            return Err(ErrorKind::Format { found, known }.into());
+            let supported = SNAPSHOT_FORMAT;
+            return Err(ErrorKind::Format { found, supported }.into());
         }
         Ok(rmp_serde::decode::from_read(&mut r)?)
     }
--- a/crates/config/tests/common/mod.rs
+++ b/crates/config/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Requests and states for the tests of this crate.
+//! Requests, states and random logs for the tests of this crate.
 #![allow(dead_code)]
 
 use arbtest::arbitrary::{Result, Unstructured};
@@ -8,13 +8,13 @@
     RouteWeight, RoutingRule, RoutingSet, RoutingSetNumber, Slots, Target, UnixMillis,
 };
 
-/// Start of the log's time in the tests.
+/// Log time at the start of a test.
 pub const START: UnixMillis = UnixMillis(1_800_000_000_000);
 
 pub const MINUTE: u64 = 60_000;
 pub const HOUR: u64 = 60 * MINUTE;
 
-/// A change id with this date that differs for each `n`.
+/// A change id with timestamp `at`, unique for each `n`.
 pub fn id(at: UnixMillis, n: u64) -> ChangeId {
     let mut random = [0; 10];
     random[2..].copy_from_slice(&n.to_be_bytes());
@@ -66,7 +66,7 @@
     Change::AddKey { key }
 }
 
-/// A set of one rule that sends everything to one service.
+/// A routing set with one rule, in which `part` is the part of the only service.
 pub fn replace_routes(number: u64, service: &str, part: u32) -> Change {
     let rule = RoutingRule {
         weights: [(service.parse().unwrap(), RouteWeight(part))].into(),
@@ -78,11 +78,11 @@
     }))
 }
 
-/// A log that writes itself: each change is the next entry.
+/// A state with its log: each request is applied as the next entry.
 pub struct Log {
     pub state: ConfigState,
     pub now: UnixMillis,
-    next: u64,
+    next_index: u64,
 }
 
 impl Default for Log {
@@ -90,7 +90,7 @@
         Log {
             state: ConfigState::default(),
             now: START,
-            next: 1,
+            next_index: 1,
         }
     }
 }
@@ -98,27 +98,27 @@
 impl Log {
     pub fn request(&self, author: &str, base: u64, change: Change) -> ChangeRequest {
         ChangeRequest {
-            id: id(self.now, self.next),
+            id: id(self.now, self.next_index),
             author: author.parse().unwrap(),
             base: Revision(base),
             change,
         }
     }
 
-    /// Applies a request as the next entry.
-    pub fn send(&mut self, req: &ChangeRequest) -> Answer {
-        let index = Revision(self.next);
-        self.next += 1;
+    /// Applies `req` as the next entry.
+    pub fn apply(&mut self, req: &ChangeRequest) -> Answer {
+        let index = Revision(self.next_index);
+        self.next_index += 1;
         self.state.apply(index, self.now, req)
     }
 
     /// Applies a new request as the next entry.
-    pub fn ask(&mut self, author: &str, base: u64, change: Change) -> Answer {
+    pub fn apply_new(&mut self, author: &str, base: u64, change: Change) -> Answer {
         let req = self.request(author, base, change);
-        self.send(&req)
+        self.apply(&req)
     }
 
-    pub fn wait(&mut self, millis: u64) {
+    pub fn advance_time(&mut self, millis: u64) {
         self.now.0 += millis;
     }
 }
@@ -132,8 +132,8 @@
 /// An entry of a random log.
 pub type Entry = (Revision, UnixMillis, ChangeRequest);
 
-/// A random log over few objects, with racing bases, resends, ids used twice
-/// and stamps that go back or jump.
+/// A random log over few objects, with conflicting bases, retries, reused ids
+/// and timestamps that decrease or jump.
 pub fn random_log(u: &mut Unstructured) -> Result<Vec<Entry>> {
     let mut log: Vec<Entry> = Vec::new();
     let mut state = ConfigState::default();
@@ -155,31 +155,31 @@
     now: UnixMillis,
 ) -> Result<ChangeRequest> {
     let change = random_change(u)?;
-    let dated = UnixMillis(now.0 - u.int_in_range(0..=HOUR)?);
-    let fresh = ChangeRequest {
-        id: id(dated, state.last_applied().0),
+    let created = UnixMillis(now.0 - u.int_in_range(0..=HOUR)?);
+    let new = ChangeRequest {
+        id: id(created, state.last_applied().0),
         author: u.choose(&["ana", "boris"])?.parse().unwrap(),
         base: if u.ratio(3, 4)? {
-            present(state, &change)
+            current_revision(state, &change)
         } else {
             Revision(2 * u.int_in_range(0..=60)?)
         },
         change,
     };
     if log.is_empty() || u.ratio(3, 4)? {
-        return Ok(fresh);
+        return Ok(new);
     }
-    let former = &u.choose(log)?.2;
-    let id = former.id;
+    let previous = &u.choose(log)?.2;
+    let id = previous.id;
     Ok(if u.arbitrary()? {
-        former.clone()
+        previous.clone()
     } else {
-        ChangeRequest { id, ..fresh }
+        ChangeRequest { id, ..new }
     })
 }
 
-/// Present revision of the object that a change is about; 0 if there is none.
-fn present(state: &ConfigState, change: &Change) -> Revision {
+/// Current revision of the object of a change; 0 if it does not exist.
+fn current_revision(state: &ConfigState, change: &Change) -> Revision {
     let revision = match change {
         Change::CreateService { .. } | Change::NoteGroup { .. } | Change::ReplaceRoutes(_) => None,
         Change::DeleteService { name }
--- a/crates/config/tests/properties.rs
+++ b/crates/config/tests/properties.rs
@@ -1,4 +1,4 @@
-//! What holds for every log.
+//! Properties of the state for random logs.
 
 mod common;
 
@@ -17,7 +17,7 @@
 /// Bytes of random input of each case; the low half of an arbtest seed.
 const INPUT_BYTES: u64 = 2048;
 
-/// Runs `check` on each random log.
+/// Calls `check` with each random log and a random position in it.
 fn for_each_log(mut check: impl FnMut(&[Entry], usize)) {
     for case in 0..CASES {
         arbtest(|u| {
@@ -31,25 +31,27 @@
     }
 }
 
-fn run<'a>(state: &mut ConfigState, log: impl IntoIterator<Item = &'a Entry>) -> Vec<Answer> {
+fn apply_all<'a>(state: &mut ConfigState, log: impl IntoIterator<Item = &'a Entry>) -> Vec<Answer> {
     log.into_iter()
         .map(|(index, at, req)| state.apply(*index, *at, req))
         .collect()
 }
 
-/// What a state tells, without the traces that every entry leaves.
-fn told(state: &ConfigState) -> (Revision, Changes, Vec<u64>) {
+/// The configuration and the revisions of the drain marks, without the log
+/// position, log time and audit trail, which every entry changes.
+fn visible_state(state: &ConfigState) -> (Revision, Changes, Vec<u64>) {
     let marks = state.drains().values().map(|m| m.revision.0).collect();
     (state.revision(), state.full_changes(), marks)
 }
 
-/// Guards against random logs that reach too little to show anything.
+/// Guards against random logs that do not cover every kind of answer, for which
+/// the other properties would hold trivially.
 #[test]
 fn random_logs_reach_every_kind_of_answer() {
     let mut seen = [[0; 2]; 3];
     for_each_log(|log, _| {
         let mut state = ConfigState::default();
-        run(&mut state, log);
+        apply_all(&mut state, log);
         for record in state.audit() {
             let kind = match record.answer {
                 Answer::Accepted(_) => 0,
@@ -62,50 +64,53 @@
     assert!(seen.iter().flatten().all(|n| *n > 100), "{seen:?}");
 }
 
-/// Guards against members of the control group that disagree, before and
-/// after one of them restarts from a snapshot.
+/// Guards against divergence between members of the control group, also after
+/// one of them restarted from a snapshot.
 #[test]
 fn a_snapshot_and_the_rest_of_the_log_equal_the_whole_log() {
     for_each_log(|log, cut| {
         let (mut whole, mut again) = (ConfigState::default(), ConfigState::default());
-        let answers = run(&mut whole, log);
-        assert_eq!(run(&mut again, log), answers);
+        let answers = apply_all(&mut whole, log);
+        assert_eq!(apply_all(&mut again, log), answers);
         assert_eq!(snapshot(&again), snapshot(&whole));
 
         let mut first = ConfigState::default();
-        run(&mut first, &log[..cut]);
+        apply_all(&mut first, &log[..cut]);
         let mut restored = ConfigState::decode(&snapshot(&first)[..]).unwrap();
         assert_eq!(restored, first);
-        assert_eq!(run(&mut restored, &log[cut..]), answers[cut..]);
+        assert_eq!(apply_all(&mut restored, &log[cut..]), answers[cut..]);
         assert_eq!(snapshot(&restored), snapshot(&whole));
     });
 }
 
-/// Guards against a change that is made twice because its answer was lost.
+/// Guards against a change that is applied twice because its answer was lost.
 #[test]
 fn a_resend_gets_the_first_answer_and_changes_nothing() {
     for_each_log(|log, cut| {
         let mut state = ConfigState::default();
-        let answers = run(&mut state, log);
+        let answers = apply_all(&mut state, log);
         let Some(entry) = log.get(cut) else { return };
-        // The first request with the id fixed what the id stands for.
+        // The first request with an id determines its answer.
         let first = log.iter().position(|(_, _, r)| r.id == entry.2.id).unwrap();
         let req = &log[first].2;
-        let before = (told(&state), state.retained_answer_count());
+        let before = (visible_state(&state), state.retained_answer_count());
         let index = Revision(state.last_applied().0 + 1);
         assert_eq!(state.apply(index, state.log_time(), req), answers[first]);
-        assert_eq!((told(&state), state.retained_answer_count()), before);
+        assert_eq!(
+            (visible_state(&state), state.retained_answer_count()),
+            before
+        );
         assert!(state.audit().last().unwrap().resend);
     });
 }
 
-/// Guards against two winners, or none, among operators who race from the
-/// same state.
+/// Guards against concurrent changes with the same base of which several or
+/// none are accepted.
 #[test]
 fn exactly_one_of_the_changes_with_one_base_is_accepted() {
     for_each_log(|log, cut| {
         let mut state = ConfigState::default();
-        run(&mut state, &log[..cut]);
+        apply_all(&mut state, &log[..cut]);
         let a = "a".parse().unwrap();
         let (base, changes) = match state.service(&a) {
             Some(service) => {
@@ -119,13 +124,13 @@
         let mark = mark.map_or(Revision(0), |m| m.revision);
         let marks = [drain("a", true), drain("a", false), drain("a", true)];
         for (base, changes) in [(base, changes), (mark, marks)] {
-            race(&mut state, base, changes);
+            assert_first_is_accepted(&mut state, base, changes);
         }
     });
 }
 
-/// Applies changes with the same base; the first one has to win.
-fn race(state: &mut ConfigState, base: Revision, changes: [Change; 3]) {
+/// Applies changes with the same base; only the first one must be accepted.
+fn assert_first_is_accepted(state: &mut ConfigState, base: Revision, changes: [Change; 3]) {
     let winner = Revision(state.last_applied().0 + 1);
     for (n, change) in (0..).zip(changes) {
         let index = Revision(winner.0 + n);
@@ -151,19 +156,19 @@
 
 /// A node's copy of the configuration.
 #[derive(Debug, Default, PartialEq)]
-struct Copy {
+struct NodeCopy {
     revision: Revision,
     services: BTreeMap<ServiceId, Service>,
     drains: BTreeSet<HostName>,
     keys: Option<KeySet>,
 }
 
-impl Copy {
+impl NodeCopy {
     fn update(&mut self, state: &ConfigState) {
         let changes = match state.delta_since(self.revision) {
             Delta::Changes(changes) => changes,
             Delta::SnapshotNeeded => {
-                *self = Copy::default();
+                *self = NodeCopy::default();
                 state.full_changes()
             }
         };
@@ -181,18 +186,18 @@
     }
 }
 
-/// Guards against nodes that keep something that was changed or removed while
-/// they were away.
+/// Guards against nodes that keep outdated or removed objects after they were
+/// disconnected.
 #[test]
 fn a_delta_brings_an_old_copy_up_to_date() {
     for_each_log(|log, cut| {
         let mut state = ConfigState::default();
-        run(&mut state, &log[..cut]);
-        let mut old = Copy::default();
+        apply_all(&mut state, &log[..cut]);
+        let mut old = NodeCopy::default();
         old.update(&state);
-        run(&mut state, &log[cut..]);
+        apply_all(&mut state, &log[cut..]);
         old.update(&state);
-        let mut new = Copy::default();
+        let mut new = NodeCopy::default();
         new.update(&state);
         assert_eq!(old, new);
         assert_eq!(old.services, *state.services());
