--- a/crates/balancer/src/error.rs
+++ b/crates/balancer/src/error.rs
@@ -1,17 +1,17 @@
-//! The error of this crate.
+//! Error type of this crate.
 
 use std::{io, net::SocketAddr};
 
 /// A [`std::result::Result`] with this crate's [`Error`].
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// The balancer cannot start.
+/// Failure to start the balancer.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// A socket cannot be opened.
-    #[error("cannot open a UDP socket at {0}: {1}")]
+    /// A UDP socket could not be bound to the address.
+    #[error("failed to bind a UDP socket to {0}: {1}")]
     Bind(SocketAddr, io::Error),
-    /// A metric cannot be registered.
+    /// A metric could not be registered.
     #[error("cannot register a metric: {0}")]
     Metrics(#[from] prometheus::Error),
 }
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -1,13 +1,14 @@
-//! The balancer: forwards datagrams between the fabric and the agents.
+//! The balancer, which forwards datagrams between the fabric and the agents.
 //!
-//! A balancer never decrypts and holds no state for a flow. One task, the
-//! [`Datapath`], owns the sockets and the [`Classifier`], which has the
+//! A balancer does not decrypt packets and holds no per-flow state. One task,
+//! the [`Datapath`], owns the sockets and the [`Classifier`], which holds the
 //! [`route::RoutingTable`] and the keys of connection ids; a [`client::SyncTask`]
-//! brings it new versions by message.
+//! sends it new versions over a channel.
 //!
-//! - [`process`] holds the settings, the tasks and the sockets;
-//! - [`version`] holds what a version says, applied as one switch;
-//! - [`connection`] reads one datagram and asks the version where it goes.
+//! - [`process`]: settings, tasks and sockets;
+//! - [`version`]: the classifier of one configuration version, which is
+//!   replaced as a whole;
+//! - [`connection`]: classification of a single datagram.
 
 pub mod connection;
 pub mod error;
--- a/crates/balancer/src/process/datapath.rs
+++ b/crates/balancer/src/process/datapath.rs
@@ -1,4 +1,4 @@
-//! The task that owns the sockets and forwards datagrams.
+//! Forwarding task.
 
 use std::{
     future::poll_fn,
@@ -23,51 +23,52 @@
 };
 use crate::{Classifier, DropCause, Verdict};
 
-/// Room for the largest UDP payload and a prefix.
-const BUFFER: usize = (64 << 10) + wire::MAX_PREFIX_LEN;
+/// Size of the receive buffer: the largest UDP datagram and a prefix.
+const BUFFER_BYTES: usize = (64 << 10) + wire::MAX_PREFIX_LEN;
 
 /// Largest payload of a UDP datagram over IPv4.
-const MAX_DATAGRAM: usize = 65_507;
+const MAX_UDP_PAYLOAD_BYTES: usize = 65_507;
 
-/// Datagrams handled in each direction before control messages are looked at.
-const BATCH: usize = 64;
+/// Datagrams handled per direction before the channel of versions is polled
+/// again, so that a flood of datagrams does not delay a version.
+const MAX_BATCH_DATAGRAMS: usize = 64;
 
-/// Shortest time between two log lines about dropped datagrams.
+/// Minimum interval between two log lines about dropped datagrams.
 const DROP_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time between two tries to open the addresses that are missing, and between
-/// two looks at whether a stopping balancer may end.
-const TICK: Duration = Duration::from_millis(250);
+/// Interval at which unbound addresses and failing sockets are retried and the
+/// shutdown deadline is checked.
+const TICK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Channels between the data path and the sync task.
 #[derive(Debug)]
 pub struct SyncChannels {
-    /// New versions.
+    /// New versions from the control group.
     pub steps: mpsc::Receiver<Step>,
-    /// What the control group is told of this balancer.
+    /// Report of this balancer to the control group.
     pub report: watch::Sender<NodeReport>,
 }
 
-/// The task that owns the sockets and forwards datagrams.
+/// Task that owns the sockets and forwards datagrams in both directions.
 pub struct Datapath<I> {
     ingress: I,
-    /// Socket towards the agents.
-    agents: UdpSocket,
-    links: SyncChannels,
+    /// Socket for datagrams to and from the agents.
+    agent_socket: UdpSocket,
+    sync: SyncChannels,
     classifier: Classifier,
-    /// Whether a version is in force.
+    /// Whether a version was applied.
     has_version: bool,
-    /// When a stopping balancer ends; `None` while it is to go on.
-    end_at: Option<Instant>,
+    /// When the task ends; `None` until it is told to stop.
+    shutdown_deadline: Option<Instant>,
     shutdown_grace_period: Duration,
     metrics: Metrics,
-    /// No log line about a dropped datagram before this instant.
-    next_drop_log: Instant,
+    /// Earliest time of the next log line about a dropped datagram.
+    next_drop_log_at: Instant,
     buf: Vec<u8>,
 }
 
-/// What woke the task.
-enum Wake {
+/// Reason for which the task woke up.
+enum WakeReason {
     Step(Option<Step>),
     Datagrams,
     Stop,
@@ -75,93 +76,99 @@
 }
 
 impl<I: Ingress> Datapath<I> {
-    /// Creates the task. Once it is to stop, it goes on for `shutdown_grace_period`.
+    /// Creates the task, which forwards for `shutdown_grace_period` after it was
+    /// told to stop.
     pub fn new(
         ingress: I,
-        agents: UdpSocket,
-        links: SyncChannels,
+        agent_socket: UdpSocket,
+        sync: SyncChannels,
         metrics: Metrics,
         shutdown_grace_period: Duration,
     ) -> Self {
         Datapath {
             ingress,
-            agents,
-            links,
+            agent_socket,
+            sync,
             classifier: Classifier::default(),
             has_version: false,
-            end_at: None,
+            shutdown_deadline: None,
             shutdown_grace_period,
             metrics,
-            next_drop_log: Instant::now(),
-            buf: vec![0; BUFFER],
+            next_drop_log_at: Instant::now(),
+            buf: vec![0; BUFFER_BYTES],
         }
     }
 
-    /// Forwards until `stop` is set or its sender is gone, and then for the
-    /// time to linger.
+    /// Forwards until `stop` is set or its sender is dropped, and then for the
+    /// shutdown grace period. Ends at once if the sync task ends.
     pub async fn run(mut self, mut stop: watch::Receiver<bool>) {
-        let mut ticks = interval(TICK);
+        let mut ticks = interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
-            let going_on = self.end_at.is_none();
-            let wake = tokio::select! {
-                wake = poll_fn(|cx| self.poll_wake(cx)) => wake,
-                _ = stop.wait_for(|stop| *stop), if going_on => Wake::Stop,
-                _ = ticks.tick() => Wake::Tick,
+            let is_running = self.shutdown_deadline.is_none();
+            let reason = tokio::select! {
+                reason = poll_fn(|cx| self.poll_channels_and_sockets(cx)) => reason,
+                _ = stop.wait_for(|stop| *stop), if is_running => WakeReason::Stop,
+                _ = ticks.tick() => WakeReason::Tick,
             };
-            match wake {
-                Wake::Step(Some(Step::Update(update, done))) => {
+            match reason {
+                WakeReason::Step(Some(Step::Update(update, done))) => {
                     self.apply(*update);
                     let _ = done.send(());
                 }
-                Wake::Step(Some(Step::ClassLoads(_) | Step::Confirmed(_))) | Wake::Datagrams => {}
-                Wake::Stop => self.leave(),
-                Wake::Tick => self.ingress.retry(),
-                Wake::Step(None) => return,
+                WakeReason::Step(Some(Step::ClassLoads(_) | Step::Confirmed(_)))
+                | WakeReason::Datagrams => {}
+                WakeReason::Stop => self.start_shutdown(),
+                WakeReason::Tick => self.ingress.retry_bind(),
+                WakeReason::Step(None) => return,
             }
-            if self.end_at.is_some_and(|end| Instant::now() >= end) {
+            if self
+                .shutdown_deadline
+                .is_some_and(|deadline| Instant::now() >= deadline)
+            {
                 return;
             }
         }
     }
 
-    /// Stops being chosen: the membership no longer lists the balancer once
-    /// its lease ends, and probes of agents and fabric get no answer.
-    fn leave(&mut self) {
-        self.end_at = Some(Instant::now() + self.shutdown_grace_period);
+    /// Takes the balancer out of service: it is removed from the membership
+    /// when its lease expires, and probes of agents and fabric are not answered.
+    fn start_shutdown(&mut self) {
+        self.shutdown_deadline = Some(Instant::now() + self.shutdown_grace_period);
         self.metrics.serving.set(0);
-        self.links.report.send_replace(NodeReport::default());
-        log::info!(event = "balancer_leaving", linger:? = self.shutdown_grace_period; "leaving; still forwarding");
+        self.sync.report.send_replace(NodeReport::default());
+        log::info!(event = "balancer_leaving", linger:? = self.shutdown_grace_period; "balancer is leaving; forwarding continues for the grace period");
     }
 
-    /// Whether new flows may be sent through this balancer.
+    /// Whether agents and fabric may send new flows through this balancer.
     fn is_serving(&self) -> bool {
-        self.has_version && self.end_at.is_none()
+        self.has_version && self.shutdown_deadline.is_none()
     }
 
-    fn poll_wake(&mut self, cx: &mut Context<'_>) -> Poll<Wake> {
-        if let Poll::Ready(step) = self.links.steps.poll_recv(cx) {
-            return Poll::Ready(Wake::Step(step));
+    fn poll_channels_and_sockets(&mut self, cx: &mut Context<'_>) -> Poll<WakeReason> {
+        if let Poll::Ready(step) = self.sync.steps.poll_recv(cx) {
+            return Poll::Ready(WakeReason::Step(step));
         }
-        let callers = self.poll_callers(cx);
-        let agents = self.poll_agents(cx);
+        let callers = self.poll_ingress(cx);
+        let agents = self.poll_agent_socket(cx);
         if callers.is_pending() && agents.is_pending() {
             return Poll::Pending;
         }
-        Poll::Ready(Wake::Datagrams)
+        Poll::Ready(WakeReason::Datagrams)
     }
 
-    /// Forwards up to a batch of datagrams of callers; pending when the
-    /// sockets are empty.
-    fn poll_callers(&mut self, cx: &mut Context<'_>) -> Poll<()> {
-        let mut errors = 0;
-        for _ in 0..BATCH {
+    /// Forwards up to [`MAX_BATCH_DATAGRAMS`] datagrams of callers; pending when
+    /// no socket has data.
+    fn poll_ingress(&mut self, cx: &mut Context<'_>) -> Poll<()> {
+        let mut receive_errors = 0;
+        for _ in 0..MAX_BATCH_DATAGRAMS {
             let serving = self.is_serving();
             let received = match self.ingress.poll_recv(cx, &mut self.buf) {
                 Poll::Pending => return Poll::Pending,
-                // Errors of earlier sends show up here and concern no datagram.
+                // An error of an earlier send, reported by the next receive; it
+                // belongs to no received datagram.
                 Poll::Ready(Err(_)) => {
-                    errors += 1;
+                    receive_errors += 1;
                     self.count_drop(DropCause::ReceiveFailed);
                     continue;
                 }
@@ -174,12 +181,12 @@
                     datagram,
                     packet,
                 }) => match self.classifier.classify(&endpoints, packet) {
-                    Verdict::Forward(_) if datagram.len() > MAX_DATAGRAM => {
-                        Err(DropCause::Oversized)
+                    Verdict::Forward(_) if datagram.len() > MAX_UDP_PAYLOAD_BYTES => {
+                        Err(DropCause::OversizedDatagram)
                     }
                     Verdict::Forward(hop) => {
                         self.ingress.record_forwarded(from);
-                        let sent = self.agents.try_send_to(datagram, hop.address);
+                        let sent = self.agent_socket.try_send_to(datagram, hop.address);
                         sent.map(|_| self.metrics.forwarded_datagrams.inc())
                             .map_err(|_| DropCause::SendFailed)
                     }
@@ -196,56 +203,58 @@
                 self.count_drop(cause);
             }
         }
-        after_batch(errors)
+        poll_after_batch(receive_errors)
     }
 
-    /// Sends up to a batch of answers to callers; pending when the socket is
-    /// empty.
-    fn poll_agents(&mut self, cx: &mut Context<'_>) -> Poll<()> {
-        let mut errors = 0;
-        for _ in 0..BATCH {
+    /// Handles up to [`MAX_BATCH_DATAGRAMS`] datagrams of agents: sends answers
+    /// to callers and replies to probes. Pending when the socket has no data.
+    fn poll_agent_socket(&mut self, cx: &mut Context<'_>) -> Poll<()> {
+        let mut receive_errors = 0;
+        for _ in 0..MAX_BATCH_DATAGRAMS {
             let mut read = ReadBuf::new(&mut self.buf);
-            let from = match self.agents.poll_recv_from(cx, &mut read) {
+            let from = match self.agent_socket.poll_recv_from(cx, &mut read) {
                 Poll::Pending => return Poll::Pending,
                 Poll::Ready(Err(_)) => {
-                    errors += 1;
+                    receive_errors += 1;
                     self.count_drop(DropCause::ReceiveFailed);
                     continue;
                 }
                 Poll::Ready(Ok(from)) => from,
             };
             let len = read.filled().len();
-            if let Err(cause) = self.answer(from, len) {
+            if let Err(cause) = self.handle_agent_datagram(from, len) {
                 self.count_drop(cause);
             }
         }
-        after_batch(errors)
+        poll_after_batch(receive_errors)
     }
 
-    /// Handles the datagram of an agent in the first `len` bytes of the buffer.
-    fn answer(&mut self, from: SocketAddr, len: usize) -> Result<(), DropCause> {
+    /// Handles a datagram of an agent, in the first `len` bytes of the buffer.
+    fn handle_agent_datagram(&mut self, from: SocketAddr, len: usize) -> Result<(), DropCause> {
         let datagram = &self.buf[..len];
         let (prefix, packet) =
             Prefix::decode(datagram).map_err(|e| DropCause::Undecodable(e.category()))?;
-        let send = |_: io::Error| DropCause::SendFailed;
+        let send_failed = |_: io::Error| DropCause::SendFailed;
         match prefix {
             Prefix::Local => {
-                // An agent whose answers could not leave here must not choose
-                // this balancer.
-                let useful = self.is_serving()
+                // Agents choose a balancer by its replies to probes, so a probe
+                // is answered only if answers can be sent through this balancer.
+                let can_answer_probe = self.is_serving()
                     && self.ingress.can_send_answers()
                     && self.classifier.is_agent(from);
-                if !useful {
+                if !can_answer_probe {
                     return Err(DropCause::UnansweredProbe);
                 }
-                self.agents.try_send_to(datagram, from).map_err(send)?;
+                self.agent_socket
+                    .try_send_to(datagram, from)
+                    .map_err(send_failed)?;
                 self.metrics.answered_probes.inc();
             }
             Prefix::Proxy(endpoints) => {
                 self.classifier.check_answer(from, &endpoints)?;
                 self.ingress
                     .try_send_answer(&endpoints, datagram, packet)
-                    .map_err(send)?;
+                    .map_err(send_failed)?;
                 self.metrics.returned_datagrams.inc();
             }
             Prefix::PassedOn(_) => return Err(DropCause::Undecodable(wire::Category::Malformed)),
@@ -253,8 +262,8 @@
         Ok(())
     }
 
-    /// Goes to the version of `update`. No datagram is handled meanwhile, so
-    /// each is decided with one version.
+    /// Applies the version of `update`. No datagram is handled meanwhile, so
+    /// each is classified by exactly one version.
     fn apply(&mut self, update: Update) {
         let version = update.version;
         self.classifier.apply(update);
@@ -264,29 +273,31 @@
         self.metrics.serving.set(i64::from(self.is_serving()));
         let revision = i64::try_from(version.revision.0).unwrap_or(i64::MAX);
         self.metrics.revision.set(revision);
-        log::info!(event = "version_applied", version:% = version; "version applied");
+        log::info!(event = "version_applied", version:% = version; "configuration version applied");
     }
 
-    /// Counts a dropped datagram and logs it at a bounded rate.
+    /// Counts a dropped datagram and logs it at most once per
+    /// [`DROP_LOG_INTERVAL`].
     fn count_drop(&mut self, cause: DropCause) {
         let count = self.metrics.count_drop(cause);
-        // A balancer that the fabric has not used yet gets probes all the time.
+        // Not logged: a balancer that the fabric does not use yet constantly
+        // receives probes that it does not answer.
         if cause == DropCause::UnansweredProbe {
             return;
         }
         let now = Instant::now();
-        if now >= self.next_drop_log {
-            self.next_drop_log = now + DROP_LOG_INTERVAL;
+        if now >= self.next_drop_log_at {
+            self.next_drop_log_at = now + DROP_LOG_INTERVAL;
             log::warn!(event = "datagram_dropped", cause:% = cause, count = count; "datagram dropped");
         }
     }
 }
 
-/// Ready after a whole batch, so that the task comes back at once; pending if
-/// all of it were errors, so that a socket that only fails is tried again at
-/// the next tick and the task does not spin.
-fn after_batch(errors: usize) -> Poll<()> {
-    if errors == BATCH {
+/// Result of a full batch: ready, so that the task is polled again at once, or
+/// pending if every receive failed, so that a socket that only fails is retried
+/// at the next tick and the task does not spin.
+fn poll_after_batch(receive_errors: usize) -> Poll<()> {
+    if receive_errors == MAX_BATCH_DATAGRAMS {
         Poll::Pending
     } else {
         Poll::Ready(())
--- a/crates/balancer/src/process/ingress.rs
+++ b/crates/balancer/src/process/ingress.rs
@@ -1,4 +1,4 @@
-//! Sockets towards the callers.
+//! Sockets on the caller side.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -13,10 +13,10 @@
 
 use crate::{Error, Result};
 
-/// The least address, which no service has.
-const NO_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
+/// The lowest socket address, which no service uses.
+const LOWEST_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
 
-/// Opens a UDP socket with large buffers.
+/// Binds a UDP socket with large buffers.
 ///
 /// # Errors
 ///
@@ -25,50 +25,51 @@
     net::bind_udp(address).map_err(|e| Error::Bind(address, e))
 }
 
-/// What came from the side of the callers.
+/// Datagram received on the caller side.
 #[derive(Debug)]
 pub enum IngressDatagram<'a> {
-    /// A datagram of a caller, already with its prefix.
+    /// A datagram of a caller, including its prefix.
     Packet {
-        /// Who handed it over: the fabric or the caller.
+        /// Sender of the UDP datagram: the fabric or the caller.
         from: SocketAddr,
-        /// Caller and service.
+        /// Addresses of the caller and the service.
         endpoints: Endpoints,
         /// Prefix and packet, as they are sent to an agent.
         datagram: &'a [u8],
-        /// The packet alone.
+        /// The packet without the prefix.
         packet: &'a [u8],
     },
-    /// A probe of the fabric.
+    /// A health probe of the fabric.
     Probe {
-        /// Who asks.
+        /// Sender of the probe.
         from: SocketAddr,
-        /// The probe, to be sent back.
+        /// The probe, which is echoed.
         datagram: &'a [u8],
     },
 }
 
-/// Where datagrams of callers come from and answers go to.
+/// Source of datagrams of callers, through which answers are sent.
 pub trait Ingress {
     /// Receives one datagram into `buf`.
     ///
     /// # Errors
     ///
-    /// The inner result is an error if the datagram cannot be read.
+    /// The outer error is that of the receive call; the inner result is an error
+    /// if the datagram cannot be decoded.
     fn poll_recv<'a>(
         &mut self,
         cx: &mut Context<'_>,
         buf: &'a mut [u8],
     ) -> Poll<io::Result<wire::Result<IngressDatagram<'a>>>>;
 
-    /// Notes that a datagram handed over by `from` was forwarded.
+    /// Records that a datagram received from `from` was forwarded.
     fn record_forwarded(&mut self, from: SocketAddr);
 
-    /// Sends the answer in `datagram`, which has its prefix, to the caller.
+    /// Sends an answer to the caller; `datagram` is the prefix and `packet`.
     ///
     /// # Errors
     ///
-    /// The socket does not take it, or there is no socket for the service.
+    /// The send call failed, or there is no socket for the service.
     fn try_send_answer(
         &mut self,
         endpoints: &Endpoints,
@@ -76,39 +77,38 @@
         packet: &[u8],
     ) -> io::Result<()>;
 
-    /// Sends a probe of the fabric back.
+    /// Echoes a probe of the fabric.
     ///
     /// # Errors
     ///
-    /// The socket does not take it.
+    /// The send call failed.
     fn try_echo_probe(&mut self, from: SocketAddr, datagram: &[u8]) -> io::Result<()>;
 
-    /// Whether answers can leave.
+    /// Whether answers can be sent to callers.
     fn can_send_answers(&self) -> bool;
 
-    /// Opens and closes sockets so that they match the addresses of the
-    /// services.
+    /// Opens and closes sockets to match the addresses of the services.
     fn set_service_addresses(&mut self, addresses: BTreeSet<SocketAddr>);
 
-    /// Tries again to open what could not be opened.
-    fn retry(&mut self);
+    /// Retries to bind the addresses that could not be bound.
+    fn retry_bind(&mut self);
 }
 
-/// One socket towards a fabric that encapsulates.
+/// Ingress with one socket, for a fabric that encapsulates datagrams.
 ///
-/// Whoever can send to it is taken for the fabric, so it must be reachable from
-/// the fabric only. Answers go to the sender of the last datagram that was
-/// forwarded; all senders must belong to one fabric, each of which takes any
-/// answer.
+/// Every sender to the socket is treated as the fabric, so the socket must be
+/// reachable from the fabric only. Answers are sent to the sender of the last
+/// forwarded datagram; all senders must belong to one fabric, in which each
+/// accepts answers to any caller.
 #[derive(Debug)]
 pub struct FabricIngress {
     socket: UdpSocket,
-    /// Who handed over the last datagram that was forwarded; answers go there.
-    fabric: Option<SocketAddr>,
+    /// Sender of the last forwarded datagram, to which answers are sent.
+    last_fabric_sender: Option<SocketAddr>,
 }
 
 impl FabricIngress {
-    /// Opens the socket.
+    /// Binds the socket to `address`.
     ///
     /// # Errors
     ///
@@ -117,7 +117,7 @@
         let socket = bind(address)?;
         Ok(FabricIngress {
             socket,
-            fabric: None,
+            last_fabric_sender: None,
         })
     }
 
@@ -125,7 +125,7 @@
     ///
     /// # Errors
     ///
-    /// The socket has none.
+    /// The address of the socket cannot be read.
     pub fn local_addr(&self) -> io::Result<SocketAddr> {
         self.socket.local_addr()
     }
@@ -155,11 +155,11 @@
     }
 
     fn record_forwarded(&mut self, from: SocketAddr) {
-        self.fabric = Some(from);
+        self.last_fabric_sender = Some(from);
     }
 
     fn try_send_answer(&mut self, _: &Endpoints, datagram: &[u8], _: &[u8]) -> io::Result<()> {
-        let fabric = self.fabric.ok_or(io::ErrorKind::NotConnected)?;
+        let fabric = self.last_fabric_sender.ok_or(io::ErrorKind::NotConnected)?;
         self.socket.try_send_to(datagram, fabric).map(drop)
     }
 
@@ -168,57 +168,59 @@
     }
 
     fn can_send_answers(&self) -> bool {
-        self.fabric.is_some()
+        self.last_fabric_sender.is_some()
     }
 
     fn set_service_addresses(&mut self, _: BTreeSet<SocketAddr>) {}
 
-    fn retry(&mut self) {}
+    fn retry_bind(&mut self) {}
 }
 
-/// One socket for each service address.
+/// Ingress with one socket for each service address.
 #[derive(Debug, Default)]
 pub struct DirectIngress {
-    /// Opens only services at this address; all if unset.
-    only: Option<IpAddr>,
+    /// IP address whose services are opened; `None` opens all services.
+    bind_ip: Option<IpAddr>,
     sockets: BTreeMap<SocketAddr, UdpSocket>,
-    /// Addresses that could not be opened yet.
-    missing: BTreeSet<SocketAddr>,
-    /// Those of `missing` whose failure was logged.
-    logged: BTreeSet<SocketAddr>,
-    /// Address polled last, so that a busy service cannot starve the others.
-    last: Option<SocketAddr>,
-    /// Prefix of the datagram that is being received.
-    prefix: Vec<u8>,
+    /// Service addresses that are not bound yet.
+    unbound: BTreeSet<SocketAddr>,
+    /// Addresses in `unbound` whose bind failure was logged.
+    logged_failures: BTreeSet<SocketAddr>,
+    /// Address whose socket was read last; polling resumes after it, so that a
+    /// busy service cannot starve the others.
+    last_polled: Option<SocketAddr>,
+    /// Buffer for the encoded prefix of the datagram that is being received.
+    prefix_buf: Vec<u8>,
 }
 
 impl DirectIngress {
-    /// Opens services at `only`, or all if it is unset.
+    /// Creates an ingress without sockets. It opens the services at `bind_ip`, or
+    /// all services if it is `None`.
     #[must_use]
-    pub fn new(only: Option<IpAddr>) -> Self {
+    pub fn new(bind_ip: Option<IpAddr>) -> Self {
         DirectIngress {
-            only,
+            bind_ip,
             ..DirectIngress::default()
         }
     }
 
-    /// Polls the sockets in turn, beginning after the one polled last.
-    fn poll_any(
+    /// Polls the sockets in round-robin order, starting after the one read last.
+    fn poll_round_robin(
         &mut self,
         cx: &mut Context<'_>,
         buf: &mut [u8],
     ) -> Poll<io::Result<(Endpoints, usize)>> {
-        let last = self.last.unwrap_or(NO_ADDRESS);
+        let last = self.last_polled.unwrap_or(LOWEST_ADDRESS);
         let after = (Bound::Excluded(last), Bound::Unbounded);
         let before = (Bound::Unbounded, Bound::Included(last));
-        let in_turn = self
+        let round_robin = self
             .sockets
             .range::<SocketAddr, _>(after)
             .chain(self.sockets.range::<SocketAddr, _>(before));
-        for (&service, socket) in in_turn {
+        for (&service, socket) in round_robin {
             let mut read = ReadBuf::new(buf);
             if let Poll::Ready(result) = socket.poll_recv_from(cx, &mut read) {
-                self.last = Some(service);
+                self.last_polled = Some(service);
                 let caller = result?;
                 return Poll::Ready(Ok((Endpoints { caller, service }, read.filled().len())));
             }
@@ -233,15 +235,15 @@
         cx: &mut Context<'_>,
         buf: &'a mut [u8],
     ) -> Poll<io::Result<wire::Result<IngressDatagram<'a>>>> {
-        // The packet is received behind the place of the longest prefix, so
-        // that the prefix can be put in front without moving the packet.
-        let (endpoints, len) = ready!(self.poll_any(cx, &mut buf[wire::MAX_PREFIX_LEN..]))?;
-        self.prefix.clear();
-        endpoints.encode(&mut self.prefix);
+        // The packet is received at an offset of the longest prefix, so that the
+        // prefix can be written in front of it without moving the packet.
+        let (endpoints, len) = ready!(self.poll_round_robin(cx, &mut buf[wire::MAX_PREFIX_LEN..]))?;
+        self.prefix_buf.clear();
+        endpoints.encode(&mut self.prefix_buf);
         let packet_start = wire::MAX_PREFIX_LEN;
-        let start = packet_start - self.prefix.len();
+        let start = packet_start - self.prefix_buf.len();
         let end = packet_start + len;
-        buf[start..packet_start].copy_from_slice(&self.prefix);
+        buf[start..packet_start].copy_from_slice(&self.prefix_buf);
         Poll::Ready(Ok(Ok(IngressDatagram::Packet {
             from: endpoints.caller,
             endpoints,
@@ -265,7 +267,7 @@
         socket.try_send_to(packet, endpoints.caller).map(drop)
     }
 
-    /// Callers send no probes.
+    /// Always fails: callers send no probes.
     fn try_echo_probe(&mut self, _: SocketAddr, _: &[u8]) -> io::Result<()> {
         Err(io::ErrorKind::Unsupported.into())
     }
@@ -275,27 +277,28 @@
     }
 
     fn set_service_addresses(&mut self, mut addresses: BTreeSet<SocketAddr>) {
-        addresses.retain(|address| self.only.is_none_or(|ip| ip == address.ip()));
+        addresses.retain(|address| self.bind_ip.is_none_or(|ip| ip == address.ip()));
         self.sockets
             .retain(|address, _| addresses.contains(address));
         addresses.retain(|address| !self.sockets.contains_key(address));
-        self.logged.retain(|address| addresses.contains(address));
-        self.missing = addresses;
-        self.retry();
+        self.logged_failures
+            .retain(|address| addresses.contains(address));
+        self.unbound = addresses;
+        self.retry_bind();
     }
 
-    fn retry(&mut self) {
-        for address in std::mem::take(&mut self.missing) {
+    fn retry_bind(&mut self) {
+        for address in std::mem::take(&mut self.unbound) {
             match bind(address) {
                 Ok(socket) => {
-                    log::info!(event = "service_opened", address:% = address; "service address opened");
+                    log::info!(event = "service_opened", address:% = address; "service address bound");
                     self.sockets.insert(address, socket);
-                    self.logged.remove(&address);
+                    self.logged_failures.remove(&address);
                 }
                 Err(e) => {
-                    self.missing.insert(address);
-                    if self.logged.insert(address) {
-                        log::error!(event = "service_not_opened", address:% = address, error:% = e; "service address cannot be opened; trying again");
+                    self.unbound.insert(address);
+                    if self.logged_failures.insert(address) {
+                        log::error!(event = "service_not_opened", address:% = address, error:% = e; "failed to bind the service address; retrying");
                     }
                 }
             }
--- a/crates/balancer/src/process/metrics.rs
+++ b/crates/balancer/src/process/metrics.rs
@@ -9,19 +9,19 @@
 /// Metrics of a balancer.
 #[derive(Debug)]
 pub struct Metrics {
-    /// Datagrams sent to agents.
+    /// Datagrams of callers that were sent to agents.
     pub forwarded_datagrams: IntCounter,
-    /// Datagrams sent to callers.
+    /// Datagrams of agents that were sent to callers.
     pub returned_datagrams: IntCounter,
     /// Probes of agents that were answered.
     pub answered_probes: IntCounter,
     /// Revision of the configuration that is in force.
     pub revision: IntGauge,
-    /// 1 while the balancer has a version and is not stopping.
+    /// 1 while the balancer has a version and is not shutting down, else 0.
     pub serving: IntGauge,
-    dropped: IntCounterVec,
-    /// Counters by cause, looked up once.
-    causes: BTreeMap<DropCause, IntCounter>,
+    dropped_datagrams: IntCounterVec,
+    /// Counter of each cause that occurred, cached to avoid the label lookup.
+    drop_counters: BTreeMap<DropCause, IntCounter>,
 }
 
 impl Metrics {
@@ -41,14 +41,14 @@
             registry.register(Box::new(gauge.clone()))?;
             Ok(gauge)
         };
-        let dropped = IntCounterVec::new(
+        let dropped_datagrams = IntCounterVec::new(
             Opts::new(
                 "limpet_balancer_dropped_datagrams_total",
                 "Datagrams that were dropped, by cause.",
             ),
             &["cause"],
         )?;
-        registry.register(Box::new(dropped.clone()))?;
+        registry.register(Box::new(dropped_datagrams.clone()))?;
         Ok(Metrics {
             forwarded_datagrams: counter(
                 "limpet_balancer_forwarded_datagrams_total",
@@ -70,17 +70,17 @@
                 "limpet_balancer_serving",
                 "1 while the balancer has a version and is not stopping.",
             )?,
-            dropped,
-            causes: BTreeMap::new(),
+            dropped_datagrams,
+            drop_counters: BTreeMap::new(),
         })
     }
 
-    /// Counts a dropped datagram and returns the count for its cause.
+    /// Counts a dropped datagram and returns the total for its cause.
     pub fn count_drop(&mut self, cause: DropCause) -> u64 {
         let counter = self
-            .causes
+            .drop_counters
             .entry(cause)
-            .or_insert_with(|| self.dropped.with_label_values(&[cause.as_str()]));
+            .or_insert_with(|| self.dropped_datagrams.with_label_values(&[cause.as_str()]));
         counter.inc();
         counter.get()
     }
--- a/crates/balancer/src/process/mod.rs
+++ b/crates/balancer/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as the balancer.
+//! Settings, tasks and sockets, which live as long as the process.
 
 mod datapath;
 mod ingress;
@@ -17,14 +17,14 @@
 
 use crate::{Error, Result};
 
-/// Steps that may wait for the data path.
-const STEPS: usize = 4;
+/// Steps of the sync task that can be queued for the data path.
+const STEP_CHANNEL_CAPACITY: usize = 4;
 
-/// Runs a balancer until `stop` is set, and then for the time to linger.
+/// Runs a balancer until `stop` is set, and then for the shutdown grace period.
 ///
 /// # Errors
 ///
-/// A socket cannot be opened.
+/// A socket cannot be bound, or a metric cannot be registered.
 pub async fn run(cfg: Settings, registry: &Registry, stop: watch::Receiver<bool>) -> Result<()> {
     let metrics = Metrics::new(registry)?;
     if let Some(address) = cfg.fabric_listen {
@@ -42,8 +42,8 @@
     metrics: Metrics,
     stop: watch::Receiver<bool>,
 ) -> Result<()> {
-    let agents = bind(cfg.return_listen)?;
-    let return_address = agents
+    let agent_socket = bind(cfg.return_listen)?;
+    let return_address = agent_socket
         .local_addr()
         .map_err(|e| Error::Bind(cfg.return_listen, e))?;
     log::info!(event = "balancer_started", return_address:% = return_address; "balancer started");
@@ -53,18 +53,24 @@
         balancer,
         upstream: None,
     });
-    let (step_tx, step_rx) = mpsc::channel(STEPS);
+    let (step_tx, step_rx) = mpsc::channel(STEP_CHANNEL_CAPACITY);
     let sync = SyncSettings::new(cfg.host, Role::Balancer, cfg.data_centre, cfg.control);
     let http = Http::new(cfg.credentials.as_ref());
     let sync = actix_rt::spawn(SyncTask::new(sync, http, report_rx, step_tx).run());
 
-    let links = SyncChannels {
+    let channels = SyncChannels {
         steps: step_rx,
         report: report_tx,
     };
-    Datapath::new(ingress, agents, links, metrics, cfg.shutdown_grace_period)
-        .run(stop)
-        .await;
+    Datapath::new(
+        ingress,
+        agent_socket,
+        channels,
+        metrics,
+        cfg.shutdown_grace_period,
+    )
+    .run(stop)
+    .await;
     sync.abort();
     log::info!(event = "balancer_stopped"; "balancer stopped");
     Ok(())
--- a/crates/balancer/src/process/settings.rs
+++ b/crates/balancer/src/process/settings.rs
@@ -7,9 +7,9 @@
 
 use types::{DataCentre, HostName};
 
-/// Default of [`Settings::shutdown_grace_period`]. A lease of 3 s ends, the news takes at most
-/// the 1 s that a sync request is held, and 1 s is left for the packets on
-/// their way.
+/// Default of [`Settings::shutdown_grace_period`]. The lease of
+/// 3 s expires, the change reaches the nodes within the 1 s for which a sync
+/// request is held, and 1 s remains for packets in flight.
 const DEFAULT_SHUTDOWN_GRACE_PERIOD: Duration = Duration::from_secs(5);
 
 /// Settings of a balancer.
@@ -19,25 +19,26 @@
     pub host: HostName,
     /// Data centre of the host.
     pub data_centre: DataCentre,
-    /// The control hosts; never empty.
+    /// Addresses of the control hosts; must not be empty.
     pub control: Vec<SocketAddr>,
-    /// Where a fabric that encapsulates sends datagrams. Without it the
-    /// balancer opens the addresses of the services itself.
+    /// Address to which a fabric that encapsulates sends datagrams. If `None`,
+    /// the balancer binds the addresses of the services itself.
     pub fabric_listen: Option<SocketAddr>,
-    /// Where agents send answers and probes.
+    /// Address to which agents send answers and probes.
     pub return_listen: SocketAddr,
-    /// Opens only services at this address; all if unset. Used without
-    /// `fabric_listen`.
+    /// IP address whose services are opened; `None` opens all services. Used
+    /// only without `fabric_listen`.
     pub services_listen: Option<IpAddr>,
-    /// Time for which a stopping balancer goes on forwarding, so that agents
-    /// and fabric can turn to others. Longer than the lease of a balancer.
+    /// Time for which a balancer continues to forward after it was told to
+    /// stop, so that agents and fabric can switch to other balancers. Must be
+    /// longer than the lease of a balancer.
     pub shutdown_grace_period: Duration,
-    /// Proofs of identity; plain HTTP without them.
+    /// TLS credentials for the control hosts; `None` uses plain HTTP.
     pub credentials: Option<auth::Credentials>,
 }
 
 impl Settings {
-    /// Settings for a host with default sockets.
+    /// Settings for a host with default values for the rest.
     #[must_use]
     pub fn new(host: HostName, data_centre: DataCentre, control: Vec<SocketAddr>) -> Self {
         Settings {
--- a/crates/balancer/src/version/mod.rs
+++ b/crates/balancer/src/version/mod.rs
@@ -1,4 +1,4 @@
-//! What one version of the configuration and the membership says.
+//! Classifier of one version of the configuration and the membership.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -9,18 +9,19 @@
 use types::{ServiceId, ServiceState};
 use wire::{CidCodec, Update};
 
-/// Decides on datagrams with one version of services, upstreams and keys.
+/// Classifies datagrams by one version of services, upstreams and keys.
 #[derive(Debug, Default)]
 pub struct Classifier {
     pub(crate) table: RoutingTable,
-    /// Keys of connection ids; none before the first version with keys.
+    /// Decoder of connection ids; `None` before the first version with keys.
     pub(crate) keys: Option<CidCodec>,
-    services: BTreeMap<ServiceId, ServiceAddresses>,
-    /// Data address of each agent and its service; the pairs of `services`.
-    agents: BTreeSet<(SocketAddr, ServiceId)>,
+    addresses_by_service: BTreeMap<ServiceId, ServiceAddresses>,
+    /// Data address of each agent with its service; derived from
+    /// `addresses_by_service`.
+    agent_services: BTreeSet<(SocketAddr, ServiceId)>,
 }
 
-/// Addresses of a service.
+/// Address of a service and the data addresses of its agents.
 #[derive(Debug)]
 struct ServiceAddresses {
     service: SocketAddr,
@@ -28,22 +29,22 @@
 }
 
 impl Classifier {
-    /// Goes to the version of `update`.
+    /// Replaces the version by that of `update`.
     pub fn apply(&mut self, update: Update) {
         let mut removed = update.removed;
         if update.snapshot {
-            // The entries that stay keep their placement, so that a snapshot
-            // with few changes costs no more than an update with them.
-            let named: BTreeSet<_> = update.services.iter().map(|s| s.service.id).collect();
-            let known = self.services.keys().copied();
-            removed.extend(known.filter(|id| !named.contains(id)));
+            // Entries that remain keep their placement, so that a snapshot with
+            // few changes costs no more than a delta with the same changes.
+            let listed: BTreeSet<_> = update.services.iter().map(|s| s.service.id).collect();
+            let known = self.addresses_by_service.keys().copied();
+            removed.extend(known.filter(|id| !listed.contains(id)));
         }
         for id in &removed {
-            self.forget(*id);
+            self.remove_service(*id);
         }
         for state in &update.services {
-            self.forget(state.service.id);
-            self.note(state);
+            self.remove_service(state.service.id);
+            self.insert_service(state);
         }
         self.table.apply(update.services, removed);
         self.keys = update.keys.as_ref().map(CidCodec::new);
@@ -51,40 +52,43 @@
 
     /// Address of each service.
     pub fn service_addresses(&self) -> impl Iterator<Item = SocketAddr> {
-        self.services.values().map(|addresses| addresses.service)
+        self.addresses_by_service
+            .values()
+            .map(|addresses| addresses.service)
     }
 
     /// Whether `address` is the data address of an agent.
     #[must_use]
     pub fn is_agent(&self, address: SocketAddr) -> bool {
         let range = (address, ServiceId(0))..=(address, ServiceId(u32::MAX));
-        self.agents.range(range).next().is_some()
+        self.agent_services.range(range).next().is_some()
     }
 
     /// Whether `address` is the data address of an agent of `service`.
     #[must_use]
     pub fn is_agent_of(&self, address: SocketAddr, service: ServiceId) -> bool {
-        self.agents.contains(&(address, service))
+        self.agent_services.contains(&(address, service))
     }
 
-    fn forget(&mut self, id: ServiceId) {
-        if let Some(addresses) = self.services.remove(&id) {
+    fn remove_service(&mut self, id: ServiceId) {
+        if let Some(addresses) = self.addresses_by_service.remove(&id) {
             for agent in addresses.agents {
-                self.agents.remove(&(agent, id));
+                self.agent_services.remove(&(agent, id));
             }
         }
     }
 
-    fn note(&mut self, state: &ServiceState) {
+    fn insert_service(&mut self, state: &ServiceState) {
         let id = state.service.id;
         let agents: BTreeSet<_> = state
             .members
             .values()
             .map(|member| member.data_address)
             .collect();
-        self.agents.extend(agents.iter().map(|&agent| (agent, id)));
+        self.agent_services
+            .extend(agents.iter().map(|&agent| (agent, id)));
         let service = state.service.address;
-        self.services
+        self.addresses_by_service
             .insert(id, ServiceAddresses { service, agents });
     }
 }
--- a/crates/balancer/tests/classifier.rs
+++ b/crates/balancer/tests/classifier.rs
@@ -1,4 +1,4 @@
-//! Decisions on single datagrams, by cause and over arbitrary versions.
+//! Classification of single datagrams, by example and for random versions.
 
 mod common;
 
@@ -30,7 +30,7 @@
     format!("10.0.0.{n}:7200").parse().unwrap()
 }
 
-fn to(n: u32) -> Endpoints {
+fn endpoints_to(n: u32) -> Endpoints {
     Endpoints {
         caller: "192.0.2.7:50000".parse().unwrap(),
         service: service(n),
@@ -57,55 +57,59 @@
     })
 }
 
-fn input(category: Category) -> Verdict {
+fn undecodable(category: Category) -> Verdict {
     Verdict::Drop(DropCause::Undecodable(category))
 }
 
-fn route(reason: DropReason) -> Verdict {
+fn no_route(reason: DropReason) -> Verdict {
     Verdict::Drop(DropCause::Route(reason))
 }
 
-/// Guards against an id that leads to another service or incarnation, or that
-/// is accepted with a key that is not valid.
+/// Guards against a connection id that is routed to another service or
+/// incarnation, or that is accepted although its key is not valid.
 #[test]
-fn a_flow_goes_where_its_id_says() {
+fn a_flow_follows_its_connection_id() {
     use DropReason::{OtherService, UnknownService, UnknownUpstream};
     // Service of the address; key, upstream and service of the id.
     let cases = [
         (1, (1, 10, 1), forward(10, 1)),
         (1, (0, 10, 1), forward(10, 1)),
-        // No share, but its flows.
+        // An upstream without a share still gets its existing flows.
         (3, (1, 30, 3), forward(30, 3)),
-        (9, (1, 10, 1), route(UnknownService)),
-        (1, (1, 11, 1), route(UnknownUpstream)),
-        (1, (1, 10, 2), route(OtherService)),
-        (1, (1, 20, 1), route(OtherService)),
-        (2, (1, 10, 1), route(OtherService)),
-        // An expired key, and an older one of a valid generation.
-        (1, (2, 10, 1), input(Category::UnknownId)),
-        (1, (5, 10, 1), input(Category::UnknownId)),
+        (9, (1, 10, 1), no_route(UnknownService)),
+        (1, (1, 11, 1), no_route(UnknownUpstream)),
+        (1, (1, 10, 2), no_route(OtherService)),
+        (1, (1, 20, 1), no_route(OtherService)),
+        (2, (1, 10, 1), no_route(OtherService)),
+        // A key of an unknown generation, and another key of a valid generation.
+        (1, (2, 10, 1), undecodable(Category::UnknownId)),
+        (1, (5, 10, 1), undecodable(Category::UnknownId)),
     ];
     let (classifier, empty) = (classifier(), Classifier::default());
     for (n, (key, upstream, tag), verdict) in cases {
         let id = cid(key, upstream, tag);
         let long_kinds = [INITIAL, HANDSHAKE].map(|kind| long(kind, &id, 1200));
         for packet in long_kinds.into_iter().chain([short(&id)]) {
-            // An id that does not decode may be one that a caller chose.
-            if verdict == input(Category::UnknownId) && packet[0] == 0xc0 {
+            // An id of an initial packet that does not decode may have been chosen
+            // by the caller.
+            if verdict == undecodable(Category::UnknownId) && packet[0] == 0xc0 {
                 continue;
             }
-            let got = classifier.classify(&to(n), &packet);
+            let got = classifier.classify(&endpoints_to(n), &packet);
             assert_eq!(got, verdict, "{n} {key} {upstream} {tag} {:x}", packet[0]);
-            assert_eq!(empty.classify(&to(n), &packet), route(UnknownService));
+            assert_eq!(
+                empty.classify(&endpoints_to(n), &packet),
+                no_route(UnknownService)
+            );
         }
     }
 }
 
-/// Guards against a first packet that is dropped or goes elsewhere, and against
-/// a packet that cannot be read and is forwarded or counted under another
-/// cause.
+/// Guards against a first packet that is dropped or forwarded to the wrong
+/// agent, and against a packet that cannot be decoded but is forwarded or gets
+/// the wrong drop cause.
 #[test]
-fn first_packets_are_placed_and_others_rejected() {
+fn first_packets_are_forwarded_and_invalid_ones_dropped() {
     let cut = |packet: Vec<u8>, len: usize| packet[..len].to_vec();
     let cases = [
         (1, long(INITIAL, b"chosen", 1200), forward(10, 1)),
@@ -113,38 +117,46 @@
         (
             3,
             long(INITIAL, b"chosen", 1200),
-            route(DropReason::NoUpstream),
+            no_route(DropReason::NoUpstream),
         ),
         (
             1,
             long(INITIAL, b"chosen", 1199),
-            Verdict::Drop(DropCause::Undersized),
+            Verdict::Drop(DropCause::UndersizedFirstPacket),
         ),
         (
             1,
             long(HANDSHAKE, b"chosen", 1200),
-            input(Category::UnknownId),
+            undecodable(Category::UnknownId),
+        ),
+        (1, short(&[7; 17]), undecodable(Category::UnknownId)),
+        (1, vec![], undecodable(Category::Malformed)),
+        (
+            1,
+            cut(short(&[7; 17]), 17),
+            undecodable(Category::Malformed),
         ),
-        (1, short(&[7; 17]), input(Category::UnknownId)),
-        (1, vec![], input(Category::Malformed)),
-        (1, cut(short(&[7; 17]), 17), input(Category::Malformed)),
         (
             1,
             cut(long(INITIAL, b"chosen", 0), 8),
-            input(Category::Malformed),
+            undecodable(Category::Malformed),
+        ),
+        (
+            1,
+            long(INITIAL, &[1; 21], 1200),
+            undecodable(Category::Malformed),
         ),
-        (1, long(INITIAL, &[1; 21], 1200), input(Category::Malformed)),
     ];
     for (n, packet, verdict) in cases {
         assert_eq!(
-            classifier().classify(&to(n), &packet),
+            classifier().classify(&endpoints_to(n), &packet),
             verdict,
             "{packet:x?}"
         );
     }
 }
 
-/// Guards against a host that answers for a service that is not its own.
+/// Guards against a host that answers for a service of which it is no agent.
 #[test]
 fn only_agents_of_a_service_answer_for_it() {
     let classifier = classifier();
@@ -157,16 +169,20 @@
         (agent(1), 9, Err(unknown)),
     ];
     for (from, n, result) in cases {
-        assert_eq!(classifier.check_answer(from, &to(n)), result, "{from} {n}");
+        assert_eq!(
+            classifier.check_answer(from, &endpoints_to(n)),
+            result,
+            "{from} {n}"
+        );
     }
     assert!(classifier.is_agent(agent(2)));
     assert!(!classifier.is_agent(agent(9)));
 }
 
-/// Guards against agents that stay known after a version has moved or removed
-/// them, whether it comes as a snapshot or as a change.
+/// Guards against agents that stay valid after a version moved or removed them,
+/// whether it arrives as a snapshot or as a delta.
 #[test]
-fn a_version_forgets_what_it_does_not_name() {
+fn a_version_removes_agents_that_it_does_not_list() {
     let services = || vec![state(2, service(2), &[(21, agent(4), 1024)])];
     let changed = Update {
         snapshot: false,
@@ -176,21 +192,21 @@
     for update in [snapshot(Some(keys(1, None)), services()), changed] {
         let mut classifier = classifier();
         classifier.apply(update);
-        assert_eq!(classifier.check_answer(agent(4), &to(2)), Ok(()));
+        assert_eq!(classifier.check_answer(agent(4), &endpoints_to(2)), Ok(()));
         let known = [1, 2, 3].map(|n| classifier.is_agent(agent(n)));
         assert_eq!(known, [false; 3]);
         let addresses: Vec<_> = classifier.service_addresses().collect();
         assert_eq!(addresses, [service(2)]);
-        let verdict = classifier.classify(&to(1), &short(&cid(1, 10, 1)));
-        assert_eq!(verdict, route(DropReason::UnknownService));
+        let verdict = classifier.classify(&endpoints_to(1), &short(&cid(1, 10, 1)));
+        assert_eq!(verdict, no_route(DropReason::UnknownService));
     }
 }
 
-/// Guards against a rotation that cuts flows while balancers and agents are one
-/// step apart, and against ids of a key that was replaced.
+/// Guards against a key rotation that breaks flows while balancers and agents
+/// are one step apart, and against ids of a replaced key that are accepted.
 #[test]
 fn ids_stay_valid_at_every_step_of_a_rotation() {
-    // Key sets of four rotations: the next key is first accepted, then used.
+    // Key sets of four rotations: the next key is first added, then activated.
     let steps: Vec<(u8, Option<u8>)> = (0..4)
         .flat_map(|n| [(n, Some(n + 1)), (n + 1, Some(n))])
         .collect();
@@ -200,21 +216,21 @@
             snapshot: false,
             ..snapshot(Some(keys(current, other)), vec![])
         });
-        let near = steps.iter().enumerate().skip(at.saturating_sub(1));
-        for (agent_at, (made_with, _)) in near.take_while(|(n, _)| *n <= at + 1) {
-            let verdict = balancer.classify(&to(1), &short(&cid(*made_with, 10, 1)));
+        let adjacent = steps.iter().enumerate().skip(at.saturating_sub(1));
+        for (agent_at, (issuing_key, _)) in adjacent.take_while(|(n, _)| *n <= at + 1) {
+            let verdict = balancer.classify(&endpoints_to(1), &short(&cid(*issuing_key, 10, 1)));
             let context = format!("balancer at step {at}, agent at {agent_at}");
             assert_eq!(verdict, forward(10, 1), "{context}");
         }
         for replaced in 0..current.saturating_sub(1) {
-            let verdict = balancer.classify(&to(1), &short(&cid(replaced, 10, 1)));
-            assert_eq!(verdict, input(Category::UnknownId), "key {replaced}");
+            let verdict = balancer.classify(&endpoints_to(1), &short(&cid(replaced, 10, 1)));
+            assert_eq!(verdict, undecodable(Category::UnknownId), "key {replaced}");
         }
     }
 }
 
-/// Services by id; few addresses, agents and upstream ids, so that they move
-/// between services and an address gets a new incarnation.
+/// A random service from few addresses, agents and upstream ids, so that these
+/// move between services and an address gets a new incarnation.
 fn random_state(u: &mut Unstructured<'_>, id: u32) -> Result<ServiceState> {
     let members = (0..u.int_in_range(0..=3)?)
         .map(|_| {
@@ -267,8 +283,9 @@
     })
 }
 
-/// A packet, and the upstream that its id names if it has an unharmed one. Half
-/// of the ids are of a member of `state` if there is one.
+/// A random packet, and the upstream in its connection id if it is a short
+/// packet with an id that is not corrupted. Half of the ids are of a member of
+/// `state` if it has any.
 fn random_packet(
     u: &mut Unstructured<'_>,
     state: Option<&ServiceState>,
@@ -281,9 +298,9 @@
         (tag, upstream) = (state.service.id.0, u.choose(&members)?.0);
     }
     let mut id = cid(u.int_in_range(0..=4)?, upstream, tag);
-    let harmed = u.ratio(1, 3)?;
-    if harmed {
-        // Not the six random bits of the first byte.
+    let is_corrupted = u.ratio(1, 3)?;
+    if is_corrupted {
+        // Not in the first byte, of which six bits are random.
         let at = u.int_in_range(1..=id.len() - 1)?;
         id[at] ^= 1 << u.int_in_range(0..=7)?;
     }
@@ -291,19 +308,20 @@
         0 => long(INITIAL, &id, 1200),
         1 => long(HANDSHAKE, &id, 80),
         2 => u.arbitrary()?,
-        _ => return Ok((short(&id), (!harmed).then_some(upstream))),
+        _ => return Ok((short(&id), (!is_corrupted).then_some(upstream))),
     };
     Ok((packet, None))
 }
 
-/// The service that has `address` in the model: the newest of several.
-fn at(model: &BTreeMap<u32, ServiceState>, address: SocketAddr) -> Option<&ServiceState> {
+/// The service with `address` in the model: the one with the highest id if
+/// there are several.
+fn service_at(model: &BTreeMap<u32, ServiceState>, address: SocketAddr) -> Option<&ServiceState> {
     model.values().rfind(|s| s.service.address == address)
 }
 
-/// Guards against any history of versions after which a datagram reaches an
-/// upstream of another service, or an answer of another service's agent
-/// leaves (promise P2).
+/// Guards against a sequence of versions after which a datagram is forwarded to
+/// an upstream of another service, or an answer from an agent of another service
+/// is accepted (promise P2).
 #[test]
 fn no_datagram_crosses_services() {
     let mut forwarded = 0;
@@ -314,27 +332,27 @@
             for _ in 0..u.int_in_range(1..=4)? {
                 classifier.apply(random_update(u, &mut model)?);
                 for _ in 0..12 {
-                    let endpoints = to(u.int_in_range(1..=4)?);
-                    let state = at(&model, endpoints.service);
+                    let endpoints = endpoints_to(u.int_in_range(1..=4)?);
+                    let state = service_at(&model, endpoints.service);
                     let from = agent(u.int_in_range(1..=4)?);
                     if classifier.check_answer(from, &endpoints).is_ok() {
                         let members = &state.expect("a known service").members;
                         assert!(members.values().any(|m| m.data_address == from));
                     }
-                    let (packet, named) = random_packet(u, state)?;
+                    let (packet, id_upstream) = random_packet(u, state)?;
                     let Verdict::Forward(hop) = classifier.classify(&endpoints, &packet) else {
                         continue;
                     };
                     forwarded += 1;
                     let member = &state.expect("a known service").members[&hop.upstream];
                     assert_eq!(member.data_address, hop.address);
-                    assert!(named.is_none_or(|id| UpstreamId(id) == hop.upstream));
+                    assert!(id_upstream.is_none_or(|id| UpstreamId(id) == hop.upstream));
                 }
             }
             Ok(())
         })
         .seed(case << 32 | INPUT_BYTES);
     }
-    // The property would hold for a classifier that drops everything.
+    // Otherwise the property would hold for a classifier that drops everything.
     assert!(forwarded > 500, "{forwarded} datagrams were forwarded");
 }
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! Services, updates and packets for the tests.
+//! Services, updates and packets for the tests of this crate.
 
-// Each test file uses a part of this module.
+// Each test binary uses only some of these helpers.
 #![allow(dead_code)]
 
 use std::{collections::BTreeMap, net::SocketAddr};
@@ -14,7 +14,7 @@
 /// QUIC version 1.
 const VERSION_1: [u8; 4] = [0, 0, 0, 1];
 
-/// A service whose members are given as id, data address and share.
+/// A service with members given as upstream id, data address and share.
 pub fn state(id: u32, address: SocketAddr, members: &[(u64, SocketAddr, u32)]) -> ServiceState {
     let member = |&(upstream, data, share): &(u64, SocketAddr, u32)| {
         let member = UpstreamMember {
@@ -42,7 +42,7 @@
     }
 }
 
-/// Key number `n`; its generation is two bits of it.
+/// Key number `n`, of generation `n` modulo the number of generations.
 pub fn key(n: u8) -> CidKey {
     CidKey {
         generation: KeyGeneration(n % KeyGeneration::COUNT),
@@ -70,7 +70,7 @@
     }
 }
 
-/// The connection id that key number `n` makes.
+/// A connection id encoded with key number `n`.
 pub fn cid(n: u8, upstream: u64, service: u32) -> Vec<u8> {
     let id = ConnectionId {
         upstream: UpstreamId(upstream),
