--- a/crates/bench/src/bin/control.rs
+++ b/crates/bench/src/bin/control.rs
@@ -95,9 +95,9 @@
         ],
     );
     for count in [100u32, 1_000, 10_000, 52_000] {
-        let mut state = config::State::default();
+        let mut state = config::ConfigState::default();
         let mut index = 0;
-        let mut apply = |state: &mut config::State, base, change| {
+        let mut apply = |state: &mut config::ConfigState, base, change| {
             index += 1;
             let req = request(base, change);
             state.apply(Revision(index), req.id.created_at(), &req);
@@ -113,7 +113,7 @@
         state.encode(&mut bytes).unwrap();
         let encode_time = started.elapsed();
         let started = Instant::now();
-        black_box(config::State::decode(&bytes[..]).unwrap());
+        black_box(config::ConfigState::decode(&bytes[..]).unwrap());
         let decode_time = started.elapsed();
         let mut base = state.revision();
         let name = format!("service-{}", count - 1);
--- a/crates/bench/src/bin/datagrams.rs
+++ b/crates/bench/src/bin/datagrams.rs
@@ -18,7 +18,7 @@
     time::{Duration, Instant},
 };
 
-use balancer::{Datapath, FabricIngress, Links, Metrics, bind};
+use balancer::{Datapath, FabricIngress, Metrics, SyncChannels, bind};
 use client::{NodeReport, Step};
 use comfy_table::{Table, presets::ASCII_MARKDOWN};
 use prometheus::{IntCounter, Registry};
@@ -360,7 +360,7 @@
 /// Starts the data path of a balancer and applies a table of this size.
 fn balancer(size: TableSize, port: u16) -> Subject {
     let metrics = Metrics::new(&Registry::new()).expect("metrics");
-    let forwarded = Counter::Balancer(metrics.forwarded.clone());
+    let forwarded = Counter::Balancer(metrics.forwarded_datagrams.clone());
     let (steps, step_rx) = mpsc::channel(1);
     let (started_tx, started_rx) = oneshot::channel();
     thread::spawn(move || {
@@ -372,7 +372,7 @@
                 .expect("main waits");
             let agents = bind(any_loopback_port()).expect("agent socket");
             let (report, _) = watch::channel(NodeReport::default());
-            let links = Links {
+            let links = SyncChannels {
                 steps: step_rx,
                 report,
             };
--- a/crates/config/src/version/snapshot.rs
+++ b/crates/config/src/version/snapshot.rs
@@ -1,44 +1,44 @@
-//! The state as bytes.
+//! Encoding of the state as a snapshot.
 
 use std::io::{Read, Write};
 
-use super::State;
+use super::ConfigState;
 use crate::error::{ErrorKind, Result};
 
-/// Format of the snapshots that this build writes and reads.
-pub const FORMAT: u32 = 2;
+/// Format version of the snapshots that this build writes and reads.
+pub const SNAPSHOT_FORMAT: u32 = 2;
 
-impl State {
-    /// Writes the whole state. Equal states give equal bytes.
+impl ConfigState {
+    /// Writes the state as a snapshot. Equal states give equal bytes.
     ///
     /// # Errors
     ///
-    /// Fails when the writer does.
+    /// The writer failed.
     ///
     /// ```
-    /// let state = config::State::default();
+    /// let state = config::ConfigState::default();
     /// let mut bytes = Vec::new();
     /// state.encode(&mut bytes)?;
-    /// assert_eq!(config::State::decode(&bytes[..])?, state);
+    /// assert_eq!(config::ConfigState::decode(&bytes[..])?, state);
     /// # Ok::<(), config::Error>(())
     /// ```
     pub fn encode<W: Write>(&self, mut w: W) -> Result<()> {
-        rmp_serde::encode::write(&mut w, &FORMAT)?;
+        rmp_serde::encode::write(&mut w, &SNAPSHOT_FORMAT)?;
         rmp_serde::encode::write(&mut w, self)?;
         Ok(())
     }
 
-    /// Reads a state that [`encode`](State::encode) wrote.
+    /// Reads a snapshot written by [`encode`](ConfigState::encode).
     ///
     /// # Errors
     ///
-    /// Fails when the reader does, when the bytes are no snapshot and when
-    /// their format is not [`FORMAT`].
+    /// The reader failed, the data cannot be decoded, or its format version is
+    /// not [`SNAPSHOT_FORMAT`].
     pub fn decode<R: Read>(mut r: R) -> Result<Self> {
         let found: u32 = rmp_serde::decode::from_read(&mut r)?;
-        if found != FORMAT {
-            let known = FORMAT;
-            return Err(ErrorKind::Format { found, known }.into());
+        if found != SNAPSHOT_FORMAT {
+            let supported = SNAPSHOT_FORMAT;
+            return Err(ErrorKind::Format { found, supported }.into());
         }
         Ok(rmp_serde::decode::from_read(&mut r)?)
     }
--- a/crates/limpetd/src/process/local.rs
+++ b/crates/limpetd/src/process/local.rs
@@ -75,7 +75,7 @@
     let (host, data_centre) = host_and_data_centre();
     balancer::Settings {
         // The agent in the same process, the only one, has already stopped.
-        linger: Duration::ZERO,
+        shutdown_grace_period: Duration::ZERO,
         ..balancer::Settings::new(host, data_centre, vec![args.control])
     }
 }
--- a/crates/limpetd/tests/control.rs
+++ b/crates/limpetd/tests/control.rs
@@ -13,7 +13,7 @@
 
 use actix_rt::time::sleep;
 use client::{Http, NodeReport, Operator, Step, SyncSettings, SyncTask};
-use config::Summary;
+use config::ChangeSummary;
 use harness::{
     SERVICE, Site, SitePlan, WAIT_TIMEOUT, accepted_revision, control_address, wait_for,
 };
@@ -538,7 +538,8 @@
             panic!("no audit trail");
         };
         records.iter().any(|record| {
-            record.change == Summary::Group(made) && matches!(record.answer, Answer::Accepted(_))
+            record.change == ChangeSummary::Group(made)
+                && matches!(record.answer, Answer::Accepted(_))
         })
     })
     .await;
