--- a/crates/agent/src/version/mod.rs
+++ b/crates/agent/src/version/mod.rs
@@ -35,8 +35,8 @@
     /// Applies an update.
     pub fn apply(&mut self, update: &Update, name: &ServiceName, host: &HostName) {
         let known_id = self.service.as_ref().map(|state| state.service.id);
-        let removed = known_id.is_some_and(|id| update.removed.contains(&id));
-        if update.snapshot || removed {
+        let removed = known_id.is_some_and(|id| update.removed_services.contains(&id));
+        if update.is_snapshot || removed {
             self.service = None;
         }
         if let Some(state) = update.services.iter().find(|s| s.service.name == *name) {
@@ -47,7 +47,7 @@
             .values()
             .map(|balancer| balancer.return_address)
             .collect();
-        self.drain_requested = update.drains.contains(host);
+        self.drain_requested = update.draining_hosts.contains(host);
     }
 
     /// Targets of the service. A class that this upstream does not serve has no
--- a/crates/balancer/src/version/mod.rs
+++ b/crates/balancer/src/version/mod.rs
@@ -31,8 +31,8 @@
 impl Classifier {
     /// Replaces the version by that of `update`.
     pub fn apply(&mut self, update: Update) {
-        let mut removed = update.removed;
-        if update.snapshot {
+        let mut removed = update.removed_services;
+        if update.is_snapshot {
             // Entries that remain keep their placement, so that a snapshot with
             // few changes costs no more than a delta with the same changes.
             let listed: BTreeSet<_> = update.services.iter().map(|s| s.service.id).collect();
--- a/crates/balancer/tests/classifier.rs
+++ b/crates/balancer/tests/classifier.rs
@@ -185,8 +185,8 @@
 fn a_version_removes_agents_that_it_does_not_list() {
     let services = || vec![state(2, service(2), &[(21, agent(4), 1024)])];
     let changed = Update {
-        snapshot: false,
-        removed: vec![ServiceId(1), ServiceId(3)],
+        is_snapshot: false,
+        removed_services: vec![ServiceId(1), ServiceId(3)],
         ..snapshot(Some(keys(1, None)), services())
     };
     for update in [snapshot(Some(keys(1, None)), services()), changed] {
@@ -213,7 +213,7 @@
     for (at, &(current, other)) in steps.iter().enumerate() {
         let mut balancer = classifier();
         balancer.apply(Update {
-            snapshot: false,
+            is_snapshot: false,
             ..snapshot(Some(keys(current, other)), vec![])
         });
         let adjacent = steps.iter().enumerate().skip(at.saturating_sub(1));
@@ -270,8 +270,8 @@
     let current = u.int_in_range(0..=3)?;
     let other = (current + 1) % 4;
     Ok(Update {
-        snapshot: is_snapshot,
-        removed: if is_snapshot {
+        is_snapshot,
+        removed_services: if is_snapshot {
             vec![]
         } else {
             removed.into_iter().map(ServiceId).collect()
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -60,12 +60,12 @@
 pub fn snapshot(keys: Option<KeySet>, services: Vec<ServiceState>) -> Update {
     Update {
         version: Version::default(),
-        snapshot: true,
+        is_snapshot: true,
         keys,
         services,
-        removed: Vec::new(),
+        removed_services: Vec::new(),
         balancers: BTreeMap::new(),
-        drains: std::collections::BTreeSet::new(),
+        draining_hosts: std::collections::BTreeSet::new(),
         loads: BTreeMap::new(),
     }
 }
--- a/crates/bench/src/bin/control.rs
+++ b/crates/bench/src/bin/control.rs
@@ -162,9 +162,9 @@
         host,
         role: Role::Balancer,
         data_centre: "sofia".parse().unwrap(),
-        have,
+        applied_version: have,
         subset: ServiceSubset::All,
-        hold: Duration::ZERO,
+        max_wait: Duration::ZERO,
         upstream: None,
         balancer: None,
     }
--- a/crates/bench/src/bin/datagrams.rs
+++ b/crates/bench/src/bin/datagrams.rs
@@ -347,12 +347,12 @@
     };
     Update {
         version: Version::default(),
-        snapshot: true,
+        is_snapshot: true,
         keys: Some(keys()),
         services: members.into_iter().map(state).collect(),
-        removed: Vec::new(),
+        removed_services: Vec::new(),
         balancers: BTreeMap::new(),
-        drains: BTreeSet::new(),
+        draining_hosts: BTreeSet::new(),
         loads: BTreeMap::new(),
     }
 }
--- a/crates/client/src/version/sync.rs
+++ b/crates/client/src/version/sync.rs
@@ -163,9 +163,9 @@
             host: self.cfg.host.clone(),
             role: self.cfg.role,
             data_centre: self.cfg.data_centre.clone(),
-            have: self.have,
+            applied_version: self.have,
             subset: self.cfg.subset.clone(),
-            hold: self.cfg.hold,
+            max_wait: self.cfg.hold,
             upstream: report.upstream,
             balancer: report.balancer,
         }
@@ -174,10 +174,13 @@
     async fn handle(&mut self, host: SocketAddr, began: Instant, reply: SyncReply) {
         // The owner goes away only when the process ends.
         match reply {
-            SyncReply::Current { loads, settled } => {
+            SyncReply::Current {
+                loads,
+                membership_published,
+            } => {
                 self.hint = Some(host);
                 let _ = self.tx.send(Step::ClassLoads(loads)).await;
-                if settled {
+                if membership_published {
                     let _ = self.tx.send(Step::Confirmed(began)).await;
                 }
             }
--- a/crates/client/tests/exchange.rs
+++ b/crates/client/tests/exchange.rs
@@ -84,12 +84,12 @@
 fn update(version: Version) -> Answer {
     let update = Update {
         version,
-        snapshot: false,
+        is_snapshot: false,
         keys: None,
         services: Vec::new(),
-        removed: Vec::new(),
+        removed_services: Vec::new(),
         balancers: BTreeMap::new(),
-        drains: BTreeSet::new(),
+        draining_hosts: BTreeSet::new(),
         loads: BTreeMap::new(),
     };
     let reply = SyncReply::Update(Box::new(update));
--- a/crates/control/src/process/group.rs
+++ b/crates/control/src/process/group.rs
@@ -247,7 +247,7 @@
                 .registry
                 .announce_balancer(now, &req.host, balancer);
         }
-        let until = now + req.hold.min(MAX_HOLD);
+        let until = now + req.max_wait.min(MAX_HOLD);
         leadership.waiters.push(Waiter { req, tx, until });
     }
 
@@ -508,7 +508,7 @@
 fn reply_label(reply: &SyncReply) -> &'static str {
     match reply {
         SyncReply::Current { .. } => "current",
-        SyncReply::Update(update) if update.snapshot => "snapshot",
+        SyncReply::Update(update) if update.is_snapshot => "snapshot",
         SyncReply::Update(_) => "delta",
         SyncReply::NotLeader { .. } | SyncReply::Unconfirmed => "declined",
     }
--- a/crates/control/src/process/nodes.rs
+++ b/crates/control/src/process/nodes.rs
@@ -37,7 +37,7 @@
     pub fn note(&mut self, now: Instant, req: &SyncRequest) {
         let node = Node {
             data_centre: req.data_centre.clone(),
-            version: req.have,
+            version: req.applied_version,
             heard_at: now,
             live_until: now + LEASE,
         };
--- a/crates/control/src/process/waiters.rs
+++ b/crates/control/src/process/waiters.rs
@@ -78,7 +78,7 @@
             // One that missed the last review need not wait for the next.
             let missed = |number: &u64| {
                 let waiter = self.waiting.get(number);
-                waiter.is_some_and(|waiter| self.missed_review(waiter.req.have))
+                waiter.is_some_and(|waiter| self.missed_review(waiter.req.applied_version))
             };
             return fresh.into_iter().filter(missed).collect();
         }
--- a/crates/control/src/version/mod.rs
+++ b/crates/control/src/version/mod.rs
@@ -34,7 +34,7 @@
         let Some(version) = self.version() else {
             return false;
         };
-        let Some(have) = req.have else {
+        let Some(have) = req.applied_version else {
             return true;
         };
         if version == have {
@@ -60,12 +60,12 @@
     pub fn reply(&self, req: &SyncRequest) -> SyncReply {
         let loads = self.loads(req);
         match self.version() {
-            Some(version) if req.have != Some(version) => {
+            Some(version) if req.applied_version != Some(version) => {
                 SyncReply::Update(Box::new(self.update(req, version, loads)))
             }
             version => SyncReply::Current {
                 loads,
-                settled: version.is_some(),
+                membership_published: version.is_some(),
             },
         }
     }
@@ -76,7 +76,7 @@
         version: Version,
         loads: BTreeMap<UpstreamId, ClassLoads>,
     ) -> Update {
-        let delta = match req.have {
+        let delta = match req.applied_version {
             Some(have) => self.state.delta_since(have.revision),
             None => Delta::SnapshotNeeded,
         };
@@ -87,16 +87,16 @@
         let ids = self.changed_services(req, &changes, snapshot);
         Update {
             version,
-            snapshot,
+            is_snapshot: snapshot,
             keys: self.state.keys().map(|keys| keys.set.clone()),
             services: ids.iter().filter_map(|id| self.service(*id)).collect(),
-            removed: changes.removed,
+            removed_services: changes.removed,
             balancers: if wants_balancers(req) {
                 self.registry.balancers().clone()
             } else {
                 BTreeMap::new()
             },
-            drains: self.drains(req),
+            draining_hosts: self.drains(req),
             loads,
         }
     }
@@ -109,7 +109,7 @@
         snapshot: bool,
     ) -> BTreeSet<ServiceId> {
         let mut ids: BTreeSet<_> = changes.services.iter().map(|s| s.id).collect();
-        let have = req.have.filter(|_| !snapshot);
+        let have = req.applied_version.filter(|_| !snapshot);
         let members = have.and_then(|have| self.registry.changed_since(have.membership()));
         match members {
             Some(members) => ids.extend(members),
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -49,9 +49,9 @@
         host: "app-1".parse().unwrap(),
         role: Role::Agent,
         data_centre: "dar-1".parse().unwrap(),
-        have,
+        applied_version: have,
         subset: ServiceSubset::Named([service.parse().unwrap()].into()),
-        hold: Duration::from_secs(1),
+        max_wait: Duration::from_secs(1),
         upstream: Some(announcement(service)),
         balancer: None,
     }
--- a/crates/control/tests/host.rs
+++ b/crates/control/tests/host.rs
@@ -179,7 +179,7 @@
 
     async fn sync(&self, have: Option<Version>, hold: Duration) -> SyncReply {
         let req = wire::SyncRequest {
-            hold,
+            max_wait: hold,
             ..balancer(have)
         };
         let deadline = Instant::now() + PATIENCE;
--- a/crates/control/tests/version.rs
+++ b/crates/control/tests/version.rs
@@ -140,13 +140,13 @@
         (balancer(Some(version(2, TERM, 1))), false, false, vec![]),
     ];
     for (req, at_once, snapshot, services) in cases {
-        let case = format!("{} {:?}", req.host, req.have);
+        let case = format!("{} {:?}", req.host, req.applied_version);
         assert_eq!(leader.view().has_news(&req), at_once, "{case}");
         let update = leader.update(&req);
-        assert_eq!(update.snapshot, snapshot, "{case}");
+        assert_eq!(update.is_snapshot, snapshot, "{case}");
         assert_eq!(ids(&update), services, "{case}");
         assert_eq!(update.version, version(3, TERM, 1), "{case}");
-        assert!(update.drains.is_empty(), "{case}");
+        assert!(update.draining_hosts.is_empty(), "{case}");
     }
     let current = agent("vouchers", Some(version(3, TERM, 1)));
     assert!(matches!(
@@ -296,7 +296,7 @@
     let req = common::request(base, Change::DeleteService { name });
     leader.state.apply(Revision(3), req.id.created_at(), &req);
     let update = leader.update(&balancer(Some(version(2, TERM, 1))));
-    assert_eq!(update.removed, [ServiceId(0)]);
+    assert_eq!(update.removed_services, [ServiceId(0)]);
     assert!(update.services.is_empty());
     assert_eq!(update.balancers, BTreeMap::new());
 }
--- a/crates/limpetd/tests/control.rs
+++ b/crates/limpetd/tests/control.rs
@@ -124,10 +124,10 @@
                 let Step::Update(update, done) = step else {
                     continue;
                 };
-                if update.snapshot {
+                if update.is_snapshot {
                     services.clear();
                 }
-                services.retain(|id, _| !update.removed.contains(id));
+                services.retain(|id, _| !update.removed_services.contains(id));
                 services.extend(update.services.into_iter().map(|s| (s.service.id, s)));
                 record.borrow_mut().push((update.version, services.clone()));
                 let _ = done.send(());
@@ -308,9 +308,9 @@
         host: host.parse().unwrap(),
         role: Role::Balancer,
         data_centre: "dc0".parse().unwrap(),
-        have,
+        applied_version: have,
         subset: ServiceSubset::All,
-        hold: Duration::from_millis(200),
+        max_wait: Duration::from_millis(200),
         upstream: None,
         balancer: None,
     }
@@ -600,7 +600,7 @@
     let SyncReply::Update(update) = reply else {
         panic!("no update: {reply:?}");
     };
-    assert!(!update.snapshot);
+    assert!(!update.is_snapshot);
     assert!(update.version.revision >= last);
     node.assert_versions_never_decrease();
 }
--- a/crates/wire/src/version/sync.rs
+++ b/crates/wire/src/version/sync.rs
@@ -44,12 +44,12 @@
     /// Data centre of the node.
     pub data_centre: DataCentre,
     /// Version that the node has in force; none after a start.
-    pub have: Option<Version>,
+    pub applied_version: Option<Version>,
     /// Services that the node wants to know.
     pub subset: ServiceSubset,
     /// Longest time to hold the request when there is nothing new.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
-    pub hold: Duration,
+    pub max_wait: Duration,
     /// The upstream of an agent.
     pub upstream: Option<UpstreamAnnouncement>,
     /// The sockets of a balancer.
@@ -65,7 +65,7 @@
         loads: BTreeMap<UpstreamId, ClassLoads>,
         /// Whether the leader has published a membership. Before that, other
         /// nodes may have another membership in force.
-        settled: bool,
+        membership_published: bool,
     },
     /// Something newer, as a majority has confirmed.
     Update(Box<Update>),
@@ -84,17 +84,17 @@
     /// The version that is in force once the update is applied.
     pub version: Version,
     /// Whether `services` is everything, so that others are to be forgotten.
-    pub snapshot: bool,
+    pub is_snapshot: bool,
     /// Keys of connection ids; none before the first key is configured.
     pub keys: Option<KeySet>,
     /// New and changed services.
     pub services: Vec<ServiceState>,
     /// Services that were deleted.
-    pub removed: Vec<ServiceId>,
+    pub removed_services: Vec<ServiceId>,
     /// Every balancer with a lease.
     pub balancers: BTreeMap<HostName, BalancerAnnouncement>,
     /// Hosts whose upstream an operator drains.
-    pub drains: BTreeSet<HostName>,
+    pub draining_hosts: BTreeSet<HostName>,
     /// Present loads of the upstreams in the subset.
     pub loads: BTreeMap<UpstreamId, ClassLoads>,
 }
