--- a/crates/types/src/error.rs
+++ b/crates/types/src/error.rs
@@ -5,7 +5,7 @@
 /// A [`std::result::Result`] with this crate's [`Error`].
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// Text could not be read as a value of one of this crate's types.
+/// Text that could not be parsed as one of this crate's types.
 #[derive(Debug, thiserror::Error)]
 #[error("{0}")]
 pub struct Error(Box<ErrorKind>);
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,10 +1,9 @@
 //! Value types that the processes of limpetplank share.
 //!
 //! The modules follow the life span of what they describe: [`process`] for
-//! names and identities that last as long as a process, [`version`] for what
-//! changes with a version of the configuration or of the membership,
-//! [`connection`] for a flow and [`request`] for a single request or operator
-//! change.
+//! names and ids that are fixed for the life of a process, [`version`] for the
+//! configuration and the membership, [`connection`] for a flow and [`request`]
+//! for a single request or operator change.
 //!
 //! Every id, size and rate is a newtype with [`Display`](std::fmt::Display)
 //! and [`FromStr`](std::str::FromStr):
--- a/crates/types/src/process/member.rs
+++ b/crates/types/src/process/member.rs
@@ -1,9 +1,9 @@
-//! Identity of a member of the control group.
+//! Id of a member of the control group.
 
 hexadecimal! {
-    /// Identity of a member of the control group.
+    /// Id of a member of the control group.
     ///
-    /// Drawn at random once on an empty disk and kept there, so a host that
-    /// lost its disk comes back as another member.
+    /// Generated at random when the data folder is created and stored there,
+    /// so a host that has lost its disk returns as another member.
     MemberId
 }
--- a/crates/types/src/process/mod.rs
+++ b/crates/types/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! Names and identities that last as long as a process.
+//! Names and ids that are fixed for the life of a process.
 
 mod member;
 mod name;
--- a/crates/types/src/process/role.rs
+++ b/crates/types/src/process/role.rs
@@ -12,7 +12,7 @@
 pub enum Role {
     /// Forwards datagrams between the fabric and the agents.
     Balancer,
-    /// Ends connections beside an upstream.
+    /// Terminates the connections of callers next to an upstream.
     Agent,
 }
 
--- a/crates/types/src/request/change.rs
+++ b/crates/types/src/request/change.rs
@@ -10,21 +10,21 @@
     Revision, RoutingSet, RoutingSetNumber, ServiceName, Target, UnixMillis,
 };
 
-/// Identity of a change, a version 7 UUID.
+/// Id of a change, a version 7 UUID.
 ///
-/// The time stamp inside bounds how long the answer has to be kept.
+/// The timestamp in the id bounds how long its answer has to be kept.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ChangeId(Uuid);
 
 impl ChangeId {
-    /// Draws a new id from the system clock and random bits.
+    /// Generates an id from the system clock and random bits.
     #[must_use]
     pub fn generate() -> Self {
         ChangeId(Uuid::now_v7())
     }
 
-    /// When the id was drawn, by the clock of whoever drew it.
+    /// Timestamp of the id, by the clock of the host that generated it.
     #[must_use]
     pub fn created_at(&self) -> UnixMillis {
         UnixMillis(u64::try_from(self.0.as_u128() >> 80).unwrap_or_default())
@@ -50,14 +50,14 @@
     }
 }
 
-/// What an operator asks to change.
+/// Change of the configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Change {
     /// Creates a service.
     CreateService {
         /// Name of the new service.
         name: ServiceName,
-        /// Address that callers will send to.
+        /// Address that callers send to.
         address: SocketAddr,
     },
     /// Deletes a service and its targets.
@@ -81,29 +81,29 @@
         /// Name of the class of work.
         class: ClassName,
     },
-    /// Marks the upstream of a host as leaving, or takes the mark back.
+    /// Starts or cancels the drain of the upstream of a host.
     SetDrain {
         /// Host of the upstream's agent.
         host: HostName,
-        /// Whether the upstream is to leave.
+        /// Whether the upstream is to be drained.
         drain: bool,
     },
-    /// Adds a key that nodes accept but do not yet use.
+    /// Adds a key that nodes accept but do not yet use for new connection ids.
     AddKey {
         /// The new key.
         key: CidKey,
     },
     /// Makes the other key the current one.
     ActivateKey,
-    /// Replaces the routing set, unless the present one has this number or a
-    /// higher one: then it is accepted and changes nothing.
+    /// Replaces the routing set. If the present set has the same or a higher
+    /// number, the change is accepted and has no effect.
     ReplaceRoutes(Box<RoutingSet>),
-    /// Notes a change of the control group that was made or refused. Only the
-    /// leader proposes it; it changes nothing but the audit trail.
+    /// Records in the audit trail that a change of the control group was made
+    /// or refused. Only the leader proposes it; it has no other effect.
     NoteGroup {
-        /// What an operator asked.
+        /// Change that the operator requested.
         change: GroupRequest,
-        /// Why it was not made; none if it was.
+        /// Reason for a refusal; `None` if the change was made.
         refused: Option<GroupRefusal>,
     },
 }
@@ -111,13 +111,14 @@
 /// A change as an operator sends it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeRequest {
-    /// Identity of the change; the same for every resend.
+    /// Id of the change; the same for every resend.
     pub id: ChangeId,
-    /// Who asks.
+    /// Operator who sends the change.
     pub author: OperatorName,
-    /// Revision of the changed object that the operator saw; 0 if none.
+    /// Revision of the object on which the operator bases the change; 0 if the
+    /// object did not exist.
     pub base: Revision,
-    /// What is asked.
+    /// The requested change.
     pub change: Change,
 }
 
@@ -126,13 +127,13 @@
 pub enum Answer {
     /// The change is part of the configuration from this revision on.
     Accepted(Revision),
-    /// Another change of the same object came first.
+    /// The object was changed after the revision that the request is based on.
     Conflict(Conflict),
     /// The change was not made and never will be.
     Refused(Refusal),
 }
 
-/// The change that won against a conflicting one.
+/// The earlier change that a request conflicts with.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Conflict {
     /// Present revision of the object.
@@ -156,29 +157,30 @@
     /// Another class has the same path prefix.
     #[error("class {0} already has this path prefix")]
     PrefixInUse(ClassName),
-    /// A target of no slots or no connections.
+    /// The target has no slots or no connections.
     #[error("a target must allow at least one slot and one connection")]
     EmptyTarget,
     /// The id was used before with other contents.
     #[error("change id {0} was used before with other contents")]
     IdReused(ChangeId),
-    /// The id is older than answers are kept. Nothing was run for this
-    /// request; if the id was sent before, the audit trail has its answer.
+    /// The id is older than the time for which answers are kept. This request
+    /// was not applied; if the id was sent before, the audit trail has the
+    /// answer.
     #[error("change id {0} is older than the time for which answers are kept")]
     IdExpired(ChangeId),
     /// The control group was not changed.
     #[error("the control group was not changed: {0}")]
     Group(GroupRefusal),
-    /// A key rotation is out of step.
+    /// The present state of the key rotation does not allow the change.
     #[error("the key cannot be added or activated in the present state of the rotation")]
     KeyRotation,
-    /// A rule of the routing set sends flows nowhere.
+    /// A rule of the routing set has no service with a weight above 0.
     #[error("routing set {0} has a rule for {1} without a part above 0")]
     EmptyRule(RoutingSetNumber, SocketAddr),
     /// The id is dated too far ahead of the control group's clock.
     #[error("change id {0} is dated in the future; check the clock of the host that drew it")]
     IdInFuture(ChangeId),
-    /// The change names a revision that its object is not known to have had.
+    /// The base revision is not a known revision of the object.
     #[error("revision {0} is not known for what the change concerns")]
     UnknownBase(Revision),
 }
--- a/crates/types/src/request/group.rs
+++ b/crates/types/src/request/group.rs
@@ -6,7 +6,7 @@
 
 use crate::MemberId;
 
-/// Asks for a change of the control group by one member.
+/// Requested change of the control group, by one member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GroupRequest {
     /// Adds a member that receives the log and does not vote.
@@ -30,19 +30,19 @@
 /// Why a change of the group was not made.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 pub enum GroupRefusal {
-    /// The disk of the leader refuses writes.
+    /// Writes to the disk of the leader fail.
     #[error("the disk of the leader is full, read-only or failing")]
     DiskFailed,
-    /// Another change of the group has not ended, or the leader is new.
+    /// Another change of the group is in progress, or the leader is new.
     #[error("another group change is in progress, or the leader is new; try again")]
     Busy,
-    /// The learner lacks committed entries or was not heard lately.
+    /// The learner lacks committed entries or has not replied recently.
     #[error("the learner has not caught up")]
     NotCaughtUp,
     /// The member is already in the group.
     #[error("already a member of the group")]
     AlreadyMember,
-    /// The member is not in the group in the part that the change needs.
+    /// The group has no such member in the role that the change requires.
     #[error("no such member in the group")]
     NoSuchMember,
     /// The group must keep at least one voter.
--- a/crates/types/src/request/mod.rs
+++ b/crates/types/src/request/mod.rs
@@ -1,4 +1,4 @@
-//! What lives for one request or one operator change.
+//! Types whose values last for one request or one operator change.
 
 mod change;
 mod group;
--- a/crates/types/src/version/key.rs
+++ b/crates/types/src/version/key.rs
@@ -10,7 +10,7 @@
 }
 
 impl KeyGeneration {
-    /// Number of generations that a connection id can tell apart.
+    /// Number of generations that the two bits in a connection id distinguish.
     pub const COUNT: u8 = 4;
 
     /// The generation after this one.
@@ -40,9 +40,10 @@
 /// The keys that are valid at one time.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeySet {
-    /// Encrypts new connection ids.
+    /// Key that encrypts new connection ids.
     pub current: CidKey,
-    /// Still or already accepted; its generation differs from `current`'s.
+    /// Second key that is accepted: not yet activated, or replaced by
+    /// `current`. Its generation differs from that of `current`.
     pub other: Option<CidKey>,
 }
 
--- a/crates/types/src/version/member.rs
+++ b/crates/types/src/version/membership.rs
@@ -1,4 +1,4 @@
-//! Upstreams and balancers as they announce themselves.
+//! Announcements of upstreams and balancers, and the published membership.
 
 use std::{collections::BTreeMap, fmt, net::SocketAddr, time::Duration};
 
@@ -10,15 +10,15 @@
     Version,
 };
 
-/// State of an upstream as its agent sees it.
+/// State of an upstream as observed by its agent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum UpstreamState {
-    /// Takes new work.
+    /// Accepts new work.
     Ready,
-    /// Finishes what it holds and takes no new work.
+    /// Completes its work in progress and accepts no new work.
     Leaving,
-    /// Refuses connections; takes no new work.
+    /// Refuses connections; accepts no new work.
     Down,
 }
 
@@ -44,7 +44,7 @@
 }
 
 impl ClassLoad {
-    /// Slots that no request holds.
+    /// Slots that are not in use by a request.
     #[must_use]
     pub fn free(&self) -> Slots {
         Slots(self.slots.0.saturating_sub(self.in_flight.0))
@@ -54,30 +54,32 @@
 /// Load of each class of work at one upstream.
 pub type ClassLoads = BTreeMap<ClassName, ClassLoad>;
 
-/// What an agent tells the control group of its upstream. Soft state.
+/// Announcement of an upstream, sent by its agent to the control group. Soft
+/// state.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamAnnouncement {
-    /// Identity of this run of the agent.
+    /// Id of this incarnation of the agent.
     pub id: UpstreamId,
     /// Service whose requests the upstream serves.
     pub service: ServiceName,
     /// Data centre of the upstream.
     pub data_centre: DataCentre,
-    /// Where the agent takes datagrams from balancers.
+    /// Address at which the agent receives datagrams from balancers.
     pub data_address: SocketAddr,
-    /// Where the agent takes requests that a peer hands off.
+    /// Address at which the agent accepts requests handed off by a peer.
     pub peer_address: SocketAddr,
     /// State of the upstream.
     pub state: UpstreamState,
     /// Connections that the agent holds.
     pub connections: Connections,
-    /// Load of each class of work. The classes served when `classes` was
-    /// given, else every class of the service.
+    /// Load of each class of work that the upstream serves: the configured
+    /// `classes`, or every class of the service if none were configured.
     pub loads: ClassLoads,
-    /// Time since a control leader first took an announcement of this run as
-    /// ready; zero until then, and again after the upstream was down. A new
-    /// leader does not ramp an upstream again that was ready before its term.
+    /// Time since a control leader first accepted an announcement of this
+    /// incarnation as ready; zero until then, and again after the upstream was
+    /// down. With it, a new leader does not repeat the warm-up ramp of an
+    /// upstream that was ready before its term.
     #[serde(default)]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub ready_for: Duration,
@@ -90,32 +92,32 @@
     pub host: HostName,
     /// Data centre of the upstream.
     pub data_centre: DataCentre,
-    /// Where the agent takes datagrams from balancers.
+    /// Address at which the agent receives datagrams from balancers.
     pub data_address: SocketAddr,
-    /// Where the agent takes requests that a peer hands off.
+    /// Address at which the agent accepts requests handed off by a peer.
     pub peer_address: SocketAddr,
     /// State of the upstream.
     pub state: UpstreamState,
-    /// Present weight in the placement of new flows.
+    /// Current weight in the placement of new flows.
     pub share: Share,
-    /// Weight in the placement before the present one.
+    /// Weight in the placement of new flows before the last change.
     pub previous_share: Share,
 }
 
-/// A service together with its upstreams, as nodes are told of it.
+/// A service and its upstreams, as published to nodes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceState {
-    /// The configured part.
+    /// Configuration of the service.
     pub service: Service,
     /// Every upstream with a lease, those with share 0 included.
     pub members: BTreeMap<UpstreamId, UpstreamMember>,
-    /// Version in which this state was last changed.
+    /// Version of the last change of this state.
     pub version: Version,
 }
 
-/// A balancer as it announces itself. Soft state.
+/// Announcement of a balancer. Soft state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct BalancerAnnouncement {
-    /// Where the balancer takes answers and probes from agents.
+    /// Address at which the balancer receives responses and probes from agents.
     pub return_address: SocketAddr,
 }
--- a/crates/types/src/version/mod.rs
+++ b/crates/types/src/version/mod.rs
@@ -1,13 +1,13 @@
-//! What changes with a version of the configuration or of the membership.
+//! Types of the configuration and the membership, which change with their version.
 
 mod key;
-mod member;
+mod membership;
 mod number;
 mod routes;
 mod service;
 
 pub use key::{CidKey, KeyGeneration, KeySet};
-pub use member::{
+pub use membership::{
     BalancerAnnouncement, ClassLoad, ClassLoads, ServiceState, UpstreamAnnouncement,
     UpstreamMember, UpstreamState,
 };
--- a/crates/types/src/version/number.rs
+++ b/crates/types/src/version/number.rs
@@ -14,15 +14,15 @@
     Term(u64)
 }
 
-/// Version of everything that a node is told.
+/// Version of the configuration and the membership that a node receives.
 ///
 /// The configuration is ordered by `revision`, the membership by
-/// `(epoch, seq)`. A node applies an update only when neither order goes back.
+/// `(epoch, seq)`. A node applies an update only if neither decreases.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
 pub struct Version {
-    /// Last entry of the configuration log that is included.
+    /// Last entry of the configuration log that the version includes.
     pub revision: Revision,
     /// Term of the leader that published the membership.
     pub epoch: Term,
@@ -31,7 +31,8 @@
 }
 
 impl Version {
-    /// Whether `self` goes back behind `other` in either order.
+    /// Whether the configuration or the membership of `self` is older than that
+    /// of `other`.
     ///
     /// ```
     /// use types::{Revision, Term, Version};
@@ -46,7 +47,7 @@
         self.revision < other.revision || self.membership() < other.membership()
     }
 
-    /// The part that orders memberships.
+    /// The pair by which memberships are ordered.
     #[must_use]
     pub fn membership(&self) -> (Term, u64) {
         (self.epoch, self.seq)
--- a/crates/types/src/version/routes.rs
+++ b/crates/types/src/version/routes.rs
@@ -1,4 +1,4 @@
-//! Routing sets: which services take the flows to an address.
+//! Routing sets, which assign the flows to an address to services.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -9,8 +9,8 @@
 use crate::ServiceName;
 
 decimal! {
-    /// Number of a routing set, chosen by whoever wrote it. The highest one is
-    /// in force.
+    /// Number of a routing set, chosen by its author. The set with the highest
+    /// number is in force.
     RoutingSetNumber(u64)
 }
 
@@ -20,17 +20,17 @@
     RouteWeight(u32)
 }
 
-/// The services that take the new flows of one address.
+/// The services that receive the new flows to one address.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct RoutingRule {
-    /// Never empty in a set that was accepted; at least one weight is above 0.
+    /// Weight of each service. In an accepted set, at least one is above 0.
     pub weights: BTreeMap<ServiceName, RouteWeight>,
 }
 
 impl RoutingRule {
-    /// The service of a new flow whose key has this hash. The same hash gives
-    /// the same service as long as the rule stays.
+    /// Selects the service of a new flow by the hash of its key. The same hash
+    /// selects the same service until the rule changes.
     ///
     /// ```
     /// use types::{RouteWeight, RoutingRule};
@@ -41,32 +41,36 @@
     /// ```
     #[must_use]
     pub fn select_service(&self, hash: u64) -> Option<&ServiceName> {
-        let total: u64 = self.weights.values().map(|part| u64::from(part.0)).sum();
-        let mut point = hash.checked_rem(total)?;
-        self.weights.iter().find_map(|(name, part)| {
-            let part = u64::from(part.0);
-            if point < part {
+        let total_weight: u64 = self
+            .weights
+            .values()
+            .map(|weight| u64::from(weight.0))
+            .sum();
+        let mut offset = hash.checked_rem(total_weight)?;
+        self.weights.iter().find_map(|(name, weight)| {
+            let weight = u64::from(weight.0);
+            if offset < weight {
                 return Some(name);
             }
-            point -= part;
+            offset -= weight;
             None
         })
     }
 }
 
-/// A whole set of rules, given at once at a number of the writer's choosing.
+/// The routing rules of all addresses, replaced as a whole.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RoutingSet {
-    /// Orders the sets.
+    /// Number by which sets are ordered.
     pub number: RoutingSetNumber,
     /// The rule of each address.
     pub rules: BTreeMap<SocketAddr, RoutingRule>,
-    /// A flow that is idle for longer may be forgotten.
+    /// Time without a packet after which the state of a flow may be dropped.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub idle_timeout: Duration,
-    /// The text from which the set was read, given back to whoever reads the
-    /// set. It does not go to nodes.
+    /// Source text of the set, returned to those who query it. It is not sent
+    /// to nodes.
     pub document: Bytes,
 }
 
@@ -81,17 +85,17 @@
     }
 }
 
-/// What a node that has the set `base` lacks of the set `number`.
+/// Difference between the routing sets `base` and `number`.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RoutingDelta {
-    /// The set that the node has; `None` if this holds the whole set.
+    /// The set that the delta applies to; `None` if the delta is a whole set.
     pub base: Option<RoutingSetNumber>,
-    /// The set that the node has afterwards.
+    /// The set that results from the delta.
     pub number: RoutingSetNumber,
     /// Rules that are new or changed.
     pub changed: BTreeMap<SocketAddr, RoutingRule>,
-    /// Addresses that have no rule any more.
+    /// Addresses whose rule was removed.
     pub removed: Vec<SocketAddr>,
     /// See [`RoutingSet::idle_timeout`].
     #[serde_as(as = "DurationMilliSeconds<u64>")]
@@ -99,10 +103,11 @@
 }
 
 impl RoutingSet {
-    /// What a node lacks that has `base`, or nothing if that is `None`.
+    /// Difference between `base` and this set, or the whole set if `base` is
+    /// `None`.
     #[must_use]
     pub fn delta_from(&self, base: Option<&RoutingSet>) -> RoutingDelta {
-        let held = |address: &SocketAddr| base.and_then(|base| base.rules.get(address));
+        let base_rule = |address: &SocketAddr| base.and_then(|base| base.rules.get(address));
         let removed = base.into_iter().flat_map(|base| base.rules.keys());
         RoutingDelta {
             base: base.map(|base| base.number),
@@ -110,7 +115,7 @@
             changed: self
                 .rules
                 .iter()
-                .filter(|(address, rule)| held(address) != Some(rule))
+                .filter(|(address, rule)| base_rule(address) != Some(rule))
                 .map(|(address, rule)| (*address, rule.clone()))
                 .collect(),
             removed: removed
@@ -121,11 +126,11 @@
         }
     }
 
-    /// Moves on by `delta`. Returns whether it fitted: one that starts from
-    /// another set or goes back changes nothing.
+    /// Applies `delta`, and returns whether it was applied. A delta with another
+    /// base, or whose number is not higher, is ignored.
     pub fn apply(&mut self, delta: RoutingDelta) -> bool {
-        let fits = delta.base.is_none_or(|base| base == self.number);
-        if !fits || delta.number <= self.number {
+        let base_matches = delta.base.is_none_or(|base| base == self.number);
+        if !base_matches || delta.number <= self.number {
             return false;
         }
         if delta.base.is_none() {
--- a/crates/types/src/version/service.rs
+++ b/crates/types/src/version/service.rs
@@ -11,7 +11,7 @@
 };
 
 decimal! {
-    /// Number of a service, never used again after the service is deleted.
+    /// Number of a service, never reused after the service is deleted.
     ServiceId(u32)
 }
 
@@ -22,7 +22,7 @@
 
 impl Share {
     /// Share of an upstream that is fully warmed up and carries one
-    /// connection target; a ramp and load reports lower it.
+    /// connection target; the warm-up ramp and load reports lower it.
     pub const FULL: Share = Share(1024);
 }
 
@@ -59,14 +59,14 @@
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
-    /// Concurrent requests that each upstream should carry.
+    /// Target number of concurrent requests at each upstream.
     pub carry: Slots,
-    /// Connections that each upstream should hold.
+    /// Target number of connections at each upstream.
     pub connections: Connections,
-    /// Time within which a leaving upstream gets no new work.
+    /// Time after which an upstream that starts to leave gets no new work.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub leave_within: Duration,
-    /// Requests whose path starts with this belong to the class.
+    /// Path prefix of the requests that belong to the class.
     pub path_prefix: PathPrefix,
 }
 
--- a/crates/types/tests/text.rs
+++ b/crates/types/tests/text.rs
@@ -1,4 +1,4 @@
-//! Values keep their meaning when they are printed and read again.
+//! Text forms of the value types: parsing, printing and comparison.
 
 use arbtest::arbtest;
 use types::{
@@ -7,12 +7,12 @@
 };
 
 /// Number of random cases of each property; the case number is the seed.
-const CASES: u64 = 256;
+const RANDOM_CASES: u64 = 256;
 
 /// Bytes of random input of each case; the low half of an arbtest seed.
 const INPUT_BYTES: u64 = 64;
 
-/// Guards against a name that other tools or headers could misread.
+/// Guards against a name that is ambiguous in a header or for another tool.
 #[test]
 fn names_reject_everything_but_labels() {
     let cases = [
@@ -34,7 +34,7 @@
     }
 }
 
-/// Guards against an invalid name that arrives in a message and skips the check.
+/// Guards against deserialization that skips the validation of names.
 #[test]
 fn decoded_names_are_checked() {
     let valid = rmp_serde::to_vec("claims").unwrap();
@@ -43,10 +43,10 @@
     assert!(rmp_serde::from_slice::<ClassName>(&invalid).is_err());
 }
 
-/// Guards against ids and sizes whose text form loses information.
+/// Guards against ids and sizes that do not survive printing and parsing.
 #[test]
-fn printed_values_read_back() {
-    for case in 0..CASES {
+fn printed_values_parse_back() {
+    for case in 0..RANDOM_CASES {
         arbtest(|u| {
             let n: u64 = u.arbitrary()?;
             assert_eq!(
@@ -69,9 +69,9 @@
     }
 }
 
-/// Guards against change ids whose age cannot be read.
+/// Guards against change ids without a timestamp to compute their age from.
 #[test]
-fn change_ids_are_version_7_and_dated() {
+fn change_ids_are_version_7_with_a_timestamp() {
     let id = ChangeId::generate();
     assert_eq!(id.to_string().parse::<ChangeId>().unwrap(), id);
     assert!(id.created_at().0 > 1_600_000_000_000);
@@ -82,9 +82,10 @@
     );
 }
 
-/// Guards against an update that takes back one of the two orders.
+/// Guards against an update in which the configuration or the membership is
+/// older than the one in force.
 #[test]
-fn a_version_is_behind_if_either_order_goes_back() {
+fn a_version_is_behind_if_either_part_is_older() {
     let version = |revision, epoch, seq| Version {
         revision: Revision(revision),
         epoch: types::Term(epoch),
@@ -103,7 +104,8 @@
     }
 }
 
-/// Guards against keywords and paths that are accepted in another form.
+/// Guards against a parser that accepts other spellings of keywords or invalid
+/// paths.
 #[test]
 fn keywords_and_paths_are_checked() {
     assert_eq!("agent".parse::<Role>().unwrap(), Role::Agent);
--- a/crates/wire/src/connection/cid.rs
+++ b/crates/wire/src/connection/cid.rs
@@ -17,11 +17,11 @@
 /// Length of a connection id in bytes.
 pub const CID_LEN: usize = 17;
 
-/// Position of the key generation in the first octet.
+/// Position of the lowest bit of the key generation in the first octet.
 const GENERATION_SHIFT: u32 = 6;
 
-/// Short form of a service id that a connection id repeats, so that an id of
-/// one service is not accepted for another.
+/// Short form of a service id. A connection id contains it so that an id of one
+/// service is not accepted for another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ServiceTag(pub u16);
 
@@ -38,14 +38,14 @@
     }
 }
 
-/// What a connection id says.
+/// Decrypted content of a connection id.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ConnectionId {
     /// The upstream that holds the connection.
     pub upstream: UpstreamId,
     /// The service of the upstream.
     pub tag: ServiceTag,
-    /// Random number that tells the ids of one upstream apart.
+    /// Random number that distinguishes the ids of one upstream.
     pub nonce: u32,
 }
 
@@ -69,7 +69,7 @@
 }
 
 impl CidCodec {
-    /// Prepares the ciphers of a key set.
+    /// Creates the ciphers of a key set.
     #[must_use]
     pub fn new(keys: &KeySet) -> Self {
         CidCodec {
@@ -99,7 +99,7 @@
     ///
     /// # Errors
     ///
-    /// No valid key made the id.
+    /// Fails if the id was not made with a valid key.
     pub fn decode(&self, cid: &[u8]) -> Result<ConnectionId> {
         let (&first, body) = cid.split_first().ok_or(ErrorKind::UnknownId)?;
         let body: [u8; CID_LEN - 1] = body.try_into().map_err(|_| ErrorKind::UnknownId)?;
@@ -107,7 +107,7 @@
         let cipher = self.cipher(generation).ok_or(ErrorKind::UnknownId)?;
         let mut block = Block::from(body);
         cipher.decrypt_block(&mut block);
-        parse(&block.into()).ok_or_else(|| ErrorKind::UnknownId.into())
+        parse_block(&block.into()).ok_or_else(|| ErrorKind::UnknownId.into())
     }
 
     fn cipher(&self, generation: KeyGeneration) -> Option<&Aes128> {
@@ -123,8 +123,8 @@
     (generation, Aes128::new(&key.secret.into()))
 }
 
-/// Reads a decrypted block; `None` if its check field is not zero.
-fn parse(block: &[u8; CID_LEN - 1]) -> Option<ConnectionId> {
+/// Parses a decrypted block; `None` if its check field is not zero.
+fn parse_block(block: &[u8; CID_LEN - 1]) -> Option<ConnectionId> {
     let (upstream, rest) = block.split_first_chunk::<8>()?;
     let (tag, rest) = rest.split_first_chunk::<2>()?;
     let (check, rest) = rest.split_first_chunk::<2>()?;
--- a/crates/wire/src/connection/mod.rs
+++ b/crates/wire/src/connection/mod.rs
@@ -1,4 +1,4 @@
-//! Encodings of datagrams.
+//! Encodings of datagrams and connection ids.
 
 mod cid;
 mod prefix;
--- a/crates/wire/src/connection/prefix.rs
+++ b/crates/wire/src/connection/prefix.rs
@@ -6,21 +6,21 @@
 
 use crate::{Result, error::ErrorKind};
 
-/// Longest prefix in bytes: the fixed part, a pair of IPv6
-/// addresses and the field that marks a datagram as passed on.
-pub const MAX_PREFIX_LEN: usize = 16 + 36 + EMPTY_FIELD_LEN;
+/// Longest prefix in bytes: the fixed part, a pair of IPv6 addresses, and the
+/// field that marks a datagram as passed on.
+pub const MAX_PREFIX_LEN: usize = 16 + 36 + EMPTY_TLV_LEN;
 
-/// Custom type-length-value field of a datagram that one agent passed on to
-/// another (the PROXY protocol leaves 0xE0 to 0xEF to applications).
-const PASSED_ON: u8 = 0xe0;
+/// Type of the type-length-value field that marks a datagram as passed on by
+/// another agent. The PROXY protocol reserves 0xE0 to 0xEF for applications.
+const PASSED_ON_TLV_TYPE: u8 = 0xe0;
 
-/// Length of a type-length-value field without a value.
-const EMPTY_FIELD_LEN: usize = 3;
+/// Length in bytes of a type-length-value field without a value.
+const EMPTY_TLV_LEN: usize = 3;
 
-/// Length of a prefix without addresses.
-const LOCAL_LEN: usize = 16;
+/// Length in bytes of a prefix without addresses.
+const LOCAL_PREFIX_LEN: usize = 16;
 
-/// Caller and service of a datagram, in either direction.
+/// Addresses of the caller and the service of a datagram, in either direction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Endpoints {
     /// Address of the caller.
@@ -33,17 +33,17 @@
     /// Appends the prefix to `buf`.
     pub fn encode(&self, buf: &mut Vec<u8>) {
         let addresses = Addresses::from((self.caller, self.service));
-        append(Command::Proxy, Protocol::Datagram, addresses, None, buf);
+        append_prefix(Command::Proxy, Protocol::Datagram, addresses, None, buf);
     }
 
     /// Appends the prefix of a datagram that one agent passes on to another.
     pub fn encode_passed_on(&self, buf: &mut Vec<u8>) {
         let addresses = Addresses::from((self.caller, self.service));
-        append(
+        append_prefix(
             Command::Proxy,
             Protocol::Datagram,
             addresses,
-            Some(PASSED_ON),
+            Some(PASSED_ON_TLV_TYPE),
             buf,
         );
     }
@@ -54,9 +54,9 @@
 pub enum Prefix {
     /// A health probe between two processes of the system.
     Local,
-    /// A datagram of a caller, or an answer to it.
+    /// A datagram from a caller, or a response to one.
     Proxy(Endpoints),
-    /// A datagram of a caller that another agent has passed on.
+    /// A datagram from a caller, passed on by another agent.
     PassedOn(Endpoints),
 }
 
@@ -65,7 +65,7 @@
     ///
     /// # Errors
     ///
-    /// The prefix is malformed or has no pair of UDP addresses.
+    /// Fails if the prefix is malformed or has no pair of UDP addresses.
     pub fn decode(datagram: &[u8]) -> Result<(Prefix, &[u8])> {
         let header = Header::try_from(datagram).map_err(ErrorKind::Prefix)?;
         let payload = &datagram[header.len()..];
@@ -77,11 +77,11 @@
         Ok((prefix, payload))
     }
 
-    /// The datagram that probes a process.
+    /// Encodes a health probe.
     #[must_use]
     pub fn probe() -> Vec<u8> {
-        let mut buf = Vec::with_capacity(LOCAL_LEN);
-        append(
+        let mut buf = Vec::with_capacity(LOCAL_PREFIX_LEN);
+        append_prefix(
             Command::Local,
             Protocol::Unspecified,
             Addresses::Unspecified,
@@ -92,26 +92,26 @@
     }
 }
 
-fn append(
+fn append_prefix(
     command: Command,
     protocol: Protocol,
     addresses: Addresses,
-    field: Option<u8>,
+    tlv_type: Option<u8>,
     buf: &mut Vec<u8>,
 ) {
     let builder = Builder::with_addresses(Version::Two | command, protocol, addresses);
-    let header = match field {
-        Some(kind) => builder.write_tlv(kind, &[]).and_then(Builder::build),
+    let header = match tlv_type {
+        Some(tlv_type) => builder.write_tlv(tlv_type, &[]).and_then(Builder::build),
         None => builder.build(),
     };
-    // A header with at most one empty field always fits its length field.
+    // A header with at most one empty TLV field always fits the length field.
     buf.extend_from_slice(&header.unwrap_or_default());
 }
 
 fn is_passed_on(header: &Header<'_>) -> bool {
     header
         .tlvs()
-        .any(|field| field.is_ok_and(|field| field.kind == PASSED_ON))
+        .any(|field| field.is_ok_and(|field| field.kind == PASSED_ON_TLV_TYPE))
 }
 
 fn endpoints(header: &Header<'_>) -> Result<Endpoints> {
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -8,16 +8,16 @@
 #[error("{0}")]
 pub struct Error(Box<ErrorKind>);
 
-/// Why input was rejected.
+/// Reason for which input was rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Category {
     /// The input ends early or is not in the expected format.
     Malformed,
-    /// The input was made by another version of the protocol.
+    /// The input has another protocol version.
     Version,
-    /// The input is larger than allowed.
+    /// The input exceeds the size limit.
     Size,
-    /// A connection id that no valid key made.
+    /// The connection id was not made with a valid key.
     UnknownId,
 }
 
@@ -59,13 +59,13 @@
 }
 
 impl Error {
-    /// A prefix of a kind that does not belong on the socket it came from.
+    /// Error for a prefix of a kind that is not allowed on the receiving socket.
     #[must_use]
     pub fn unexpected_prefix() -> Self {
         ErrorKind::UnexpectedPrefix.into()
     }
 
-    /// Why the input was rejected.
+    /// Reason for which the input was rejected.
     #[must_use]
     pub fn category(&self) -> Category {
         match *self.0 {
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,13 +1,13 @@
-//! Encodings of everything that the processes of limpetplank send each other.
+//! Encodings of the messages and datagrams that limpetplank processes exchange.
 //!
 //! Datagrams between balancers and agents carry a PROXY protocol v2 prefix
-//! ([`Prefix`]); QUIC packets are read as far as a balancer may read them
-//! ([`QuicHeader`]); connection ids carry an encrypted upstream id
-//! ([`CidCodec`]). Control messages are `MessagePack` behind a protocol version
-//! ([`encode`], [`decode`]).
+//! ([`Prefix`]). QUIC packets are decoded only as far as a balancer may read them
+//! ([`QuicHeader`]). Connection ids carry an encrypted upstream id
+//! ([`CidCodec`]). Control messages are a protocol version followed by
+//! `MessagePack` ([`encode`], [`decode`]).
 //!
-//! Nothing here decides anything, and every decoder takes arbitrary input
-//! without a panic:
+//! This crate contains no decisions, only encodings. Every decoder accepts
+//! arbitrary input without a panic:
 //!
 //! ```
 //! use wire::{Endpoints, Prefix};
--- a/crates/wire/src/process/mod.rs
+++ b/crates/wire/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! The envelope of control messages.
+//! Framing of control messages: a protocol version, then `MessagePack`.
 
 use serde::{Serialize, de::DeserializeOwned};
 
@@ -7,7 +7,7 @@
 /// Version of the control protocol; the first byte of every message.
 const PROTOCOL_VERSION: u8 = 1;
 
-/// Largest control message in bytes.
+/// Longest control message in bytes, with the protocol version.
 pub const MAX_MESSAGE_LEN: usize = 64 << 20;
 
 /// Media type of control messages in HTTP.
@@ -17,7 +17,7 @@
 ///
 /// # Errors
 ///
-/// The message cannot be represented in `MessagePack`.
+/// Fails if the message cannot be represented in `MessagePack`.
 pub fn encode<T: Serialize>(message: &T) -> Result<Vec<u8>> {
     let mut buf = vec![PROTOCOL_VERSION];
     rmp_serde::encode::write(&mut buf, message).map_err(ErrorKind::Encode)?;
@@ -28,7 +28,7 @@
 ///
 /// # Errors
 ///
-/// The input is too large, of another protocol version, or not a `T`.
+/// Fails if the input is too large, of another protocol version, or not a `T`.
 pub fn decode<T: DeserializeOwned>(input: &[u8]) -> Result<T> {
     if input.len() > MAX_MESSAGE_LEN {
         return Err(ErrorKind::Size(input.len(), MAX_MESSAGE_LEN).into());
--- a/crates/wire/src/request/keys.rs
+++ b/crates/wire/src/request/keys.rs
@@ -1,32 +1,33 @@
-//! Messages between the agents of one service about idempotency keys.
+//! Messages about idempotency keys, between the agents of one service.
 
 use dedup::{AttemptId, Fingerprint, IdempotencyKey, KeyedOutcome};
 use serde::{Deserialize, Serialize};
 use types::{ServiceId, UpstreamId};
 
-/// Asks a key's home whether a request may run; the reply is a
-/// [`dedup::BeginReply`].
+/// Asks the home of an idempotency key whether a request may run; the reply is
+/// a [`dedup::BeginReply`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BeginRequest {
     /// Service of the request.
     pub service: ServiceId,
-    /// Upstream that is meant; another incarnation is not the home.
+    /// Upstream that the request is for; another incarnation is not the home.
     pub home: UpstreamId,
     /// The idempotency key.
     pub key: IdempotencyKey,
-    /// What the request asks.
+    /// Fingerprint of the content of the request.
     pub fingerprint: Fingerprint,
-    /// Who asks.
+    /// The attempt that asks.
     pub from: AttemptId,
 }
 
-/// Tells a key's home how a request has ended.
+/// Reports the outcome of a request to the home of its idempotency key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndRequest {
-    /// Upstream that is meant; another incarnation has no record of it.
+    /// Upstream that the report is for; another incarnation has no record of the
+    /// request.
     pub home: UpstreamId,
     /// The idempotency key.
     pub key: IdempotencyKey,
-    /// How the request has ended.
+    /// Outcome of the request.
     pub end: KeyedOutcome,
 }
--- a/crates/wire/src/request/mod.rs
+++ b/crates/wire/src/request/mod.rs
@@ -1,4 +1,4 @@
-//! Messages that live for one request or one operator change.
+//! Messages that concern one request or one operator change.
 
 mod keys;
 mod operator;
--- a/crates/wire/src/request/operator.rs
+++ b/crates/wire/src/request/operator.rs
@@ -1,4 +1,4 @@
-//! Messages of operators and of the formation of the control group.
+//! Messages of operators, and for the formation of the control group.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -19,38 +19,38 @@
 /// Reply to a [`types::ChangeRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ChangeReply {
-    /// The final answer, on disk on a majority.
+    /// The final answer, on disk at a majority.
     Final(Answer),
-    /// The host is not the leader; nothing was done.
+    /// The host is not the leader; the change was not made.
     NotLeader {
-        /// The leader's address, if known.
+        /// Address of the leader, if known.
         leader: Option<SocketAddr>,
     },
-    /// The host cannot take changes now; nothing was done.
+    /// The host cannot accept changes now; the change was not made.
     Unavailable,
     /// The change may or may not take effect.
     Unknown,
 }
 
-/// Asks a control host whether it can help to form the first group.
+/// Asks a control host whether it can be a member of the first control group.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello;
 
 /// Reply to [`Hello`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HelloReply {
-    /// Member that answers.
+    /// Id of the member that replies.
     pub id: MemberId,
-    /// Whether it has never been part of a group.
+    /// Whether the member has never been part of a group.
     pub blank: bool,
 }
 
 /// A change of the control group as an operator sends it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupChangeRequest {
-    /// Who asks.
+    /// Operator who sends the change.
     pub author: OperatorName,
-    /// What is asked.
+    /// The requested change.
     pub change: GroupRequest,
 }
 
@@ -61,34 +61,34 @@
     Done,
     /// The change was not made.
     Refused(GroupRefusal),
-    /// The host is not the leader; nothing was done.
+    /// The host is not the leader; the change was not made.
     NotLeader {
-        /// The leader's address, if known.
+        /// Address of the leader, if known.
         leader: Option<SocketAddr>,
     },
     /// The change may or may not take effect.
     Unknown,
 }
 
-/// Asks for state that a majority confirms.
+/// Requests state of the system. A majority confirms the reply.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Query {
     /// Every service.
     Services,
     /// One service.
     Service(ServiceName),
-    /// The drain mark of a host.
+    /// Whether the upstream of a host is drained.
     Drain(HostName),
     /// The keys, without their secrets.
     Keys,
     /// Records of the audit trail, the newest first.
     Audit {
-        /// At most this many.
+        /// Maximum number of records in the reply.
         limit: usize,
     },
-    /// Status of everything.
+    /// Status of the whole system.
     Status,
-    /// Nodes that have not yet a revision in force.
+    /// Nodes that do not yet have a revision in force.
     Lagging(Revision),
     /// The routing set.
     Routes,
@@ -99,36 +99,36 @@
 pub enum QueryReply {
     /// The host is not the leader.
     NotLeader {
-        /// The leader's address, if known.
+        /// Address of the leader, if known.
         leader: Option<SocketAddr>,
     },
-    /// The leader is new and has not heard every live node yet; to
-    /// [`Query::Lagging`].
+    /// Reply to [`Query::Lagging`] of a new leader that has not yet heard from
+    /// every live node.
     Unsettled,
-    /// To [`Query::Services`].
+    /// Reply to [`Query::Services`].
     Services(Vec<Service>),
-    /// To [`Query::Service`].
+    /// Reply to [`Query::Service`].
     Service(Option<Service>),
-    /// To [`Query::Drain`].
+    /// Reply to [`Query::Drain`].
     Drain(Option<DrainMark>),
-    /// To [`Query::Keys`].
+    /// Reply to [`Query::Keys`].
     Keys(Option<KeysReport>),
-    /// To [`Query::Audit`].
+    /// Reply to [`Query::Audit`].
     Audit(Vec<AuditRecord>),
-    /// To [`Query::Status`].
+    /// Reply to [`Query::Status`].
     Status(Box<StatusReport>),
-    /// To [`Query::Lagging`].
+    /// Reply to [`Query::Lagging`].
     Lagging(Vec<NodeReport>),
-    /// To [`Query::Routes`].
+    /// Reply to [`Query::Routes`].
     Routes(Option<Arc<RoutingSet>>),
 }
 
 /// The keys of connection ids, without their secrets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeysReport {
-    /// Generation of the key that is in use.
+    /// Generation of the key that encrypts new connection ids.
     pub current: KeyGeneration,
-    /// Generation of a key that waits for its activation.
+    /// Generation of the key that was added and is not yet activated.
     pub pending: Option<KeyGeneration>,
     /// Revision of the last change of the keys.
     pub revision: Revision,
@@ -152,13 +152,13 @@
 pub struct GroupReport {
     /// The leader.
     pub leader: MemberId,
-    /// Its term.
+    /// Term of the leader.
     pub term: Term,
     /// The voters.
     pub voters: BTreeMap<MemberId, SocketAddr>,
-    /// Members that do not vote yet.
+    /// Members that do not vote.
     pub learners: BTreeMap<MemberId, SocketAddr>,
-    /// Members that hold every committed entry and were heard lately.
+    /// Members that have every committed entry and replied recently.
     pub caught_up: BTreeSet<MemberId>,
 }
 
@@ -172,9 +172,9 @@
     pub host: HostName,
     /// Data centre of the node.
     pub data_centre: DataCentre,
-    /// Version in force; none while the node has none.
+    /// Version in force; `None` before the first one.
     pub version: Option<Version>,
-    /// Time since the node was last heard.
+    /// Time since the last message from the node.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub silent_for: Duration,
 }
@@ -195,7 +195,7 @@
 /// Load of a class of work at one service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClassReport {
-    /// Requests that the ready upstreams should carry by their targets.
+    /// Sum of the targets of the ready upstreams, in concurrent requests.
     pub carry: Slots,
     /// Slots that the ready upstreams offer.
     pub slots: Slots,
--- a/crates/wire/src/request/reserve.rs
+++ b/crates/wire/src/request/reserve.rs
@@ -1,4 +1,4 @@
-//! Messages between the agents of one service.
+//! Messages by which the agents of one service reserve slots at each other.
 
 use std::time::Duration;
 
@@ -6,37 +6,37 @@
 use serde_with::{DurationMilliSeconds, serde_as};
 use types::{ClassLoads, ClassName, ReservationId, ServiceId, UpstreamId};
 
-/// Asks a peer to hold a slot for a request.
+/// Asks a peer to reserve a slot for a request.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReserveRequest {
-    /// Identity of the reservation.
+    /// Id of the reservation.
     pub id: ReservationId,
     /// Service of the request.
     pub service: ServiceId,
-    /// Upstream that is meant; another incarnation refuses.
+    /// Upstream that the request is for; another incarnation refuses.
     pub upstream: UpstreamId,
-    /// Upstream whose agent asks.
+    /// Upstream whose agent sends the request.
     pub from: UpstreamId,
     /// Class of work of the request.
     pub class: ClassName,
-    /// Time that the reservation is held if it is not claimed.
+    /// Time after which an unclaimed reservation expires.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub hold: Duration,
 }
 
-/// Offers a slot to a peer that was refused one before.
+/// Offers a slot to a peer that was refused one earlier.
 ///
-/// The peer passes a request against the reservation or releases it.
+/// The peer forwards a request with the reservation or releases it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OfferRequest {
-    /// Identity of the reservation.
+    /// Id of the reservation.
     pub id: ReservationId,
     /// Service of the slot.
     pub service: ServiceId,
-    /// Upstream that is meant; another incarnation ignores the offer.
+    /// Upstream that the offer is for; another incarnation ignores it.
     pub upstream: UpstreamId,
-    /// Upstream that holds the slot.
+    /// Upstream that has reserved the slot.
     pub from: UpstreamId,
     /// Class of work of the slot.
     pub class: ClassName,
@@ -45,18 +45,18 @@
 /// Reply to a [`ReserveRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReserveReply {
-    /// The slot is held.
+    /// The slot is reserved.
     Granted,
-    /// No slot is free, or the peer takes no new work.
+    /// No slot is free, or the peer accepts no new work.
     Refused {
-        /// Present loads of the peer.
+        /// Current loads of the peer.
         loads: ClassLoads,
     },
     /// The request is for another service or another incarnation.
     Misdirected,
 }
 
-/// Header fields of a request that is sent to a peer against a reservation.
+/// Header fields of a request that is forwarded to a peer with a reservation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClaimHeader;
 
@@ -65,16 +65,16 @@
     pub const RESERVATION: &'static str = "limpet-reservation";
     /// Carries the [`ServiceId`].
     pub const SERVICE: &'static str = "limpet-service";
-    /// Carries the [`UpstreamId`] that is meant.
+    /// Carries the [`UpstreamId`] that the request is for.
     pub const UPSTREAM: &'static str = "limpet-upstream";
     /// Remaining time of the caller's deadline in milliseconds.
     pub const TIMEOUT_MS: &'static str = "limpet-timeout-ms";
-    /// Outcome of a request that the system answers itself.
+    /// Outcome of a request that is answered by limpetplank, not by an upstream.
     pub const OUTCOME: &'static str = "limpet-outcome";
-    /// Value of [`Self::OUTCOME`]: no upstream has seen the request.
+    /// Value of [`Self::OUTCOME`]: no upstream has received the request.
     pub const NOT_RUN: &'static str = "not-run";
     /// Value of [`Self::OUTCOME`]: an upstream has run a request with the same
-    /// idempotency key; its answer is not kept.
+    /// idempotency key, but its answer is not stored.
     pub const RAN: &'static str = "ran";
     /// Value of [`Self::OUTCOME`]: an upstream may have run the request.
     pub const UNKNOWN: &'static str = "unknown";
--- a/crates/wire/src/version/mod.rs
+++ b/crates/wire/src/version/mod.rs
@@ -1,4 +1,4 @@
-//! Messages that bring a version of the configuration to a node.
+//! Messages that distribute versions of the configuration to nodes.
 
 mod sync;
 
--- a/crates/wire/src/version/sync.rs
+++ b/crates/wire/src/version/sync.rs
@@ -1,4 +1,4 @@
-//! The sync exchange between a node and the control group.
+//! Messages by which a node synchronizes with the control group.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -13,7 +13,7 @@
     ServiceState, UpstreamAnnouncement, UpstreamId, Version,
 };
 
-/// Services that a node wants to know.
+/// Services to which a node subscribes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ServiceSubset {
     /// Every service.
@@ -33,7 +33,7 @@
     }
 }
 
-/// Asks for everything newer than what a node has, and renews its lease.
+/// Requests everything newer than the version of a node, and renews its lease.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SyncRequest {
@@ -43,49 +43,49 @@
     pub role: Role,
     /// Data centre of the node.
     pub data_centre: DataCentre,
-    /// Version that the node has in force; none after a start.
+    /// Version in force at the node; `None` after a start.
     pub applied_version: Option<Version>,
-    /// Services that the node wants to know.
+    /// Services to which the node subscribes.
     pub subset: ServiceSubset,
-    /// Longest time to hold the request when there is nothing new.
+    /// Longest time that the reply may be delayed while there is nothing new.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub max_wait: Duration,
-    /// The upstream of an agent.
+    /// Announcement of an agent's upstream.
     pub upstream: Option<UpstreamAnnouncement>,
-    /// The sockets of a balancer.
+    /// Announcement of a balancer.
     pub balancer: Option<BalancerAnnouncement>,
 }
 
 /// Reply to a [`SyncRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SyncReply {
-    /// The node is up to date, as a majority has confirmed.
+    /// The node is up to date, confirmed by a majority.
     Current {
-        /// Present loads of the upstreams in the subset.
+        /// Current loads of the upstreams in the subset.
         loads: BTreeMap<UpstreamId, ClassLoads>,
         /// Whether the leader has published a membership. Before that, other
         /// nodes may have another membership in force.
         membership_published: bool,
     },
-    /// Something newer, as a majority has confirmed.
+    /// A newer version, confirmed by a majority.
     Update(Box<Update>),
     /// The host is not the leader.
     NotLeader {
-        /// The leader's address, if known.
+        /// Address of the leader, if known.
         leader: Option<SocketAddr>,
     },
     /// The host is the leader but could not confirm it with a majority.
     Unconfirmed,
 }
 
-/// One step of a node to a newer version.
+/// Update of a node to a newer version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
     /// The version that is in force once the update is applied.
     pub version: Version,
-    /// Whether `services` is everything, so that others are to be forgotten.
+    /// Whether `services` is complete, so that the node drops all others.
     pub is_snapshot: bool,
-    /// Keys of connection ids; none before the first key is configured.
+    /// Keys of connection ids; `None` before the first key is configured.
     pub keys: Option<KeySet>,
     /// New and changed services.
     pub services: Vec<ServiceState>,
@@ -93,8 +93,8 @@
     pub removed_services: Vec<ServiceId>,
     /// Every balancer with a lease.
     pub balancers: BTreeMap<HostName, BalancerAnnouncement>,
-    /// Hosts whose upstream an operator drains.
+    /// Hosts whose upstream is drained by an operator.
     pub draining_hosts: BTreeSet<HostName>,
-    /// Present loads of the upstreams in the subset.
+    /// Current loads of the upstreams in the subset.
     pub loads: BTreeMap<UpstreamId, ClassLoads>,
 }
--- a/crates/wire/tests/decoders.rs
+++ b/crates/wire/tests/decoders.rs
@@ -1,4 +1,4 @@
-//! Decoders return errors for every input that is not theirs.
+//! Decoders reject malformed input, altered ids and other protocol versions.
 
 use arbtest::arbtest;
 use types::{CidKey, KeyGeneration, KeySet, UpstreamId};
@@ -8,7 +8,7 @@
 };
 
 /// Number of random cases of each property; the case number is the seed.
-const CASES: u64 = 512;
+const RANDOM_CASES: u64 = 512;
 
 /// Bytes of random input of each case; the low half of an arbtest seed.
 const INPUT_BYTES: u64 = 256;
@@ -27,10 +27,10 @@
     })
 }
 
-/// Guards against a panic on input from outside.
+/// Guards against a panic on untrusted input.
 #[test]
 fn random_input_never_panics() {
-    for case in 0..CASES {
+    for case in 0..RANDOM_CASES {
         arbtest(|u| {
             let input: Vec<u8> = u.arbitrary()?;
             let _ = Prefix::decode(&input);
@@ -43,9 +43,10 @@
     }
 }
 
-/// Guards against a valid prefix that is accepted after it was cut or mixed up.
+/// Guards against a truncated prefix that is accepted, and against a prefix
+/// that is decoded as another kind.
 #[test]
-fn cut_prefixes_are_rejected() {
+fn truncated_prefixes_are_rejected() {
     let cases = [
         ("192.0.2.7:50000", "198.51.100.1:443"),
         ("[2001:db8::7]:50000", "[2001:db8::1]:443"),
@@ -80,9 +81,9 @@
     );
 }
 
-/// Guards against ids that outsiders can read, alter or make up.
+/// Guards against connection ids that can be altered or forged without the key.
 #[test]
-fn altered_ids_are_not_accepted() {
+fn altered_connection_ids_are_rejected() {
     let codec = codec();
     let id = ConnectionId {
         upstream: UpstreamId(0x0123_4567_89ab_cdef),
@@ -95,7 +96,7 @@
         let mut altered = cid;
         altered[bit / 8] ^= 1 << (bit % 8);
         match codec.decode(&altered) {
-            // The six low bits of the first octet are random and carry nothing.
+            // The six low bits of the first octet are random and not decoded.
             Ok(same) => assert!((0..6).contains(&bit) && same == id, "bit {bit}"),
             Err(e) => assert_eq!(e.category(), Category::UnknownId, "bit {bit}"),
         }
@@ -105,9 +106,9 @@
     }
 }
 
-/// Guards against a rotation of keys that breaks established connections.
+/// Guards against a key rotation that breaks established connections.
 #[test]
-fn ids_of_the_former_key_stay_valid_for_one_rotation() {
+fn ids_of_the_previous_key_stay_valid_for_one_rotation() {
     let id = ConnectionId {
         upstream: UpstreamId(5),
         tag: ServiceTag(1),
@@ -146,9 +147,9 @@
     }
 }
 
-/// Guards against packets that are read as of another kind.
+/// Guards against packets that are classified as another kind.
 #[test]
-fn quic_headers_are_told_apart() {
+fn quic_header_kinds_are_distinguished() {
     let long = |first: u8, version: u32, dcid: &[u8]| {
         let mut packet = vec![first];
         packet.extend_from_slice(&version.to_be_bytes());
@@ -184,7 +185,7 @@
     ));
 }
 
-/// Guards against a message of another protocol version that is read as ours.
+/// Guards against decoding a message of another protocol version.
 #[test]
 fn messages_of_other_versions_are_rejected() {
     let mut message = wire::encode(&"text").unwrap();
