--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -10,19 +10,19 @@
 #[error(transparent)]
 pub struct Error(Box<ErrorKind>);
 
-/// What went wrong.
+/// Kind of an error.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Category {
     /// Another process uses the folder.
     Locked,
     /// The folder has another layout.
     Layout,
-    /// What was synced earlier is damaged or missing.
+    /// Data that was synced earlier is damaged or missing.
     Damaged,
-    /// The operating system refused an operation.
+    /// An operation of the operating system failed.
     Io,
-    /// The write does not follow what is on disk, which happens after an
-    /// earlier write failed.
+    /// The entries of a write do not follow the last entry on disk. This happens
+    /// after an earlier write failed.
     Gap,
 }
 
@@ -36,7 +36,7 @@
         expected: &'static str,
     },
     #[error(
-        "{file} is damaged at offset {offset}: {what}. What follows was synced, so it is not \
+        "{file} is damaged at offset {offset}: {reason}. What follows was synced, so it is not \
          dropped. Stop this host; then either restore the data folder from a copy of this \
          same host that is no older than its last run, or empty the folder, start the host as a \
          new member, and remove the old one with `limpetctl control replace`"
@@ -44,7 +44,7 @@
     Damaged {
         file: String,
         offset: u64,
-        what: &'static str,
+        reason: &'static str,
     },
     #[error("{operation} {file}: {source}")]
     Io {
@@ -57,11 +57,11 @@
 }
 
 impl Error {
-    pub(crate) fn damaged(file: &str, offset: usize, what: &'static str) -> Self {
+    pub(crate) fn damaged(file: &str, offset: usize, reason: &'static str) -> Self {
         ErrorKind::Damaged {
             file: file.to_owned(),
             offset: offset as u64,
-            what,
+            reason,
         }
         .into()
     }
@@ -78,7 +78,7 @@
         }
     }
 
-    /// What went wrong.
+    /// Kind of the error.
     #[must_use]
     pub fn category(&self) -> Category {
         match *self.0 {
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,32 +1,33 @@
-//! The data folder of a control host.
+//! Durable storage of a control host: the log, the vote and the snapshot.
 //!
-//! [`open`] locks the folder, recovers what is in it and returns a [`Store`].
-//! [`spawn`] moves the store to a thread of its own, the only one that writes:
-//! it takes [`DiskWrite`](consensus::DiskWrite)s by message, puts all that are queued
-//! into one record with one sync, and reports each by message.
+//! [`open`] recovers the state in a locked data folder ([`DataDir`]) and returns
+//! a [`Store`]. [`spawn`] moves the store to its own thread, which is the only
+//! one that writes: it receives [`DiskWrite`](consensus::DiskWrite)s by message,
+//! writes all that are queued as one record with one sync, and reports the result
+//! of each by message.
 //!
 //! | File | Content |
 //! |---|---|
-//! | `lock` | locked while a process uses the folder |
+//! | `lock` | empty; locked while a process uses the folder |
 //! | `layout` | the version of this layout |
-//! | `member` | the id, made once on an empty folder |
+//! | `member` | the id of the member, generated when the folder is empty |
 //! | `log-N` | segment `N` of the log: records in the order of the writes |
 //! | `snapshot-I` | the state after the entry at index `I`, one record |
 //!
 //! A record is the length of its body (u32, little endian), a CRC-32 and the
 //! body in `MessagePack`. The CRC also covers the place of the record (segment
-//! and offset), so a copy of a record elsewhere is not taken for one. Each
-//! record is synced before the next one is written, so a crash can only tear
-//! the last one.
+//! and offset), so a copy of a record at another place is not valid. Each record
+//! is synced before the next one is written, so a crash can truncate or corrupt
+//! only the last one.
 //!
 //! ```
 //! use consensus::{DiskWrite, WriteId};
 //! use types::Term;
 //!
 //! let dir = tempfile::tempdir().unwrap();
-//! let (mut store, found) = store::open(store::DataDir::new(dir.path())?)?;
-//! assert_eq!(found.restored.term, Term(0));
-//! let term_and_vote = Some((Term(1), Some(found.member)));
+//! let (mut store, recovered) = store::open(store::DataDir::new(dir.path())?)?;
+//! assert_eq!(recovered.restored.term, Term(0));
+//! let term_and_vote = Some((Term(1), Some(recovered.member)));
 //! let write = DiskWrite {
 //!     id: WriteId(1),
 //!     term_and_vote,
@@ -37,8 +38,8 @@
 //! store.apply(&[write])?;
 //! drop(store);
 //!
-//! let (_, found) = store::open(store::DataDir::new(dir.path())?)?;
-//! assert_eq!(found.restored.term, Term(1));
+//! let (_, recovered) = store::open(store::DataDir::new(dir.path())?)?;
+//! assert_eq!(recovered.restored.term, Term(1));
 //! # Ok::<(), store::Error>(())
 //! ```
 
--- a/crates/store/src/process/dir.rs
+++ b/crates/store/src/process/dir.rs
@@ -1,45 +1,45 @@
-//! The operations on the data folder.
+//! File operations on the data folder.
 
 use crate::error::{Error, ErrorKind, Result};
 use std::fs::{self, File, OpenOptions, TryLockError};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// A folder of files that are only appended to, renamed and removed. Tests put
-/// a failing one in place of [`DataDir`].
+/// A folder of files, with the operations that the store needs. Tests replace
+/// [`DataDir`] with an implementation that fails.
 pub trait Disk: Send + 'static {
     /// An open file.
     type File: Send;
 
-    /// The names of all files.
+    /// Lists the names of all files.
     ///
     /// # Errors
     ///
     /// Fails if the folder cannot be read.
     fn list(&self) -> io::Result<Vec<String>>;
 
-    /// The content of a file.
+    /// Reads the content of a file.
     ///
     /// # Errors
     ///
     /// Fails if the file cannot be read.
     fn read(&self, name: &str) -> io::Result<Vec<u8>>;
 
-    /// Opens a file to append to it, and makes it if there is none.
+    /// Opens a file for appending, and creates it if it does not exist.
     ///
     /// # Errors
     ///
-    /// Fails if the file cannot be opened or made.
+    /// Fails if the file cannot be opened or created.
     fn open(&self, name: &str) -> io::Result<Self::File>;
 
-    /// Appends all the bytes. A failure may leave a part of them.
+    /// Appends `bytes`. After a failure, a part of them may be in the file.
     ///
     /// # Errors
     ///
     /// Fails if the disk is full or read-only.
     fn append(&self, file: &mut Self::File, bytes: &[u8]) -> io::Result<()>;
 
-    /// Cuts a file to a length.
+    /// Truncates a file to `len` bytes.
     ///
     /// # Errors
     ///
@@ -50,10 +50,10 @@
     ///
     /// # Errors
     ///
-    /// Fails if the disk does; the content may then be on disk or not.
+    /// Fails on a disk error; the content may or may not be on disk then.
     fn sync(&self, file: &mut Self::File) -> io::Result<()>;
 
-    /// Gives a file a new name, in place of any file of that name.
+    /// Renames a file and replaces any file with the new name.
     ///
     /// # Errors
     ///
@@ -67,11 +67,11 @@
     /// Fails if the folder cannot be written.
     fn remove(&self, name: &str) -> io::Result<()>;
 
-    /// Makes the names of the files durable.
+    /// Makes created, renamed and removed file names durable.
     ///
     /// # Errors
     ///
-    /// Fails if the disk does.
+    /// Fails on a disk error.
     fn sync_dir(&self) -> io::Result<()>;
 }
 
@@ -83,25 +83,25 @@
 }
 
 impl DataDir {
-    /// Makes the folder if there is none, and locks it.
+    /// Creates the folder if it does not exist, and locks it.
     ///
     /// # Errors
     ///
-    /// Fails if another process has locked the folder, or if it cannot be made.
+    /// Fails if another process has locked the folder, or if it cannot be created.
     pub fn new(path: &Path) -> Result<Self> {
-        const LOCK: &str = "lock";
+        const LOCK_FILE: &str = "lock";
         fs::create_dir_all(path).map_err(Error::io("make", &path.to_string_lossy()))?;
         let mut options = OpenOptions::new();
         let lock = options.write(true).create(true).truncate(false);
-        let lock = lock.open(path.join(LOCK));
-        let lock = lock.map_err(Error::io("open", LOCK))?;
+        let lock = lock.open(path.join(LOCK_FILE));
+        let lock = lock.map_err(Error::io("open", LOCK_FILE))?;
         match lock.try_lock() {
             Ok(()) => Ok(DataDir {
                 path: path.to_owned(),
                 _lock: lock,
             }),
             Err(TryLockError::WouldBlock) => Err(ErrorKind::Locked.into()),
-            Err(TryLockError::Error(e)) => Err(Error::io("lock", LOCK)(e)),
+            Err(TryLockError::Error(e)) => Err(Error::io("lock", LOCK_FILE)(e)),
         }
     }
 }
--- a/crates/store/src/process/mod.rs
+++ b/crates/store/src/process/mod.rs
@@ -1,4 +1,5 @@
-//! What lasts as long as the process: the folder, the open store, its thread.
+//! The data folder, the open store and its thread, which last as long as the
+//! process.
 
 mod dir;
 mod open;
--- a/crates/store/src/process/open.rs
+++ b/crates/store/src/process/open.rs
@@ -1,54 +1,57 @@
 //! Opening a data folder.
 
-use super::store::{LAYOUT, LAYOUT_FILE, MEMBER_FILE, TEMPORARY, put};
+use super::store::{
+    LAYOUT_FILE, LAYOUT_VERSION, MEMBER_FILE, TEMPORARY_SUFFIX, write_file_atomically,
+};
 use super::{Disk, Store};
 use crate::error::{Error, ErrorKind, Result};
-use crate::version::{Item, Reader, Replay};
+use crate::version::{LogRecordItem, RecordReader, Replay};
 use consensus::{RestoredState, Snapshot};
 use types::{MemberId, Revision};
 
-/// What was in the data folder.
+/// State that was recovered from a data folder.
 #[derive(Debug)]
 pub struct RecoveredMember {
-    /// The id of this member.
+    /// Id of this member.
     pub member: MemberId,
-    /// What [`consensus::Consensus`] starts from.
+    /// Initial state of [`consensus::Consensus`].
     pub restored: RestoredState,
 }
 
-/// Opens a data folder and recovers what is in it. An empty one gets a member
-/// id. A record torn by a crash at the end of the last segment is cut off.
+/// Opens a data folder and recovers its state. An empty folder is initialized
+/// with a new member id. A partial record that a crash has left at the end of the
+/// last segment is removed.
 ///
 /// # Errors
 ///
-/// Fails if the folder cannot be read or written, has another layout, or if
-/// what was synced earlier is damaged or missing.
+/// Fails if the folder cannot be read or written, has another layout, or if data
+/// that was synced earlier is damaged or missing.
 pub fn open<D: Disk>(disk: D) -> Result<(Store<D>, RecoveredMember)> {
     let mut names = disk.list().map_err(Error::io("list", "the data folder"))?;
     names.sort();
     check_layout(&disk, &names)?;
-    for name in names.iter().filter(|name| name.ends_with(TEMPORARY)) {
+    for name in names.iter().filter(|name| name.ends_with(TEMPORARY_SUFFIX)) {
         disk.remove(name).map_err(Error::io("remove", name))?;
     }
-    let member = member(&disk, &names)?;
-    let snapshots = numbered(&names, "snapshot-");
+    let member = load_or_create_member(&disk, &names)?;
+    let snapshots = numbered_files(&names, "snapshot-");
     let snapshot = match snapshots.last() {
         Some((index, name)) => Some(read_snapshot(&disk, *index, name)?),
         None => None,
     };
-    let segments = numbered(&names, "log-");
+    let segments = numbered_files(&names, "log-");
     let mut replay = Replay::default();
-    let mut kept = Vec::new();
+    let mut replayed_segments = Vec::new();
     for (i, (number, name)) in segments.iter().enumerate() {
         if *number != segments[0].0 + i as u64 {
             return Err(Error::damaged(name, 0, "the segment before it is missing"));
         }
         let last = i + 1 == segments.len();
         let end = replay_segment(&disk, *number, name, last, &mut replay)?;
-        kept.push((*number, end));
+        replayed_segments.push((*number, end));
     }
     let term = (replay.term, replay.vote);
-    let Some(restored) = replay.finish(snapshot) else {
+    let Some(restored) = replay.into_restored_state(snapshot) else {
         let name = segments.first().map_or("log-", |(_, name)| name.as_str());
         return Err(Error::damaged(
             name,
@@ -60,33 +63,37 @@
     let base = base.map(|snapshot| snapshot.position.index);
     let last = restored.entries.last().map(|entry| entry.index);
     let last = last.or(base).unwrap_or_default();
-    let old = snapshots.len().saturating_sub(1);
-    let stale = snapshots.into_iter().take(old).map(|(_, name)| name);
-    let store = Store::new(disk, term, last, base, kept, stale.collect())?;
+    let stale_count = snapshots.len().saturating_sub(1);
+    let stale = snapshots
+        .into_iter()
+        .take(stale_count)
+        .map(|(_, name)| name);
+    let store = Store::new(disk, term, last, base, replayed_segments, stale.collect())?;
     Ok((store, RecoveredMember { member, restored }))
 }
 
 fn check_layout<D: Disk>(disk: &D, names: &[String]) -> Result<()> {
     if !names.iter().any(|name| name == LAYOUT_FILE) {
-        return put(disk, LAYOUT_FILE, LAYOUT.as_bytes()).map(drop);
+        return write_file_atomically(disk, LAYOUT_FILE, LAYOUT_VERSION.as_bytes()).map(drop);
     }
     let found = disk.read(LAYOUT_FILE);
     let found = found.map_err(Error::io("read", LAYOUT_FILE))?;
-    if found != LAYOUT.as_bytes() {
+    if found != LAYOUT_VERSION.as_bytes() {
         return Err(ErrorKind::Layout {
             found: String::from_utf8_lossy(&found).into_owned(),
-            expected: LAYOUT,
+            expected: LAYOUT_VERSION,
         }
         .into());
     }
     Ok(())
 }
 
-/// The id on disk, or a new one if nothing else is on disk.
-fn member<D: Disk>(disk: &D, names: &[String]) -> Result<MemberId> {
-    let holds_log = names.iter().any(|name| name.starts_with("log-"));
+/// Reads the member id, or creates one if the folder has neither log nor
+/// snapshot.
+fn load_or_create_member<D: Disk>(disk: &D, names: &[String]) -> Result<MemberId> {
+    let has_log = names.iter().any(|name| name.starts_with("log-"));
     if names.iter().any(|name| name == MEMBER_FILE) {
-        if !holds_log {
+        if !has_log {
             return Err(Error::damaged(
                 MEMBER_FILE,
                 0,
@@ -100,23 +107,23 @@
             .and_then(|text| text.parse().ok());
         return id.ok_or_else(|| Error::damaged(MEMBER_FILE, 0, "this is not a member id"));
     }
-    if names.iter().any(|name| name.starts_with("snapshot-")) || holds_log {
+    if names.iter().any(|name| name.starts_with("snapshot-")) || has_log {
         return Err(Error::damaged(
             MEMBER_FILE,
             0,
             "the id of the member is missing",
         ));
     }
-    // The first segment is made before the id: an id without a log then means
-    // that the log was lost, and this host must not vote under the id again.
+    // The first segment is created before the id. An id without a log then means
+    // that the log was lost, and the host must not vote under this id again.
     let id = MemberId(rand::random());
-    Store::<D>::make_segment(disk, 1, &Vec::new())?;
-    put(disk, MEMBER_FILE, id.to_string().as_bytes())?;
+    Store::<D>::create_segment(disk, 1, &Vec::new())?;
+    write_file_atomically(disk, MEMBER_FILE, id.to_string().as_bytes())?;
     Ok(id)
 }
 
-/// The files `prefix` + number, in the order of the numbers.
-fn numbered(names: &[String], prefix: &str) -> Vec<(u64, String)> {
+/// Files named `prefix` and a hexadecimal number, sorted by the number.
+fn numbered_files(names: &[String], prefix: &str) -> Vec<(u64, String)> {
     let number = |name: &str| u64::from_str_radix(name.strip_prefix(prefix)?, 16).ok();
     let mut found: Vec<(u64, String)> = names
         .iter()
@@ -128,15 +135,16 @@
 
 fn read_snapshot<D: Disk>(disk: &D, index: u64, name: &str) -> Result<Snapshot> {
     let data = disk.read(name).map_err(Error::io("read", name))?;
-    let mut reader = Reader::new(name, index, &data);
+    let mut reader = RecordReader::new(name, index, &data);
     let snapshot = reader.next()?;
-    match reader.torn() {
-        Some(torn) => Err(Error::damaged(name, torn.offset, torn.what)),
+    match reader.invalid_tail() {
+        Some(tail) => Err(Error::damaged(name, tail.offset, tail.reason)),
         None => snapshot.ok_or_else(|| Error::damaged(name, 0, "the file is empty")),
     }
 }
 
-/// Takes the records of a segment; returns its length and last entry.
+/// Replays the records of a segment. Returns the length of its valid records and
+/// the highest index of its entries.
 fn replay_segment<D: Disk>(
     disk: &D,
     number: u64,
@@ -145,26 +153,30 @@
     replay: &mut Replay,
 ) -> Result<(usize, Revision)> {
     let data = disk.read(name).map_err(Error::io("read", name))?;
-    let mut reader = Reader::new(name, number, &data);
+    let mut reader = RecordReader::new(name, number, &data);
     let mut highest = Revision(0);
-    while let Some(items) = reader.next::<Vec<Item>>()? {
+    while let Some(items) = reader.next::<Vec<LogRecordItem>>()? {
         for item in items {
-            if let Item::Entry(entry) = &item {
+            if let LogRecordItem::Entry(entry) = &item {
                 highest = highest.max(entry.index);
             }
-            replay.take(item);
+            replay.apply(item);
         }
     }
-    let Some(torn) = reader.torn() else {
+    let Some(tail) = reader.invalid_tail() else {
         return Ok((data.len(), highest));
     };
-    if torn.followed || !last {
-        return Err(Error::damaged(name, torn.offset, torn.what));
+    if tail.precedes_valid_record || !last {
+        return Err(Error::damaged(name, tail.offset, tail.reason));
     }
-    log::warn!(file = name, offset = torn.offset; "cut off a record torn by a crash");
+    log::warn!(
+        file = name, offset = tail.offset;
+        "removing a partial record that a crash left at the end of the segment"
+    );
     let mut file = disk.open(name).map_err(Error::io("open", name))?;
-    let cut = disk.truncate(&mut file, torn.offset as u64);
-    cut.and_then(|()| disk.sync(&mut file))
+    let truncated = disk.truncate(&mut file, tail.offset as u64);
+    truncated
+        .and_then(|()| disk.sync(&mut file))
         .map_err(Error::io("cut", name))?;
-    Ok((torn.offset, highest))
+    Ok((tail.offset, highest))
 }
--- a/crates/store/src/process/store.rs
+++ b/crates/store/src/process/store.rs
@@ -1,73 +1,75 @@
-//! The open store.
+//! The open store, which writes to the data folder.
 
 use super::Disk;
 use crate::error::{Error, ErrorKind, Result};
-use crate::version::{Item, encode};
+use crate::version::{LogRecordItem, encode_record};
 use consensus::{DiskWrite, Snapshot};
 use types::{MemberId, Revision, Term};
 
-pub(super) const LAYOUT: &str = "1";
+pub(super) const LAYOUT_VERSION: &str = "1";
 pub(super) const LAYOUT_FILE: &str = "layout";
 pub(super) const MEMBER_FILE: &str = "member";
-pub(super) const TEMPORARY: &str = ".tmp";
+pub(super) const TEMPORARY_SUFFIX: &str = ".tmp";
 
-/// Length from which a segment is followed by a new one. Small against the
-/// disk, so that compaction gives space back soon.
-const SEGMENT_BYTES: usize = 4 << 20;
+/// Length from which a segment is closed and a new one started. Small compared
+/// with the disk, so that compaction frees space soon.
+const SEGMENT_ROTATION_BYTES: usize = 4 << 20;
 
-type Vote = (Term, Option<MemberId>);
+/// The current term, and the member that got the vote in it.
+type TermAndVote = (Term, Option<MemberId>);
 
-/// The open store. Only one thread uses it; see [`spawn`](crate::spawn).
+/// Log, vote and snapshot in an open data folder. Used by only one thread; see
+/// [`spawn`](crate::spawn).
 #[derive(Debug)]
 pub struct Store<D: Disk> {
     disk: D,
     file: D::File,
-    /// The segment that is written, and the earlier ones.
+    /// The segments in the order of their numbers; the last one is written to.
     segments: Vec<Segment>,
-    vote: Vote,
-    /// The last index on disk.
-    last: Revision,
-    /// The index of the snapshot on disk.
-    base: Option<Revision>,
-    /// Files that newer ones replace.
-    stale: Vec<String>,
-    /// The last write failed: the end of the last segment is unknown.
-    broken: bool,
+    vote: TermAndVote,
+    /// Index of the last entry on disk.
+    last_index: Revision,
+    /// Index of the snapshot on disk.
+    snapshot_index: Option<Revision>,
+    /// Files that were replaced by newer ones and are not yet removed.
+    stale_files: Vec<String>,
+    /// Whether the last write failed, so that the end of the segment is unknown.
+    end_unknown: bool,
     sync_count: u64,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Segment {
     number: u64,
-    /// The length up to which the segment is known to be synced.
+    /// Length up to which the segment is known to be synced.
     len: usize,
-    /// The highest index that it holds.
-    highest: Revision,
+    /// Highest index of its entries.
+    highest_index: Revision,
 }
 
 impl<D: Disk> Store<D> {
     pub(super) fn new(
         disk: D,
-        vote: Vote,
-        last: Revision,
-        base: Option<Revision>,
+        vote: TermAndVote,
+        last_index: Revision,
+        snapshot_index: Option<Revision>,
         segments: Vec<(u64, (usize, Revision))>,
-        stale: Vec<String>,
+        stale_files: Vec<String>,
     ) -> Result<Self> {
         let mut segments: Vec<Segment> = segments
             .into_iter()
-            .map(|(number, (len, highest))| Segment {
+            .map(|(number, (len, highest_index))| Segment {
                 number,
                 len,
-                highest,
+                highest_index,
             })
             .collect();
         if segments.is_empty() {
-            Self::make_segment(&disk, 1, &Vec::new())?;
+            Self::create_segment(&disk, 1, &Vec::new())?;
             segments.push(Segment {
                 number: 1,
                 len: 0,
-                highest: Revision(0),
+                highest_index: Revision(0),
             });
         }
         let name = segment_name(segments[segments.len() - 1].number);
@@ -77,51 +79,51 @@
             file,
             segments,
             vote,
-            last,
-            base,
-            stale,
-            broken: false,
+            last_index,
+            snapshot_index,
+            stale_files,
+            end_unknown: false,
             sync_count: 0,
         })
     }
 
-    /// How many times a file or the folder was synced since the store was
-    /// opened.
+    /// Number of syncs of a file or the folder since the store was opened.
     #[must_use]
     pub fn sync_count(&self) -> u64 {
         self.sync_count
     }
 
-    /// Puts the writes on disk, in one record with one sync unless one of them
-    /// holds a snapshot.
+    /// Writes all of `writes` to disk, as one record with one sync unless one of
+    /// them contains a snapshot.
     ///
     /// # Errors
     ///
-    /// After a failure any part of the writes may be on disk. The next call
-    /// first cuts the segment back to what was synced and begins a new one.
+    /// Fails on a disk error, or if entries do not follow the last one on disk.
+    /// After a disk error, any part of the writes may be on disk. The next call
+    /// first truncates the segment to its synced length and starts a new one.
     pub fn apply(&mut self, writes: &[DiskWrite]) -> Result<()> {
-        let mut last = self.last;
+        let mut last = self.last_index;
         let mut items = Vec::new();
-        if self.broken {
-            self.repair()?;
+        if self.end_unknown {
+            self.rotate_after_failure()?;
         }
         for write in writes {
             if let Some((term, vote)) = write.term_and_vote {
                 self.vote = (term, vote);
-                items.push(Item::Vote(term, vote));
+                items.push(LogRecordItem::Vote(term, vote));
             }
             if let Some(from) = write.truncate_from {
                 if from <= last {
-                    items.push(Item::Truncate(from));
+                    items.push(LogRecordItem::Truncate(from));
                 }
                 last = last.min(Revision(from.0.saturating_sub(1)));
             }
             if let Some(snapshot) = &write.snapshot {
                 self.append(&std::mem::take(&mut items), last)?;
-                self.put_snapshot(snapshot)?;
-                items.push(Item::Snapshot(snapshot.position.index));
+                self.write_snapshot(snapshot)?;
+                items.push(LogRecordItem::Snapshot(snapshot.position.index));
                 last = last.max(snapshot.position.index);
-                self.last = last;
+                self.last_index = last;
             }
             for entry in &write.entries {
                 if entry.index.0 != last.0 + 1 {
@@ -129,131 +131,138 @@
                     return Err(ErrorKind::Gap { from, last }.into());
                 }
                 last = entry.index;
-                items.push(Item::Entry(entry.clone()));
+                items.push(LogRecordItem::Entry(entry.clone()));
             }
         }
         self.append(&items, last)
     }
 
-    fn append(&mut self, items: &Vec<Item>, last: Revision) -> Result<()> {
+    fn append(&mut self, items: &Vec<LogRecordItem>, last: Revision) -> Result<()> {
         if items.is_empty() {
-            self.last = last;
+            self.last_index = last;
             return Ok(());
         }
-        if self.current().len >= SEGMENT_BYTES {
-            self.begin_segment()?;
+        if self.active_segment().len >= SEGMENT_ROTATION_BYTES {
+            self.start_segment()?;
         }
-        let Segment { number, len, .. } = self.current();
+        let Segment { number, len, .. } = self.active_segment();
         let name = segment_name(number);
         let too_large = || std::io::Error::from(std::io::ErrorKind::FileTooLarge);
-        let record = encode(number, len, items).ok_or_else(too_large);
+        let record = encode_record(number, len, items).ok_or_else(too_large);
         let record = record.map_err(Error::io("encode for", &name))?;
-        self.broken = true;
+        self.end_unknown = true;
         let written = self.disk.append(&mut self.file, &record);
         written.map_err(Error::io("append to", &name))?;
         self.sync_count += 1;
         let synced = self.disk.sync(&mut self.file);
         synced.map_err(Error::io("sync", &name))?;
-        self.broken = false;
-        self.last = last;
+        self.end_unknown = false;
+        self.last_index = last;
         if let Some(segment) = self.segments.last_mut() {
             segment.len += record.len();
-            segment.highest = segment.highest.max(last);
+            segment.highest_index = segment.highest_index.max(last);
         }
         Ok(())
     }
 
-    fn current(&self) -> Segment {
+    fn active_segment(&self) -> Segment {
         self.segments[self.segments.len() - 1]
     }
 
-    /// After a failed sync the operating system may report the next one as
-    /// done although the data is lost, so nothing is ever appended to a segment
-    /// whose end is unknown.
-    fn repair(&mut self) -> Result<()> {
-        let Segment { number, len, .. } = self.current();
+    /// Truncates the segment to its synced length and starts a new one. After a
+    /// failed sync, the operating system may report success for the next sync
+    /// although the data is lost, so nothing is appended to a segment whose end is
+    /// unknown.
+    fn rotate_after_failure(&mut self) -> Result<()> {
+        let Segment { number, len, .. } = self.active_segment();
         let name = segment_name(number);
         self.sync_count += 1;
-        let cut = self.disk.truncate(&mut self.file, len as u64);
-        cut.and_then(|()| self.disk.sync(&mut self.file))
+        let truncated = self.disk.truncate(&mut self.file, len as u64);
+        truncated
+            .and_then(|()| self.disk.sync(&mut self.file))
             .map_err(Error::io("cut", &name))?;
-        self.begin_segment()?;
-        self.broken = false;
+        self.start_segment()?;
+        self.end_unknown = false;
         Ok(())
     }
 
-    /// Begins a segment with vote and snapshot, so that earlier ones can be
-    /// removed.
-    fn begin_segment(&mut self) -> Result<()> {
-        let number = self.current().number + 1;
+    /// Starts a segment with the vote and the index of the snapshot, so that
+    /// earlier segments can be removed.
+    fn start_segment(&mut self) -> Result<()> {
+        let number = self.active_segment().number + 1;
         self.sync_count += 2;
         let (term, vote) = self.vote;
-        let mut items = vec![Item::Vote(term, vote)];
-        items.extend(self.base.map(Item::Snapshot));
-        let (file, len) = Self::make_segment(&self.disk, number, &items)?;
+        let mut items = vec![LogRecordItem::Vote(term, vote)];
+        items.extend(self.snapshot_index.map(LogRecordItem::Snapshot));
+        let (file, len) = Self::create_segment(&self.disk, number, &items)?;
         self.file = file;
         self.segments.push(Segment {
             number,
             len,
-            highest: Revision(0),
+            highest_index: Revision(0),
         });
         Ok(())
     }
 
-    /// Makes a segment under a temporary name, so that one that was begun and
-    /// not finished is never taken for a segment.
-    pub(super) fn make_segment(
+    /// Creates a segment under a temporary name and renames it, so that a partly
+    /// written file is never read as a segment.
+    pub(super) fn create_segment(
         disk: &D,
         number: u64,
-        items: &Vec<Item>,
+        items: &Vec<LogRecordItem>,
     ) -> Result<(D::File, usize)> {
         let record = Some(items).filter(|items| !items.is_empty());
-        let record = record.and_then(|items| encode(number, 0, items));
+        let record = record.and_then(|items| encode_record(number, 0, items));
         let record = record.unwrap_or_default();
-        let file = put(disk, &segment_name(number), &record)?;
+        let file = write_file_atomically(disk, &segment_name(number), &record)?;
         Ok((file, record.len()))
     }
 
-    fn put_snapshot(&mut self, snapshot: &Snapshot) -> Result<()> {
+    fn write_snapshot(&mut self, snapshot: &Snapshot) -> Result<()> {
         let index = snapshot.position.index;
         let name = snapshot_name(index);
         let too_large = || std::io::Error::from(std::io::ErrorKind::FileTooLarge);
-        let record = encode(index.0, 0, snapshot).ok_or_else(too_large);
+        let record = encode_record(index.0, 0, snapshot).ok_or_else(too_large);
         let record = record.map_err(Error::io("encode", &name))?;
         self.sync_count += 2;
-        put(&self.disk, &name, &record)?;
-        let old = self.base.filter(|base| *base != index);
-        self.stale.extend(old.map(snapshot_name));
-        self.base = Some(index);
-        self.remove_stale();
+        write_file_atomically(&self.disk, &name, &record)?;
+        let old = self.snapshot_index.filter(|base| *base != index);
+        self.stale_files.extend(old.map(snapshot_name));
+        self.snapshot_index = Some(index);
+        self.remove_stale_files();
         Ok(())
     }
 
-    /// Removes what the snapshot replaces. A failure costs only space: the
-    /// files are tried again after the next snapshot, and are ignored by
-    /// [`open`](crate::open).
-    fn remove_stale(&mut self) {
-        let covered = |segment: &Segment| Some(segment.highest) <= self.base;
+    /// Removes the files that the snapshot replaces. A failure costs only space:
+    /// removal is retried after the next snapshot, and [`open`](crate::open)
+    /// ignores the files.
+    fn remove_stale_files(&mut self) {
+        let covered = |segment: &Segment| Some(segment.highest_index) <= self.snapshot_index;
         let count = self.segments.iter().take_while(|s| covered(s)).count();
-        // The last segment is in use, and the vote may be only in it.
+        // The last segment is written to, and may be the only one with the vote.
         let count = count.min(self.segments.len() - 1);
         let first = self.segments.drain(..count);
-        self.stale.extend(first.map(|s| segment_name(s.number)));
+        self.stale_files
+            .extend(first.map(|s| segment_name(s.number)));
         let disk = &self.disk;
-        self.stale.retain(|name| {
+        self.stale_files.retain(|name| {
             let removed = disk.remove(name);
             removed.is_err_and(|e| e.kind() != std::io::ErrorKind::NotFound)
         });
     }
 }
 
-/// Writes a whole file under a temporary name, syncs it and puts it in place.
-/// Returns the file, open to be appended to.
-pub(super) fn put<D: Disk>(disk: &D, name: &str, bytes: &[u8]) -> Result<D::File> {
-    let temporary = format!("{name}{TEMPORARY}");
+/// Writes a whole file under a temporary name, syncs it and renames it. Returns
+/// the file, open for appending.
+pub(super) fn write_file_atomically<D: Disk>(
+    disk: &D,
+    name: &str,
+    bytes: &[u8],
+) -> Result<D::File> {
+    let temporary = format!("{name}{TEMPORARY_SUFFIX}");
     let file = disk.open(&temporary);
     let mut file = file.map_err(Error::io("open", &temporary))?;
-    // An attempt that failed earlier may have left something.
+    // An earlier attempt that failed may have left data in the file.
     disk.truncate(&mut file, 0)
         .and_then(|()| disk.append(&mut file, bytes))
         .and_then(|()| disk.sync(&mut file))
--- a/crates/store/src/process/thread.rs
+++ b/crates/store/src/process/thread.rs
@@ -6,33 +6,35 @@
 use std::thread::JoinHandle;
 use tokio::sync::mpsc;
 
-/// Writes that may wait for the disk before the sender has to.
-const QUEUE: usize = 64;
+/// Capacity of the queues of writes and reports. When the queue of writes is
+/// full, its sender waits.
+const QUEUE_CAPACITY: usize = 64;
 
 /// The result of a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WriteReport {
-    /// The write.
+    /// Id of the write.
     pub id: WriteId,
-    /// Whether it is synced. If not, any part of it may be on disk.
+    /// Whether the write is synced. If not, any part of it may be on disk.
     pub synced: bool,
-    /// How many syncs the store has made so far.
+    /// Number of syncs since the store was opened.
     pub sync_count: u64,
 }
 
-/// The way to the thread that owns the store. The thread ends once `writes`
-/// and `reports` are dropped and what was queued is done.
+/// Channels to the thread that owns the store. The thread ends after `writes` is
+/// dropped and the queued writes are done, or after `reports` is dropped and the
+/// next report cannot be sent.
 #[derive(Debug)]
 pub struct StoreHandle {
-    /// Takes writes, in order.
+    /// Sends writes, which are applied in order.
     pub writes: mpsc::Sender<DiskWrite>,
-    /// Gives one report for each write, in order.
+    /// Receives one report for each write, in order.
     pub reports: mpsc::Receiver<WriteReport>,
-    /// The thread; joining it waits until the folder is unlocked.
+    /// The thread. The folder is unlocked when it has ended.
     pub thread: JoinHandle<()>,
 }
 
-/// Moves the store to a thread of its own.
+/// Moves the store to its own thread.
 ///
 /// # Errors
 ///
@@ -41,12 +43,12 @@
 where
     D::File: 'static,
 {
-    let (writes, mut queue) = mpsc::channel(QUEUE);
-    let (tx, reports) = mpsc::channel(QUEUE);
+    let (writes, mut writes_rx) = mpsc::channel(QUEUE_CAPACITY);
+    let (reports_tx, reports) = mpsc::channel(QUEUE_CAPACITY);
     let run = move || {
-        let mut batch = Vec::with_capacity(QUEUE);
-        // Blocks until a write arrives, then takes all that are queued.
-        while queue.blocking_recv_many(&mut batch, QUEUE) > 0 {
+        let mut batch = Vec::with_capacity(QUEUE_CAPACITY);
+        // Blocks until a write arrives, then receives all that are queued.
+        while writes_rx.blocking_recv_many(&mut batch, QUEUE_CAPACITY) > 0 {
             let result = store.apply(&batch);
             if let Err(e) = &result {
                 log::error!(error:% = e; "could not write to the data folder");
@@ -57,7 +59,7 @@
                     synced: result.is_ok(),
                     sync_count: store.sync_count(),
                 };
-                if tx.blocking_send(report).is_err() {
+                if reports_tx.blocking_send(report).is_err() {
                     return;
                 }
             }
--- a/crates/store/src/version/mod.rs
+++ b/crates/store/src/version/mod.rs
@@ -1,7 +1,7 @@
-//! What changes with a version of the log: records and their replay.
+//! The records of the log and their replay.
 
 mod record;
 mod replay;
 
-pub(crate) use record::{Item, Reader, encode};
+pub(crate) use record::{LogRecordItem, RecordReader, encode_record};
 pub(crate) use replay::Replay;
--- a/crates/store/src/version/replay.rs
+++ b/crates/store/src/version/replay.rs
@@ -1,42 +1,44 @@
-//! Replay of the records into what a member had on disk.
+//! Replay of the log records into the state of a member.
 
-use super::Item;
+use super::LogRecordItem;
 use consensus::{LogEntry, RestoredState, Snapshot};
 use std::collections::BTreeMap;
 use types::{MemberId, Revision, Term};
 
-/// What the records add up to.
+/// State that results from the records replayed so far.
 #[derive(Debug, Default)]
 pub(crate) struct Replay {
     pub term: Term,
     pub vote: Option<MemberId>,
     entries: BTreeMap<Revision, LogEntry>,
-    /// A snapshot that is known to have been put in place.
-    snapshot: Option<Revision>,
+    /// Highest index of a snapshot that the records say is on disk.
+    min_snapshot: Option<Revision>,
 }
 
 impl Replay {
-    pub fn take(&mut self, item: Item) {
+    pub fn apply(&mut self, item: LogRecordItem) {
         match item {
-            Item::Vote(term, vote) => (self.term, self.vote) = (term, vote),
-            Item::Truncate(from) => {
+            LogRecordItem::Vote(term, vote) => (self.term, self.vote) = (term, vote),
+            LogRecordItem::Truncate(from) => {
                 self.entries.split_off(&from);
             }
-            Item::Snapshot(index) => self.snapshot = self.snapshot.max(Some(index)),
-            Item::Entry(entry) => {
+            LogRecordItem::Snapshot(index) => {
+                self.min_snapshot = self.min_snapshot.max(Some(index))
+            }
+            LogRecordItem::Entry(entry) => {
                 self.entries.split_off(&entry.index);
                 self.entries.insert(entry.index, entry);
             }
         }
     }
 
-    /// What is on disk, unless the snapshot or an entry after it is missing.
-    pub fn finish(mut self, snapshot: Option<Snapshot>) -> Option<RestoredState> {
-        let found = snapshot.as_ref().map(|snapshot| snapshot.position.index);
-        if found < self.snapshot {
+    /// The state on disk; `None` if the snapshot or an entry after it is missing.
+    pub fn into_restored_state(mut self, snapshot: Option<Snapshot>) -> Option<RestoredState> {
+        let snapshot_index = snapshot.as_ref().map(|snapshot| snapshot.position.index);
+        if snapshot_index < self.min_snapshot {
             return None;
         }
-        let base = found.unwrap_or_default();
+        let base = snapshot_index.unwrap_or_default();
         let entries = self.entries.split_off(&Revision(base.0 + 1));
         let consecutive = entries
             .keys()
--- a/crates/store/tests/store.rs
+++ b/crates/store/tests/store.rs
@@ -1,4 +1,4 @@
-//! The data folder keeps what was synced, through faults and restarts.
+//! The store keeps synced writes across disk faults, crashes and restarts.
 
 use arbtest::arbtest;
 use consensus::{DiskWrite, EntryPayload, Group, LogEntry, LogPosition, Snapshot, WriteId};
@@ -9,12 +9,12 @@
 use types::{MemberId, Revision, Term};
 
 /// Number of random cases; the case number is the seed.
-const CASES: u64 = 128;
+const RANDOM_CASES: u64 = 128;
 
 /// Bytes of random input of each case; the low half of an arbtest seed.
 const INPUT_BYTES: u64 = 128;
 
-/// What the fake disk does next.
+/// Fault of the next operations of the in-memory disk.
 #[derive(Default, Clone, Copy, PartialEq)]
 enum Fault {
     #[default]
@@ -27,30 +27,30 @@
 }
 
 #[derive(Default)]
-struct State {
-    /// Each with the content and the length that is synced.
+struct DiskState {
+    /// Content and synced length of each file.
     files: BTreeMap<String, (Vec<u8>, usize)>,
     fault: Fault,
 }
 
 /// A folder in memory. Renaming and removing are durable at once.
 #[derive(Default, Clone)]
-struct Memory(Arc<Mutex<State>>);
+struct MemoryDisk(Arc<Mutex<DiskState>>);
 
-impl Memory {
-    fn set(&self, fault: Fault) {
+impl MemoryDisk {
+    fn set_fault(&self, fault: Fault) {
         self.0.lock().unwrap().fault = fault;
     }
 
-    /// Ends the process: of what is not synced, `keep` bytes of each file stay.
-    fn crash(&self, keep: usize) -> Memory {
+    /// Simulates a crash in which `keep` unsynced bytes of each file are kept.
+    fn crash(&self, keep: usize) -> MemoryDisk {
         let files = self.0.lock().unwrap().files.clone();
-        let cut = |(data, synced): (Vec<u8>, usize)| {
+        let truncate = |(data, synced): (Vec<u8>, usize)| {
             let len = data.len().min(synced + keep);
             (data[..len].to_vec(), len)
         };
-        let files = files.into_iter().map(|(name, file)| (name, cut(file)));
-        Memory(Arc::new(Mutex::new(State {
+        let files = files.into_iter().map(|(name, file)| (name, truncate(file)));
+        MemoryDisk(Arc::new(Mutex::new(DiskState {
             files: files.collect(),
             fault: Fault::None,
         })))
@@ -69,7 +69,7 @@
         *synced = data.len();
     }
 
-    fn with<T>(&self, f: impl FnOnce(&mut State) -> io::Result<T>) -> io::Result<T> {
+    fn with_state<T>(&self, f: impl FnOnce(&mut DiskState) -> io::Result<T>) -> io::Result<T> {
         let mut state = self.0.lock().unwrap();
         if state.fault == Fault::ReadOnly {
             return Err(io::ErrorKind::ReadOnlyFilesystem.into());
@@ -78,29 +78,29 @@
     }
 }
 
-impl Disk for Memory {
+impl Disk for MemoryDisk {
     type File = String;
 
     fn list(&self) -> io::Result<Vec<String>> {
-        self.with(|state| Ok(state.files.keys().cloned().collect()))
+        self.with_state(|state| Ok(state.files.keys().cloned().collect()))
     }
 
     fn read(&self, name: &str) -> io::Result<Vec<u8>> {
-        self.with(|state| Ok(state.files[name].0.clone()))
+        self.with_state(|state| Ok(state.files[name].0.clone()))
     }
 
     fn open(&self, name: &str) -> io::Result<String> {
-        self.with(|state| {
+        self.with_state(|state| {
             state.files.entry(name.to_owned()).or_default();
             Ok(name.trim_end_matches(".tmp").to_owned())
         })
     }
 
     fn append(&self, file: &mut String, bytes: &[u8]) -> io::Result<()> {
-        self.with(|state| {
+        self.with_state(|state| {
             let full = state.fault == Fault::Full;
             let len = if full { bytes.len() / 2 } else { bytes.len() };
-            state.at(file).0.extend_from_slice(&bytes[..len]);
+            state.open_file(file).0.extend_from_slice(&bytes[..len]);
             if full {
                 Err(io::ErrorKind::StorageFull.into())
             } else {
@@ -110,25 +110,28 @@
     }
 
     fn truncate(&self, file: &mut String, len: u64) -> io::Result<()> {
-        self.with(|state| {
-            state.at(file).0.truncate(usize::try_from(len).unwrap());
+        self.with_state(|state| {
+            state
+                .open_file(file)
+                .0
+                .truncate(usize::try_from(len).unwrap());
             Ok(())
         })
     }
 
     fn sync(&self, file: &mut String) -> io::Result<()> {
-        self.with(|state| {
+        self.with_state(|state| {
             if state.fault == Fault::Sync {
                 return Err(io::Error::other("sync failed"));
             }
-            let (data, synced) = state.at(file);
+            let (data, synced) = state.open_file(file);
             *synced = data.len();
             Ok(())
         })
     }
 
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
-        self.with(|state| {
+        self.with_state(|state| {
             let file = state.files.remove(from).unwrap();
             state.files.insert(to.to_owned(), file);
             Ok(())
@@ -137,17 +140,17 @@
 
     fn remove(&self, name: &str) -> io::Result<()> {
         let missing = || io::Error::from(io::ErrorKind::NotFound);
-        self.with(|state| state.files.remove(name).map(drop).ok_or_else(missing))
+        self.with_state(|state| state.files.remove(name).map(drop).ok_or_else(missing))
     }
 
     fn sync_dir(&self) -> io::Result<()> {
-        self.with(|_| Ok(()))
+        self.with_state(|_| Ok(()))
     }
 }
 
-impl State {
-    /// An open file follows its rename.
-    fn at(&mut self, name: &str) -> &mut (Vec<u8>, usize) {
+impl DiskState {
+    /// An open file remains valid when it is renamed from its temporary name.
+    fn open_file(&mut self, name: &str) -> &mut (Vec<u8>, usize) {
         let temporary = format!("{name}.tmp");
         let name = if self.files.contains_key(&temporary) {
             &temporary
@@ -195,7 +198,7 @@
     }
 }
 
-fn reopen(disk: &Memory) -> (Store<Memory>, RecoveredMember) {
+fn reopen(disk: &MemoryDisk) -> (Store<MemoryDisk>, RecoveredMember) {
     open(disk.crash(0)).unwrap()
 }
 
@@ -205,8 +208,8 @@
 
 /// Guards against a restart that loses or reorders synced writes.
 #[test]
-fn synced_writes_are_there_after_a_crash() {
-    let disk = Memory::default();
+fn synced_writes_survive_a_crash() {
+    let disk = MemoryDisk::default();
     let (mut store, first) = open(disk.clone()).unwrap();
     store.apply(&[append(1, 5, 1)]).unwrap();
     let before = store.sync_count();
@@ -221,23 +224,23 @@
     assert_eq!(gap.category(), Category::Gap);
 }
 
-/// Guards against a failed write that leaves a torn or unsynced record before
-/// later ones, or that loses what was synced earlier.
+/// Guards against a failed write that leaves a partial or unsynced record before
+/// later ones, or that loses data that was synced earlier.
 #[test]
-fn writes_go_on_after_a_failed_one() {
+fn writes_continue_after_a_failed_one() {
     for fault in [Fault::Full, Fault::ReadOnly, Fault::Sync] {
         for keep in [0, 3, 1000] {
-            let disk = Memory::default();
+            let disk = MemoryDisk::default();
             let (mut store, _) = open(disk.clone()).unwrap();
             store.apply(&[append(1, 3, 1)]).unwrap();
-            disk.set(fault);
+            disk.set_fault(fault);
             for _ in 0..2 {
                 let failed = store.apply(&[append(4, 2, 1)]).unwrap_err();
                 assert_eq!(failed.category(), Category::Io);
             }
             let crashed = open(disk.crash(keep)).unwrap().1;
             assert_eq!(indexes(&crashed)[..3], [1, 2, 3]);
-            disk.set(Fault::None);
+            disk.set_fault(Fault::None);
             store.apply(&[append(4, 1, 2)]).unwrap();
             let found = reopen(&disk).1;
             assert_eq!(indexes(&found), [1, 2, 3, 4]);
@@ -246,9 +249,10 @@
     }
 }
 
-/// Guards against a half-written record that stops a host after a crash.
+/// Guards against a host that cannot start because a crash left a partial record
+/// at the end of the log.
 #[test]
-fn a_torn_tail_is_cut_off() {
+fn a_partial_record_at_the_end_is_removed() {
     let cases: [fn(&mut Vec<u8>); 4] = [
         |data| data.truncate(data.len() - 1),
         |data| *data.last_mut().unwrap() ^= 1,
@@ -256,7 +260,7 @@
         |data| data.extend([9, 0, 0]),
     ];
     for (i, tear) in cases.into_iter().enumerate() {
-        let disk = Memory::default();
+        let disk = MemoryDisk::default();
         let (mut store, _) = open(disk.clone()).unwrap();
         store.apply(&[append(1, 2, 1)]).unwrap();
         store.apply(&[append(3, 1, 1)]).unwrap();
@@ -270,8 +274,8 @@
     }
 }
 
-/// Guards against silently dropping synced entries that stand after a damaged
-/// record, and against an error that does not help.
+/// Guards against dropping synced entries that follow a damaged record without
+/// an error, and against an error that does not name the place and the remedy.
 #[test]
 fn damage_before_valid_records_is_an_error() {
     let cases: [fn(&mut Vec<u8>); 3] = [
@@ -280,7 +284,7 @@
         |data| data[..8].fill(0xff),
     ];
     for damage in cases {
-        let disk = Memory::default();
+        let disk = MemoryDisk::default();
         let (mut store, _) = open(disk.clone()).unwrap();
         store.apply(&[append(1, 2, 1)]).unwrap();
         store.apply(&[append(3, 1, 1)]).unwrap();
@@ -296,11 +300,11 @@
     }
 }
 
-/// Guards against a host that votes under its id after it lost its log.
+/// Guards against a host that votes under its old id after it has lost its log.
 #[test]
 fn missing_files_are_an_error() {
     for missing in ["log-", "member", "snapshot-"] {
-        let disk = Memory::default();
+        let disk = MemoryDisk::default();
         let (mut store, _) = open(disk.clone()).unwrap();
         store.apply(&[append(1, 4, 1)]).unwrap();
         store.apply(&[snapshot(4, 1)]).unwrap();
@@ -315,11 +319,11 @@
     }
 }
 
-/// Guards against a log that grows without end, and against a vote that is
-/// removed with the segment that held it.
+/// Guards against unbounded growth of the log, and against a vote that is lost
+/// when the segment that contains it is removed.
 #[test]
 fn snapshots_replace_old_segments() {
-    let disk = Memory::default();
+    let disk = MemoryDisk::default();
     let (mut store, _) = open(disk.clone()).unwrap();
     let mut large = append(1, 2, 3);
     large.entries[0].payload = EntryPayload::Command(vec![1; 5 << 20].into());
@@ -343,11 +347,11 @@
     assert_eq!(found.restored.snapshot.unwrap().position.index, Revision(2));
 }
 
-/// Guards against an installed snapshot that is followed by entries which
-/// contradict it.
+/// Guards against entries of the old log that remain after the installation of a
+/// snapshot that conflicts with them.
 #[test]
-fn an_installed_snapshot_drops_the_old_log() {
-    let disk = Memory::default();
+fn an_installed_snapshot_replaces_the_old_log() {
+    let disk = MemoryDisk::default();
     let (mut store, _) = open(disk.clone()).unwrap();
     store.apply(&[append(1, 12, 1)]).unwrap();
     let install = DiskWrite {
@@ -363,19 +367,19 @@
     assert_eq!(found.restored.entries[0].term, Term(4));
 }
 
-/// Guards against any order of writes, faults and crashes that loses a write
-/// reported as synced.
+/// Guards against the loss of a write that was reported as synced, under random
+/// sequences of writes, faults and crashes.
 #[test]
 fn reported_writes_survive_random_faults() {
-    for case in 0..CASES {
+    for case in 0..RANDOM_CASES {
         arbtest(|u| {
-            let mut disk = Memory::default();
+            let mut disk = MemoryDisk::default();
             let (mut store, _) = open(disk.clone()).unwrap();
             let (mut last, mut term) = (0, 1);
             while !u.is_empty() {
                 let fault: u8 = u.int_in_range(0..=7)?;
                 let faults = [Fault::Full, Fault::ReadOnly, Fault::Sync];
-                disk.set(faults.get(usize::from(fault)).copied().unwrap_or_default());
+                disk.set_fault(faults.get(usize::from(fault)).copied().unwrap_or_default());
                 let from = u.int_in_range(last.max(3) - 2..=last + 1)?.min(last + 1);
                 term += 1;
                 if store.apply(&[append(from, 2, term)]).is_ok() {
@@ -396,9 +400,10 @@
     }
 }
 
-/// Guards against two processes on one folder, and against an id that changes.
+/// Guards against two processes that use one folder, against a member id that
+/// changes, and against a folder with another layout.
 #[test]
-fn a_folder_is_locked_and_keeps_its_id() {
+fn a_folder_is_locked_and_keeps_its_member_id() {
     let dir = tempfile::tempdir().unwrap();
     let (store, found) = open(DataDir::new(dir.path()).unwrap()).unwrap();
     assert_eq!(
--- a/crates/types/tests/text.rs
+++ b/crates/types/tests/text.rs
@@ -85,7 +85,7 @@
 /// Guards against an update in which the configuration or the membership is
 /// older than the one in force.
 #[test]
-fn a_version_is_behind_if_either_part_is_older() {
+fn a_version_is_behind_if_either_order_goes_back() {
     let version = |revision, epoch, seq| Version {
         revision: Revision(revision),
         epoch: types::Term(epoch),
--- a/crates/wire/tests/decoders.rs
+++ b/crates/wire/tests/decoders.rs
@@ -108,7 +108,7 @@
 
 /// Guards against a key rotation that breaks established connections.
 #[test]
-fn ids_of_the_previous_key_stay_valid_for_one_rotation() {
+fn ids_of_the_former_key_stay_valid_for_one_rotation() {
     let id = ConnectionId {
         upstream: UpstreamId(5),
         tag: ServiceTag(1),
