--- a/crates/store/src/process/open.rs
+++ b/crates/store/src/process/open.rs
@@ -5,7 +5,7 @@
 };
 use super::{Disk, Store};
 use crate::error::{Error, ErrorKind, Result};
-use crate::version::{LogRecordItem, RecordReader, Replay};
+use crate::version::{RecordItem, RecordReader, Replay};
 use consensus::{RestoredState, Snapshot};
 use types::{MemberId, Revision};
 
@@ -155,9 +155,9 @@
     let data = disk.read(name).map_err(Error::io("read", name))?;
     let mut reader = RecordReader::new(name, number, &data);
     let mut highest = Revision(0);
-    while let Some(items) = reader.next::<Vec<LogRecordItem>>()? {
+    while let Some(items) = reader.next::<Vec<RecordItem>>()? {
         for item in items {
-            if let LogRecordItem::Entry(entry) = &item {
+            if let RecordItem::Entry(entry) = &item {
                 highest = highest.max(entry.index);
             }
             replay.apply(item);
--- a/crates/store/src/process/store.rs
+++ b/crates/store/src/process/store.rs
@@ -2,7 +2,7 @@
 
 use super::Disk;
 use crate::error::{Error, ErrorKind, Result};
-use crate::version::{LogRecordItem, encode_record};
+use crate::version::{RecordItem, encode_record};
 use consensus::{DiskWrite, Snapshot};
 use types::{MemberId, Revision, Term};
 
@@ -110,18 +110,18 @@
         for write in writes {
             if let Some((term, vote)) = write.term_and_vote {
                 self.vote = (term, vote);
-                items.push(LogRecordItem::Vote(term, vote));
+                items.push(RecordItem::Vote(term, vote));
             }
             if let Some(from) = write.truncate_from {
                 if from <= last {
-                    items.push(LogRecordItem::Truncate(from));
+                    items.push(RecordItem::Truncate(from));
                 }
                 last = last.min(Revision(from.0.saturating_sub(1)));
             }
             if let Some(snapshot) = &write.snapshot {
                 self.append(&std::mem::take(&mut items), last)?;
                 self.write_snapshot(snapshot)?;
-                items.push(LogRecordItem::Snapshot(snapshot.position.index));
+                items.push(RecordItem::Snapshot(snapshot.position.index));
                 last = last.max(snapshot.position.index);
                 self.last_index = last;
             }
@@ -131,13 +131,13 @@
                     return Err(ErrorKind::Gap { from, last }.into());
                 }
                 last = entry.index;
-                items.push(LogRecordItem::Entry(entry.clone()));
+                items.push(RecordItem::Entry(entry.clone()));
             }
         }
         self.append(&items, last)
     }
 
-    fn append(&mut self, items: &Vec<LogRecordItem>, last: Revision) -> Result<()> {
+    fn append(&mut self, items: &Vec<RecordItem>, last: Revision) -> Result<()> {
         if items.is_empty() {
             self.last_index = last;
             return Ok(());
@@ -192,8 +192,8 @@
         let number = self.active_segment().number + 1;
         self.sync_count += 2;
         let (term, vote) = self.vote;
-        let mut items = vec![LogRecordItem::Vote(term, vote)];
-        items.extend(self.snapshot_index.map(LogRecordItem::Snapshot));
+        let mut items = vec![RecordItem::Vote(term, vote)];
+        items.extend(self.snapshot_index.map(RecordItem::Snapshot));
         let (file, len) = Self::create_segment(&self.disk, number, &items)?;
         self.file = file;
         self.segments.push(Segment {
@@ -209,7 +209,7 @@
     pub(super) fn create_segment(
         disk: &D,
         number: u64,
-        items: &Vec<LogRecordItem>,
+        items: &Vec<RecordItem>,
     ) -> Result<(D::File, usize)> {
         let record = Some(items).filter(|items| !items.is_empty());
         let record = record.and_then(|items| encode_record(number, 0, items));
--- a/crates/store/src/version/record.rs
+++ b/crates/store/src/version/record.rs
@@ -11,7 +11,7 @@
 
 /// Item of a log record; a record is a list of items that are applied in order.
 #[derive(Debug, Serialize, Deserialize)]
-pub(crate) enum LogRecordItem {
+pub(crate) enum RecordItem {
     /// The current term and the vote in it.
     Vote(Term, Option<MemberId>),
     /// Removes the entries from this index on.
--- a/crates/store/src/version/replay.rs
+++ b/crates/store/src/version/replay.rs
@@ -1,6 +1,6 @@
 //! Replay of the log records into the state of a member.
 
-use super::LogRecordItem;
+use super::RecordItem;
 use consensus::{LogEntry, RestoredState, Snapshot};
 use std::collections::BTreeMap;
 use types::{MemberId, Revision, Term};
@@ -16,16 +16,14 @@
 }
 
 impl Replay {
-    pub fn apply(&mut self, item: LogRecordItem) {
+    pub fn apply(&mut self, item: RecordItem) {
         match item {
-            LogRecordItem::Vote(term, vote) => (self.term, self.vote) = (term, vote),
-            LogRecordItem::Truncate(from) => {
+            RecordItem::Vote(term, vote) => (self.term, self.vote) = (term, vote),
+            RecordItem::Truncate(from) => {
                 self.entries.split_off(&from);
             }
-            LogRecordItem::Snapshot(index) => {
-                self.min_snapshot = self.min_snapshot.max(Some(index))
-            }
-            LogRecordItem::Entry(entry) => {
+            RecordItem::Snapshot(index) => self.min_snapshot = self.min_snapshot.max(Some(index)),
+            RecordItem::Entry(entry) => {
                 self.entries.split_off(&entry.index);
                 self.entries.insert(entry.index, entry);
             }
