--- a/crates/admit/src/process/admission.rs
+++ b/crates/admit/src/process/admission.rs
@@ -187,7 +187,7 @@
             .collect()
     }
 
-    /// ClassLoads of the local upstream, as announced and as sent with refusals to
+    /// Loads of the local upstream, as announced and as sent with refusals to
     /// peers. Reserved slots count as in flight; an upstream that takes no new
     /// work offers no slots.
     #[must_use]
--- a/crates/agent/src/process/node.rs
+++ b/crates/agent/src/process/node.rs
@@ -24,7 +24,7 @@
 pub struct NodeTask {
     /// Settings of the agent.
     pub cfg: Settings,
-    /// UpstreamAnnouncement; state, loads and connections are filled in each time.
+    /// Announcement; state, loads and connections are filled in each time.
     pub announcement: UpstreamAnnouncement,
     /// Versions and peer loads from the sync task.
     pub steps: mpsc::Receiver<Step>,
--- a/crates/control/src/version/mod.rs
+++ b/crates/control/src/version/mod.rs
@@ -140,7 +140,7 @@
         service.is_some_and(|service| req.subset.contains(&service.name))
     }
 
-    /// ClassLoads of the upstreams of named services; a node that wants all
+    /// Loads of the upstreams of named services; a node that wants all
     /// services only forwards and needs none.
     fn loads(&self, req: &SyncRequest) -> BTreeMap<UpstreamId, ClassLoads> {
         let ServiceSubset::Named(names) = &req.subset else {
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -32,7 +32,7 @@
 //! ```
 //! use std::{collections::BTreeMap, time::{Duration, Instant}};
 //! use member::{Registry, Settings};
-//! use types::{UpstreamAnnouncement, Connections, ServiceId, Term, UpstreamId, UpstreamState};
+//! use types::{Connections, ServiceId, Term, UpstreamAnnouncement, UpstreamId, UpstreamState};
 //!
 //! let start = Instant::now();
 //! let mut registry = Registry::new(Settings::default(), start, Term(3));
--- a/crates/member/tests/common/mod.rs
+++ b/crates/member/tests/common/mod.rs
@@ -30,7 +30,7 @@
     BTreeMap::from([("default".parse().unwrap(), load)])
 }
 
-/// UpstreamAnnouncement of upstream `n`, idle and ready since one minute.
+/// Announcement of upstream `n`, idle and ready since one minute.
 pub fn announcement(n: u64) -> UpstreamAnnouncement {
     let port = u16::try_from(n).unwrap();
     UpstreamAnnouncement {
@@ -53,7 +53,7 @@
     }
 }
 
-/// UpstreamAnnouncement of upstream `n` with the given slots and requests in flight and
+/// Announcement of upstream `n` with the given slots and requests in flight and
 /// queued.
 pub fn with_load(n: u64, slots: u32, in_flight: u32, queued: u32) -> UpstreamAnnouncement {
     let loads = loads(slots, in_flight, queued);
