--- a/crates/limpetctl/src/request/resend.rs
+++ b/crates/limpetctl/src/request/resend.rs
@@ -5,7 +5,7 @@
 use super::Context;
 use crate::process::{ChangeFlags, Format};
 
-/// ChangeIdentity of a change, which a resend must repeat so that the change is made
+/// Id of a change, which a resend must repeat so that the change is made
 /// at most once.
 #[derive(Debug, Clone, Copy)]
 pub struct ChangeIdentity {
