--- a/crates/bench/src/admission/run.rs
+++ b/crates/bench/src/admission/run.rs
@@ -571,7 +571,7 @@
         });
         match taken {
             Some(Decision::Forward { .. }) => {
-                self.send(home, peer, Event::ForwardRequest(peer, request, id))
+                self.send(home, peer, Event::ForwardRequest(peer, request, id));
             }
             Some(Decision::Release { .. }) => self.send(home, peer, Event::Release(peer, id)),
             _ => {}
