--- a/crates/agent/src/process/peer.rs
+++ b/crates/agent/src/process/peer.rs
@@ -16,7 +16,7 @@
     web,
 };
 use admit::{ClaimAnswer, RequestOutcome};
-use auth::{Credentials, Gate};
+use auth::{Authorizer, Credentials};
 use bytes::Bytes;
 use futures_util::{Stream, StreamExt, stream::unfold};
 use http::{Method, Request, StatusCode, header};
@@ -93,15 +93,15 @@
 /// # Errors
 ///
 /// Fails if the listener cannot be used.
-pub fn serve(listener: TcpListener, cx: PeerContext, gate: Gate) -> Result<Server> {
+pub fn serve(listener: TcpListener, cx: PeerContext, authorizer: Authorizer) -> Result<Server> {
     let address = listener.local_addr();
     let upstream_address = cx.upstream_address;
     let credentials = cx.credentials.clone();
     let factory = move || {
         App::new()
             .app_data(web::Data::new(cx.clone()))
-            .app_data(gate.clone())
-            .wrap(from_fn(auth::enforce))
+            .app_data(authorizer.clone())
+            .wrap(from_fn(auth::authorize_request))
             .service(message_resource(RESERVE_PATH).route(web::post().to(reserve)))
             .service(message_resource(OFFER_PATH).route(web::post().to(offer)))
             .service(message_resource(BEGIN_PATH).route(web::post().to(begin)))
@@ -111,14 +111,14 @@
     };
     let server = HttpServer::new(factory)
         .workers(1)
-        .on_connect(Gate::note)
+        .on_connect(Authorizer::record_identity)
         .disable_signals()
         .tcp_nodelay(true)
         // A peer cancels a request by closing its connection.
         .h1_allow_half_closed(false)
         .shutdown_timeout(DRAIN_TIMEOUT_SECS);
     let server = match credentials {
-        Some(credentials) => server.listen_rustls_0_23(listener, credentials.server()),
+        Some(credentials) => server.listen_rustls_0_23(listener, credentials.server_config()),
         None => server.listen(listener),
     };
     let server = server.map_err(|e| Error::Bind(address.unwrap_or(upstream_address), e))?;
--- a/crates/agent/src/process/run.rs
+++ b/crates/agent/src/process/run.rs
@@ -6,7 +6,7 @@
 };
 
 use actix_web::dev::ServerHandle;
-use auth::{Gate, Port as GatePort};
+use auth::{Authorizer, ServerKind};
 use client::{Http, NodeReport, SyncSettings, SyncTask};
 use prometheus::Registry;
 use quinn::VarInt;
@@ -145,8 +145,8 @@
     };
 
     let http = Http::new(cfg.credentials.as_ref());
-    let gate = Gate::new(GatePort::Peer, cfg.credentials.as_ref(), registry)?;
-    let server = peer::serve(listener, PeerContext::new(own_id, &cx), gate)?;
+    let authorizer = Authorizer::new(ServerKind::Peer, cfg.credentials.as_ref(), registry)?;
+    let server = peer::serve(listener, PeerContext::new(own_id, &cx), authorizer)?;
     let peer_server = server.handle();
     let node = NodeTask {
         cfg: cfg.clone(),
--- a/crates/agent/src/request/forward.rs
+++ b/crates/agent/src/request/forward.rs
@@ -187,7 +187,7 @@
         let address = self.target.address();
         let tls_connect = async {
             let stream = open_connection(address).await?;
-            credentials.secure(address, stream).await
+            credentials.connect_tls(address, stream).await
         };
         let stream = self.connect(tls_connect).await?;
         self.send_on(stream).await
--- a/crates/auth/src/connection/names.rs
+++ b/crates/auth/src/connection/identity.rs
@@ -14,47 +14,49 @@
 /// The names end in `internal`, which is reserved for private use, so no
 /// public CA issues them.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Names {
+pub struct CertificateIdentity {
     /// A control host.
-    pub control: bool,
+    pub is_control_host: bool,
     /// A balancer or an agent.
-    pub node: bool,
+    pub is_node: bool,
     /// The operators for whom the holder may ask.
     pub operators: BTreeSet<OperatorName>,
 }
 
-impl Names {
+impl CertificateIdentity {
     /// DNS name of a control host.
-    pub const CONTROL: &str = "control.limpetplank.internal";
+    pub const CONTROL_DNS_NAME: &str = "control.limpetplank.internal";
 
     /// DNS name of a balancer or an agent.
-    pub const NODE: &str = "node.limpetplank.internal";
+    pub const NODE_DNS_NAME: &str = "node.limpetplank.internal";
 
     /// Reads the DNS names of a certificate. Names of other kinds, wildcards
     /// included, say nothing.
-    pub fn read<'a>(names: impl IntoIterator<Item = &'a str>) -> Self {
-        let mut read = Names::default();
+    pub fn from_dns_names<'a>(names: impl IntoIterator<Item = &'a str>) -> Self {
+        let mut identity = CertificateIdentity::default();
         for name in names {
             match name {
-                Self::CONTROL => read.control = true,
-                Self::NODE => read.node = true,
+                Self::CONTROL_DNS_NAME => identity.is_control_host = true,
+                Self::NODE_DNS_NAME => identity.is_node = true,
                 // A wildcard is not a valid name of an operator.
                 _ => {
                     let operator = name.strip_suffix(OPERATOR);
-                    read.operators.extend(operator.and_then(|o| o.parse().ok()));
+                    identity
+                        .operators
+                        .extend(operator.and_then(|o| o.parse().ok()));
                 }
             }
         }
-        read
+        identity
     }
 
     /// Reads a certificate that the TLS library has verified. One that cannot
     /// be read says nothing.
     #[must_use]
-    pub fn of(certificate: &CertificateDer<'_>) -> Self {
+    pub fn from_certificate(certificate: &CertificateDer<'_>) -> Self {
         match EndEntityCert::try_from(certificate) {
-            Ok(certificate) => Names::read(certificate.valid_dns_names()),
-            Err(_) => Names::default(),
+            Ok(certificate) => CertificateIdentity::from_dns_names(certificate.valid_dns_names()),
+            Err(_) => CertificateIdentity::default(),
         }
     }
 }
--- a/crates/auth/src/connection/mod.rs
+++ b/crates/auth/src/connection/mod.rs
@@ -1,5 +1,5 @@
 //! What lives as long as a connection.
 
-mod names;
+mod identity;
 
-pub use names::Names;
+pub use identity::CertificateIdentity;
--- a/crates/auth/src/lib.rs
+++ b/crates/auth/src/lib.rs
@@ -11,16 +11,16 @@
 //! | `NAME.operator.limpetplank.internal` | the operator `NAME` |
 //!
 //! - [`process`]: [`Credentials`], read once at start;
-//! - [`connection`]: [`Names`], what the certificate of a peer says;
-//! - [`request`]: [`allow`], the decision, and [`Gate`], which enforces it in a
+//! - [`connection`]: [`CertificateIdentity`], what the certificate of a peer says;
+//! - [`request`]: [`authorize_path`], the decision, and [`Authorizer`], which enforces it in a
 //!   server.
 //!
 //! ```
-//! use auth::{Names, Port, Refusal, allow};
+//! use auth::{CertificateIdentity, ServerKind, DenyReason, authorize_path};
 //!
-//! let node = Names::read(["node.limpetplank.internal"]);
-//! assert_eq!(allow(Port::Control, "/v1/sync", &node), Ok(()));
-//! assert_eq!(allow(Port::Control, "/v1/change", &node), Err(Refusal::Role));
+//! let node = CertificateIdentity::from_dns_names(["node.limpetplank.internal"]);
+//! assert_eq!(authorize_path(ServerKind::Control, "/v1/sync", &node), Ok(()));
+//! assert_eq!(authorize_path(ServerKind::Control, "/v1/change", &node), Err(DenyReason::Role));
 //! ```
 
 pub mod connection;
@@ -28,7 +28,10 @@
 pub mod process;
 pub mod request;
 
-pub use connection::Names;
+pub use connection::CertificateIdentity;
 pub use error::{Error, Result};
-pub use process::{Credentials, Files};
-pub use request::{Gate, Port, Refusal, allow, enforce, may_author, refuse_author};
+pub use process::{CredentialFiles, Credentials};
+pub use request::{
+    Authorizer, DenyReason, ServerKind, authorize_author, authorize_path, authorize_request,
+    deny_unless_author,
+};
--- a/crates/auth/src/process/credentials.rs
+++ b/crates/auth/src/process/credentials.rs
@@ -17,7 +17,7 @@
 use tokio::net::TcpStream;
 use tokio_rustls::{TlsConnector, client::TlsStream};
 
-use crate::{Error, Names, Result};
+use crate::{CertificateIdentity, Error, Result};
 
 const CA: &str = "--tls-ca";
 const CERTIFICATE: &str = "--tls-certificate";
@@ -25,7 +25,7 @@
 
 /// The files that the settings name, all in PEM.
 #[derive(Debug, Clone)]
-pub struct Files {
+pub struct CredentialFiles {
     /// Certificates of the CA, as `--tls-ca` names it.
     pub ca: PathBuf,
     /// Certificate chain of the process, as `--tls-certificate` names it.
@@ -41,13 +41,13 @@
 pub struct Credentials {
     client: Arc<ClientConfig>,
     server: Arc<ServerConfig>,
-    names: Names,
+    identity: CertificateIdentity,
 }
 
 impl fmt::Debug for Credentials {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Credentials")
-            .field("names", &self.names)
+            .field("identity", &self.identity)
             .finish_non_exhaustive()
     }
 }
@@ -59,7 +59,7 @@
     ///
     /// A file cannot be read, or its contents cannot be used. The error names
     /// the setting and the file.
-    pub fn read(files: &Files) -> Result<Self> {
+    pub fn read(files: &CredentialFiles) -> Result<Self> {
         let mut roots = RootCertStore::empty();
         for root in certificates(CA, &files.ca)? {
             roots
@@ -74,7 +74,10 @@
             cause,
         })?;
         Ok(Credentials {
-            names: chain.first().map(Names::of).unwrap_or_default(),
+            identity: chain
+                .first()
+                .map(CertificateIdentity::from_certificate)
+                .unwrap_or_default(),
             client: client(files, roots.clone(), chain.clone(), key.clone_key())?,
             server: server(files, roots, chain, key)?,
         })
@@ -82,21 +85,21 @@
 
     /// What the certificate of this process says of it.
     #[must_use]
-    pub fn names(&self) -> &Names {
-        &self.names
+    pub fn identity(&self) -> &CertificateIdentity {
+        &self.identity
     }
 
     /// Settings of a client that shows its certificate and verifies that of
     /// the server.
     #[must_use]
-    pub fn client(&self) -> Arc<ClientConfig> {
+    pub fn client_config(&self) -> Arc<ClientConfig> {
         self.client.clone()
     }
 
     /// Settings of a server that requires a certificate of the CA from every
     /// client.
     #[must_use]
-    pub fn server(&self) -> ServerConfig {
+    pub fn server_config(&self) -> ServerConfig {
         (*self.server).clone()
     }
 
@@ -106,7 +109,7 @@
     /// # Errors
     ///
     /// The handshake failed; nothing was sent but the handshake.
-    pub async fn secure(
+    pub async fn connect_tls(
         &self,
         address: SocketAddr,
         stream: TcpStream,
@@ -122,7 +125,7 @@
 }
 
 fn client(
-    files: &Files,
+    files: &CredentialFiles,
     roots: Arc<RootCertStore>,
     chain: Vec<CertificateDer<'static>>,
     key: PrivateKeyDer<'static>,
@@ -138,7 +141,7 @@
 }
 
 fn server(
-    files: &Files,
+    files: &CredentialFiles,
     roots: Arc<RootCertStore>,
     chain: Vec<CertificateDer<'static>>,
     key: PrivateKeyDer<'static>,
--- a/crates/auth/src/process/mod.rs
+++ b/crates/auth/src/process/mod.rs
@@ -2,4 +2,4 @@
 
 mod credentials;
 
-pub use credentials::{Credentials, Files};
+pub use credentials::{CredentialFiles, Credentials};
--- a/crates/auth/src/request/gate.rs
+++ b/crates/auth/src/request/authorizer.rs
@@ -13,82 +13,87 @@
 use tokio::net::TcpStream;
 use types::OperatorName;
 
-use super::{Port, Refusal, allow, may_author};
-use crate::{Credentials, Names};
+use super::{DenyReason, ServerKind, authorize_author, authorize_path};
+use crate::{CertificateIdentity, Credentials};
 
 /// Refuses what the holder of a certificate may not ask for.
 #[derive(Clone)]
-pub struct Gate {
-    port: Port,
+pub struct Authorizer {
+    server: ServerKind,
     /// Whether the server has credentials. Without them all is allowed.
-    closed: bool,
+    authenticated: bool,
     refused: IntCounterVec,
 }
 
-impl Gate {
-    /// Creates the gate of a server and registers its metric.
+impl Authorizer {
+    /// Creates the authorizer of a server and registers its metric.
     ///
     /// # Errors
     ///
     /// The registry already has the metric.
     pub fn new(
-        port: Port,
+        server: ServerKind,
         credentials: Option<&Credentials>,
         registry: &Registry,
     ) -> prometheus::Result<Self> {
-        let (name, process) = match port {
-            Port::Control => ("limpet_control_forbidden_requests_total", "control"),
-            Port::Peer => ("limpet_agent_forbidden_requests_total", "agent"),
+        let (name, process) = match server {
+            ServerKind::Control => ("limpet_control_forbidden_requests_total", "control"),
+            ServerKind::Peer => ("limpet_agent_forbidden_requests_total", "agent"),
         };
         let opts = Opts::new(name, "Requests that were refused by reason of who asked.");
         let refused = IntCounterVec::new(opts, &["reason"])?;
         registry.register(Box::new(refused.clone()))?;
         if credentials.is_none() {
             log::warn!(
+                target: "auth::request::gate",
                 event = "not_authenticated", process;
                 "the port is not authenticated; set --tls-ca, --tls-certificate and --tls-key"
             );
         }
-        Ok(Gate {
-            port,
-            closed: credentials.is_some(),
+        Ok(Authorizer {
+            server,
+            authenticated: credentials.is_some(),
             refused,
         })
     }
 
     /// Keeps what the certificate of a new connection says. A callback for
     /// `HttpServer::on_connect`.
-    pub fn note(connection: &dyn Any, data: &mut Extensions) {
+    pub fn record_identity(connection: &dyn Any, data: &mut Extensions) {
         let Some(stream) = connection.downcast_ref::<TlsStream<TcpStream>>() else {
             return;
         };
         let (_, session) = stream.get_ref();
         let chain = session.peer_certificates().unwrap_or_default();
         if let Some(certificate) = chain.first() {
-            data.insert(Names::of(certificate));
+            data.insert(CertificateIdentity::from_certificate(certificate));
         }
     }
 
     /// Decides about a request by its path.
-    fn check(&self, req: &HttpRequest) -> Result<(), Refusal> {
-        self.judge(req, |names| allow(self.port, req.path(), names))
+    fn check(&self, req: &HttpRequest) -> Result<(), DenyReason> {
+        self.check_identity(req, |identity| {
+            authorize_path(self.server, req.path(), identity)
+        })
     }
 
-    fn judge(
+    fn check_identity(
         &self,
         req: &HttpRequest,
-        rule: impl FnOnce(&Names) -> Result<(), Refusal>,
-    ) -> Result<(), Refusal> {
-        if !self.closed {
+        rule: impl FnOnce(&CertificateIdentity) -> Result<(), DenyReason>,
+    ) -> Result<(), DenyReason> {
+        if !self.authenticated {
             return Ok(());
         }
-        let names = req.conn_data::<Names>().ok_or(Refusal::NoCertificate)?;
-        rule(names)
+        let identity = req
+            .conn_data::<CertificateIdentity>()
+            .ok_or(DenyReason::NoCertificate)?;
+        rule(identity)
     }
 
-    fn refuse(&self, req: &HttpRequest, refusal: Refusal) -> HttpResponse {
-        self.refused.with_label_values(&[refusal.label()]).inc();
-        log::debug!(event = "forbidden", path = req.path(), reason = refusal.label(); "request refused");
+    fn refuse(&self, req: &HttpRequest, reason: DenyReason) -> HttpResponse {
+        self.refused.with_label_values(&[reason.label()]).inc();
+        log::debug!(target: "auth::request::gate", event = "forbidden", path = req.path(), reason = reason.label(); "request refused");
         forbidden()
     }
 }
@@ -96,12 +101,12 @@
 /// The answer to a request for a change, if whoever sent it may not make
 /// changes in the name of `author`.
 #[must_use]
-pub fn refuse_author(req: &HttpRequest, author: &OperatorName) -> Option<HttpResponse> {
-    let Some(gate) = req.app_data::<Gate>() else {
+pub fn deny_unless_author(req: &HttpRequest, author: &OperatorName) -> Option<HttpResponse> {
+    let Some(authorizer) = req.app_data::<Authorizer>() else {
         return Some(forbidden());
     };
-    let checked = gate.judge(req, |names| may_author(author, names));
-    checked.err().map(|refusal| gate.refuse(req, refusal))
+    let checked = authorizer.check_identity(req, |identity| authorize_author(author, identity));
+    checked.err().map(|reason| authorizer.refuse(req, reason))
 }
 
 fn forbidden() -> HttpResponse {
@@ -109,23 +114,23 @@
 }
 
 /// Middleware that lets only allowed requests through to the handlers. The
-/// [`Gate`] is among the data of the application; without it nothing is
+/// [`Authorizer`] is among the data of the application; without it nothing is
 /// allowed.
 ///
 /// # Errors
 ///
 /// Those of the handlers.
-pub async fn enforce<B: MessageBody + 'static>(
+pub async fn authorize_request<B: MessageBody + 'static>(
     req: ServiceRequest,
     next: Next<B>,
 ) -> Result<ServiceResponse<BoxBody>, Error> {
-    let Some(gate) = req.app_data::<Gate>() else {
+    let Some(authorizer) = req.app_data::<Authorizer>() else {
         return Ok(req.into_response(forbidden()));
     };
-    match gate.check(req.request()) {
+    match authorizer.check(req.request()) {
         Ok(()) => Ok(next.call(req).await?.map_into_boxed_body()),
-        Err(refusal) => {
-            let answer = gate.refuse(req.request(), refusal);
+        Err(reason) => {
+            let answer = authorizer.refuse(req.request(), reason);
             Ok(req.into_response(answer))
         }
     }
--- a/crates/auth/src/request/mod.rs
+++ b/crates/auth/src/request/mod.rs
@@ -1,7 +1,7 @@
 //! What a request may ask for.
 
-mod gate;
+mod authorizer;
 mod rule;
 
-pub use gate::{Gate, enforce, refuse_author};
-pub use rule::{Port, Refusal, allow, may_author};
+pub use authorizer::{Authorizer, authorize_request, deny_unless_author};
+pub use rule::{DenyReason, ServerKind, authorize_author, authorize_path};
--- a/crates/auth/src/request/rule.rs
+++ b/crates/auth/src/request/rule.rs
@@ -2,11 +2,11 @@
 
 use types::OperatorName;
 
-use crate::Names;
+use crate::CertificateIdentity;
 
 /// A port of the system's own processes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Port {
+pub enum ServerKind {
     /// The port of a control host.
     Control,
     /// The port on which an agent takes requests of its peers. Requests that
@@ -16,7 +16,7 @@
 
 /// Why a request is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Refusal {
+pub enum DenyReason {
     /// The connection has no verified certificate.
     NoCertificate,
     /// The holder of the certificate may not ask for this path.
@@ -27,15 +27,15 @@
     Author,
 }
 
-impl Refusal {
+impl DenyReason {
     /// The reason as metrics name it.
     #[must_use]
     pub fn label(self) -> &'static str {
         match self {
-            Refusal::NoCertificate => "no_certificate",
-            Refusal::Role => "role",
-            Refusal::Path => "path",
-            Refusal::Author => "author",
+            DenyReason::NoCertificate => "no_certificate",
+            DenyReason::Role => "role",
+            DenyReason::Path => "path",
+            DenyReason::Author => "author",
         }
     }
 }
@@ -45,17 +45,21 @@
 /// # Errors
 ///
 /// It may not.
-pub fn allow(port: Port, path: &str, names: &Names) -> Result<(), Refusal> {
-    let operator = !names.operators.is_empty();
-    let allowed = match (port, path) {
-        (Port::Peer, _) | (Port::Control, "/v1/sync") => names.node,
-        (Port::Control, "/v1/consensus") => names.control,
+pub fn authorize_path(
+    server: ServerKind,
+    path: &str,
+    identity: &CertificateIdentity,
+) -> Result<(), DenyReason> {
+    let operator = !identity.operators.is_empty();
+    let allowed = match (server, path) {
+        (ServerKind::Peer, _) | (ServerKind::Control, "/v1/sync") => identity.is_node,
+        (ServerKind::Control, "/v1/consensus") => identity.is_control_host,
         // `limpetctl control add` asks a blank host for its id.
-        (Port::Control, "/v1/hello") => names.control || operator,
-        (Port::Control, "/v1/change" | "/v1/query" | "/v1/group") => operator,
-        (Port::Control, _) => return Err(Refusal::Path),
+        (ServerKind::Control, "/v1/hello") => identity.is_control_host || operator,
+        (ServerKind::Control, "/v1/change" | "/v1/query" | "/v1/group") => operator,
+        (ServerKind::Control, _) => return Err(DenyReason::Path),
     };
-    allowed.then_some(()).ok_or(Refusal::Role)
+    allowed.then_some(()).ok_or(DenyReason::Role)
 }
 
 /// Decides whether the holder of a certificate may make changes in the name
@@ -64,7 +68,10 @@
 /// # Errors
 ///
 /// It may not.
-pub fn may_author(author: &OperatorName, names: &Names) -> Result<(), Refusal> {
-    let own = names.operators.contains(author);
-    own.then_some(()).ok_or(Refusal::Author)
+pub fn authorize_author(
+    author: &OperatorName,
+    identity: &CertificateIdentity,
+) -> Result<(), DenyReason> {
+    let own = identity.operators.contains(author);
+    own.then_some(()).ok_or(DenyReason::Author)
 }
--- a/crates/auth/tests/rules.rs
+++ b/crates/auth/tests/rules.rs
@@ -1,6 +1,6 @@
 //! Who may ask for what, and what a certificate says.
 
-use auth::{Names, Port, Refusal, allow, may_author};
+use auth::{CertificateIdentity, DenyReason, ServerKind, authorize_author, authorize_path};
 use rcgen::{CertificateParams, KeyPair};
 
 const STRANGER: &[&str] = &["app1.example"];
@@ -11,31 +11,31 @@
 /// Roles in the order of the columns of [`TABLE`].
 const ROLES: [&[&str]; 4] = [STRANGER, CONTROL, NODE, OPERATOR];
 
-const YES: Result<(), Refusal> = Ok(());
-const NO: Result<(), Refusal> = Err(Refusal::Role);
-const NOBODY: Result<(), Refusal> = Err(Refusal::Path);
+const YES: Result<(), DenyReason> = Ok(());
+const NO: Result<(), DenyReason> = Err(DenyReason::Role);
+const NOBODY: Result<(), DenyReason> = Err(DenyReason::Path);
 
-type Row = (Port, &'static str, [Result<(), Refusal>; 4]);
+type Row = (ServerKind, &'static str, [Result<(), DenyReason>; 4]);
 
 /// Every path and every role.
 const TABLE: &[Row] = &[
-    (Port::Control, "/v1/consensus", [NO, YES, NO, NO]),
-    (Port::Control, "/v1/hello", [NO, YES, NO, YES]),
-    (Port::Control, "/v1/sync", [NO, NO, YES, NO]),
-    (Port::Control, "/v1/change", [NO, NO, NO, YES]),
-    (Port::Control, "/v1/query", [NO, NO, NO, YES]),
-    (Port::Control, "/v1/group", [NO, NO, NO, YES]),
-    (Port::Control, "/", [NOBODY; 4]),
-    (Port::Control, "/v1/%63hange", [NOBODY; 4]),
-    (Port::Control, "/v1/change/", [NOBODY; 4]),
-    (Port::Control, "/v1/reserve", [NOBODY; 4]),
-    (Port::Peer, "/v1/reserve", [NO, NO, YES, NO]),
-    (Port::Peer, "/v1/release", [NO, NO, YES, NO]),
-    (Port::Peer, "/v1/offer", [NO, NO, YES, NO]),
-    (Port::Peer, "/v1/begin", [NO, NO, YES, NO]),
-    (Port::Peer, "/v1/end", [NO, NO, YES, NO]),
-    (Port::Peer, "/claim/1", [NO, NO, YES, NO]),
-    (Port::Peer, "/v1/change", [NO, NO, YES, NO]),
+    (ServerKind::Control, "/v1/consensus", [NO, YES, NO, NO]),
+    (ServerKind::Control, "/v1/hello", [NO, YES, NO, YES]),
+    (ServerKind::Control, "/v1/sync", [NO, NO, YES, NO]),
+    (ServerKind::Control, "/v1/change", [NO, NO, NO, YES]),
+    (ServerKind::Control, "/v1/query", [NO, NO, NO, YES]),
+    (ServerKind::Control, "/v1/group", [NO, NO, NO, YES]),
+    (ServerKind::Control, "/", [NOBODY; 4]),
+    (ServerKind::Control, "/v1/%63hange", [NOBODY; 4]),
+    (ServerKind::Control, "/v1/change/", [NOBODY; 4]),
+    (ServerKind::Control, "/v1/reserve", [NOBODY; 4]),
+    (ServerKind::Peer, "/v1/reserve", [NO, NO, YES, NO]),
+    (ServerKind::Peer, "/v1/release", [NO, NO, YES, NO]),
+    (ServerKind::Peer, "/v1/offer", [NO, NO, YES, NO]),
+    (ServerKind::Peer, "/v1/begin", [NO, NO, YES, NO]),
+    (ServerKind::Peer, "/v1/end", [NO, NO, YES, NO]),
+    (ServerKind::Peer, "/claim/1", [NO, NO, YES, NO]),
+    (ServerKind::Peer, "/v1/change", [NO, NO, YES, NO]),
 ];
 
 /// Guards against a path that is open to the wrong role, or closed to the
@@ -44,12 +44,20 @@
 fn every_path_and_every_role() {
     for (port, path, expected) in TABLE {
         for (names, expected) in ROLES.iter().zip(expected) {
-            let read = Names::read(names.iter().copied());
-            assert_eq!(allow(*port, path, &read), *expected, "{path} {names:?}");
+            let identity = CertificateIdentity::from_dns_names(names.iter().copied());
+            assert_eq!(
+                authorize_path(*port, path, &identity),
+                *expected,
+                "{path} {names:?}"
+            );
         }
-        let all = Names::read(ROLES.concat());
+        let all = CertificateIdentity::from_dns_names(ROLES.concat());
         let any = expected.iter().any(Result::is_ok);
-        assert_eq!(allow(*port, path, &all).is_ok(), any, "{path}, all roles");
+        assert_eq!(
+            authorize_path(*port, path, &all).is_ok(),
+            any,
+            "{path}, all roles"
+        );
     }
 }
 
@@ -70,25 +78,29 @@
         "control.limpetplank.example",
         "alice.operatorXlimpetplank.internal",
     ] {
-        assert_eq!(Names::read([name]), Names::default(), "{name}");
+        assert_eq!(
+            CertificateIdentity::from_dns_names([name]),
+            CertificateIdentity::default(),
+            "{name}"
+        );
     }
 }
 
 /// Guards against a change in the name of another operator.
 #[test]
 fn an_author_is_a_name_of_the_certificate() {
-    let names = Names::read(OPERATOR.iter().copied());
+    let names = CertificateIdentity::from_dns_names(OPERATOR.iter().copied());
     let cases = [
         ("alice", Ok(())),
-        ("bob", Err(Refusal::Author)),
-        ("Alice", Err(Refusal::Author)),
-        ("alice.operator", Err(Refusal::Author)),
+        ("bob", Err(DenyReason::Author)),
+        ("Alice", Err(DenyReason::Author)),
+        ("alice.operator", Err(DenyReason::Author)),
     ];
     for (author, expected) in cases {
         let author = author.parse().unwrap();
-        assert_eq!(may_author(&author, &names), expected, "{author}");
-        let node = Names::read(NODE.iter().copied());
-        assert_eq!(may_author(&author, &node), Err(Refusal::Author));
+        assert_eq!(authorize_author(&author, &names), expected, "{author}");
+        let node = CertificateIdentity::from_dns_names(NODE.iter().copied());
+        assert_eq!(authorize_author(&author, &node), Err(DenyReason::Author));
     }
 }
 
@@ -105,8 +117,14 @@
         .distinguished_name
         .push(rcgen::DnType::CommonName, subject);
     let certificate = params.self_signed(&KeyPair::generate().unwrap()).unwrap();
-    let read = Names::of(certificate.der());
-    assert_eq!(read, Names::read(ROLES.concat()));
-    assert_eq!(read.operators.len(), 1);
-    assert_eq!(Names::of(&vec![1, 2, 3].into()), Names::default());
+    let identity = CertificateIdentity::from_certificate(certificate.der());
+    assert_eq!(
+        identity,
+        CertificateIdentity::from_dns_names(ROLES.concat())
+    );
+    assert_eq!(identity.operators.len(), 1);
+    assert_eq!(
+        CertificateIdentity::from_certificate(&vec![1, 2, 3].into()),
+        CertificateIdentity::default()
+    );
 }
--- a/crates/client/src/process/mod.rs
+++ b/crates/client/src/process/mod.rs
@@ -59,7 +59,7 @@
         let connector = Connector::new().connector(tcp);
         Http {
             client: builder
-                .connector(connector.rustls_0_23(credentials.client()))
+                .connector(connector.rustls_0_23(credentials.client_config()))
                 .finish(),
             traffic: Rc::default(),
             scheme: "https",
--- a/crates/control/src/process/http.rs
+++ b/crates/control/src/process/http.rs
@@ -5,7 +5,7 @@
 use actix_web::{
     App, HttpRequest, HttpResponse, HttpServer, dev::Server, middleware::from_fn, web,
 };
-use auth::Gate;
+use auth::Authorizer;
 use bytes::Bytes;
 use consensus::Message;
 use serde::{Serialize, de::DeserializeOwned};
@@ -33,15 +33,15 @@
     cfg: &Settings,
     listener: TcpListener,
     tx: mpsc::Sender<GroupCommand>,
-    gate: Gate,
+    authorizer: Authorizer,
 ) -> Result<Server> {
     let tx = web::Data::new(tx);
     let factory = move || {
         App::new()
             .app_data(tx.clone())
-            .app_data(gate.clone())
-            .wrap(from_fn(auth::enforce))
-            .app_data(web::PayloadConfig::new(wire::MAX_MESSAGE_LEN))
+            .app_data(authorizer.clone())
+            .wrap(from_fn(auth::authorize_request))
+            .app_data(web::PayloadConfig::new(wire::MAX_MESSAGE))
             .route(CONSENSUS_PATH, web::post().to(consensus))
             .route(HELLO_PATH, web::post().to(hello))
             .route("/v1/change", web::post().to(change))
@@ -51,13 +51,13 @@
     };
     let server = HttpServer::new(factory)
         .workers(WORKERS)
-        .on_connect(Gate::note)
+        .on_connect(Authorizer::record_identity)
         .disable_signals()
         .shutdown_timeout(1)
         // A node that closed its connection waits no more.
         .h1_allow_half_closed(false);
     let server = match &cfg.credentials {
-        Some(credentials) => server.listen_rustls_0_23(listener, credentials.server()),
+        Some(credentials) => server.listen_rustls_0_23(listener, credentials.server_config()),
         None => server.listen(listener),
     };
     Ok(server.map_err(|e| Error::Bind(cfg.listen, e))?.run())
@@ -88,7 +88,7 @@
         return HttpResponse::BadRequest().finish();
     }
     // Before the change is proposed: the audit trail has only true authors.
-    if let Some(refusal) = auth::refuse_author(&http, &req.author) {
+    if let Some(refusal) = auth::deny_unless_author(&http, &req.author) {
         return refusal;
     }
     let lost = Some(ChangeReply::Unknown);
@@ -110,7 +110,7 @@
     let Ok(req) = wire::decode::<GroupChangeRequest>(&body) else {
         return HttpResponse::BadRequest().finish();
     };
-    if let Some(refusal) = auth::refuse_author(&http, &req.author) {
+    if let Some(refusal) = auth::deny_unless_author(&http, &req.author) {
         return refusal;
     }
     let lost = Some(GroupReply::Unknown);
--- a/crates/control/src/process/run.rs
+++ b/crates/control/src/process/run.rs
@@ -7,7 +7,7 @@
 };
 
 use actix_rt::time::sleep;
-use auth::{Gate, Port};
+use auth::{Authorizer, ServerKind};
 use client::Http;
 use consensus::{Consensus, Group, MemberIdentity};
 use prometheus::Registry;
@@ -66,8 +66,8 @@
     log::info!(event = "control_started", member:% = me.id, listen:% = address; "control host started");
 
     let (tx, rx) = mpsc::channel(COMMANDS);
-    let gate = Gate::new(Port::Control, cfg.credentials.as_ref(), registry)?;
-    let server = http::serve(&cfg, listener, tx.clone(), gate)?;
+    let authorizer = Authorizer::new(ServerKind::Control, cfg.credentials.as_ref(), registry)?;
+    let server = http::serve(&cfg, listener, tx.clone(), authorizer)?;
     let server_handle = server.handle();
     let server = actix_rt::spawn(async move {
         let _ = server.await;
--- a/crates/limpetctl/src/process/settings.rs
+++ b/crates/limpetctl/src/process/settings.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, path::PathBuf, time::Duration};
 
-use auth::{Credentials, Files};
+use auth::{CredentialFiles, Credentials};
 use clap::{ArgGroup, Args, CommandFactory, Parser, Subcommand, error::ErrorKind, value_parser};
 use http::{HeaderName, HeaderValue, Method};
 use types::{
@@ -94,7 +94,7 @@
             }
             return None;
         };
-        let files = Files {
+        let files = CredentialFiles {
             ca: ca.clone(),
             certificate: certificate.clone(),
             key: key.clone(),
@@ -102,7 +102,7 @@
         let credentials = Credentials::read(&files)
             .unwrap_or_else(|e| exit_with_usage_error(ErrorKind::ValueValidation, e));
         if let Some(operator) = &self.operator
-            && !credentials.names().operators.contains(operator)
+            && !credentials.identity().operators.contains(operator)
         {
             let message = format!(
                 "invalid value '{operator}' for '--operator <NAME>': expected a name that the \
--- a/crates/limpetd/src/process/tls.rs
+++ b/crates/limpetd/src/process/tls.rs
@@ -2,7 +2,7 @@
 
 use std::path::PathBuf;
 
-use auth::{Credentials, Files, Names};
+use auth::{CertificateIdentity, CredentialFiles, Credentials};
 use clap::Args;
 
 use crate::error::{Error, Result};
@@ -44,33 +44,36 @@
 }
 
 impl TlsArgs {
-    /// Reads the credentials of a control host. `None` if no files are set.
-    pub fn control_credentials(&self) -> Result<Option<Credentials>> {
-        self.read_credentials(Names::CONTROL, |names| names.control)
+    /// Reads the files of a control host, if they are set.
+    pub fn control(&self) -> Result<Option<Credentials>> {
+        self.read(CertificateIdentity::CONTROL_DNS_NAME, |identity| {
+            identity.is_control_host
+        })
     }
 
-    /// Reads the credentials of a balancer or an agent. `None` if no files are
-    /// set.
-    pub fn node_credentials(&self) -> Result<Option<Credentials>> {
-        self.read_credentials(Names::NODE, |names| names.node)
+    /// Reads the files of a balancer or an agent, if they are set.
+    pub fn node(&self) -> Result<Option<Credentials>> {
+        self.read(CertificateIdentity::NODE_DNS_NAME, |identity| {
+            identity.is_node
+        })
     }
 
     fn read_credentials(
         &self,
-        required_name: &'static str,
-        has_required_name: impl FnOnce(&Names) -> bool,
+        expected: &'static str,
+        has: impl FnOnce(&CertificateIdentity) -> bool,
     ) -> Result<Option<Credentials>> {
         let (Some(ca), Some(certificate), Some(key)) = (&self.ca, &self.certificate, &self.key)
         else {
             return Ok(None);
         };
-        let files = Files {
+        let files = CredentialFiles {
             ca: ca.clone(),
             certificate: certificate.clone(),
             key: key.clone(),
         };
         let credentials = Credentials::read(&files)?;
-        if has_required_name(credentials.names()) {
+        if has(credentials.identity()) {
             return Ok(Some(credentials));
         }
         Err(Error::CertificateName(files.certificate, required_name))
--- a/crates/limpetd/tests/harness/certificates.rs
+++ b/crates/limpetd/tests/harness/certificates.rs
@@ -6,7 +6,7 @@
     path::{Path, PathBuf},
 };
 
-use auth::{Credentials, Files};
+use auth::{CredentialFiles, Credentials};
 use rcgen::{
     BasicConstraints, CertificateParams, CertifiedIssuer, ExtendedKeyUsagePurpose, IsCa, KeyPair,
     KeyUsagePurpose, date_time_ymd,
@@ -36,14 +36,14 @@
         self.dir.join("ca.pem")
     }
 
-    /// Issues a certificate for a DNS name and, if given, an IP address.
-    pub fn issue(&self, name: &str, address: Option<IpAddr>) -> Files {
-        self.issue_with(name, address, |_| ())
+    /// Issues a certificate for a DNS name and an address.
+    pub fn issue(&self, name: &str, address: Option<IpAddr>) -> CredentialFiles {
+        self.write(name, address, |_| ())
     }
 
     /// Issues a certificate that has expired.
-    pub fn issue_expired(&self, name: &str) -> Files {
-        self.issue_with(name, None, |params| {
+    pub fn issue_expired(&self, name: &str) -> CredentialFiles {
+        self.write(name, None, |params| {
             params.not_after = date_time_ymd(2020, 1, 1);
         })
     }
@@ -52,8 +52,8 @@
         &self,
         name: &str,
         address: Option<IpAddr>,
-        adjust: impl FnOnce(&mut CertificateParams),
-    ) -> Files {
+        change: impl FnOnce(&mut CertificateParams),
+    ) -> CredentialFiles {
         let names: Vec<String> = [name.to_owned()]
             .into_iter()
             .chain(address.map(|a| a.to_string()))
@@ -67,7 +67,7 @@
         adjust(&mut params);
         let key = KeyPair::generate().expect("key");
         let certificate = params.signed_by(&key, &self.issuer).expect("certificate");
-        let files = Files {
+        let files = CredentialFiles {
             ca: self.ca(),
             certificate: self.dir.join(format!("{file_stem}.pem")),
             key: self.dir.join(format!("{file_stem}.key")),
@@ -78,13 +78,13 @@
     }
 }
 
-/// Reads the credentials from the files.
-pub fn read_credentials(files: &Files) -> Credentials {
+/// The credentials in the files.
+pub fn credentials(files: &CredentialFiles) -> Credentials {
     Credentials::read(files).expect("credentials")
 }
 
-/// The `--tls-*` flags for the files.
-pub fn tls_flags(files: &Files) -> [String; 3] {
+/// The flags that name the files.
+pub fn flags(files: &CredentialFiles) -> [String; 3] {
     [
         format!("--tls-ca={}", files.ca.display()),
         format!("--tls-certificate={}", files.certificate.display()),
--- a/crates/limpetd/tests/harness/mod.rs
+++ b/crates/limpetd/tests/harness/mod.rs
@@ -16,7 +16,7 @@
     time::{Duration, Instant},
 };
 
-use auth::Names;
+use auth::CertificateIdentity;
 use bytes::Bytes;
 use caller::{Answer, Caller, Endpoint, Trust};
 use certificates::{CertificateAuthority, read_credentials, tls_flags};
@@ -239,8 +239,11 @@
             format!("--group={}", group.join(",")),
             format!("--metrics-listen={}", address(self.plan.range, 1 + n, 7300)),
         ];
-        args.extend(self.tls_args(Names::CONTROL, control_address(self.plan, n)));
-        Process::start(&args, &self.next_log_path(&format!("control-{n}")))
+        args.extend(self.tls_args(
+            CertificateIdentity::CONTROL_DNS_NAME,
+            control_address(self.plan, n),
+        ));
+        Process::start(&args, &self.log(&format!("control-{n}")))
     }
 
     pub fn node_args(&self, host: &str, n: u8) -> [String; 3] {
@@ -271,8 +274,8 @@
         args.push(format!("--fabric-listen={}", fabric_address(self.plan, n)));
         let return_address = address(self.plan.range, 11 + n, 7100);
         args.push(format!("--return-listen={return_address}"));
-        args.extend(self.tls_args(Names::NODE, return_address));
-        Process::start(&args, &self.next_log_path(&format!("balancer-{n}")))
+        args.extend(self.tls_args(CertificateIdentity::NODE_DNS_NAME, return_address));
+        Process::start(&args, &self.log(&format!("balancer-{n}")))
     }
 
     pub fn start_agent(&mut self, n: u8) -> Process {
@@ -290,7 +293,10 @@
             address(self.plan.range, 51 + n, 7201)
         ));
         args.push(format!("--stay-at-most={}", self.plan.stay_at_most));
-        args.extend(self.tls_args(Names::NODE, peer_address(self.plan, n)));
+        args.extend(self.tls_args(
+            CertificateIdentity::NODE_DNS_NAME,
+            peer_address(self.plan, n),
+        ));
         if let Some(path) = self.plan.load_path {
             args.push(format!("--load-path={path}"));
         }
--- a/crates/limpetd/tests/tls.rs
+++ b/crates/limpetd/tests/tls.rs
@@ -11,7 +11,7 @@
 };
 
 use actix_rt::time::timeout;
-use auth::Names;
+use auth::CertificateIdentity;
 use client::Category;
 use harness::{
     SERVICE, Site, SitePlan, WAIT_TIMEOUT,
@@ -92,26 +92,30 @@
     // client's.
     foreign.ca = ca.ca();
     let expired = ca.issue_expired("operator.operator.limpetplank.internal");
-    let unauthenticated_clients = [
-        ("no certificate", client_without_certificate(ca)),
-        ("another CA", read_credentials(&foreign).client()),
-        ("expired", read_credentials(&expired).client()),
+    let outsiders = [
+        ("no certificate", bare(ca)),
+        ("another CA", credentials(&foreign).client_config()),
+        ("expired", credentials(&expired).client_config()),
     ];
     let authenticated_clients = [
         ("no role", "app1.example", &[][..]),
-        ("control", Names::CONTROL, &["/v1/consensus", "/v1/hello"]),
-        ("node", Names::NODE, &["/v1/sync"]),
+        (
+            "control",
+            CertificateIdentity::CONTROL_DNS_NAME,
+            &["/v1/consensus", "/v1/hello"],
+        ),
+        ("node", CertificateIdentity::NODE_DNS_NAME, &["/v1/sync"]),
         (
             "operator",
             "alice.operator.limpetplank.internal",
             &["/v1/hello", "/v1/change", "/v1/query", "/v1/group"],
         ),
     ]
-    .map(|(role, name, allowed_paths)| {
+    .map(|(role, name, own)| {
         (
             role,
-            read_credentials(&ca.issue(name, None)).client(),
-            allowed_paths,
+            credentials(&ca.issue(name, None)).client_config(),
+            own,
         )
     });
 
@@ -157,7 +161,7 @@
     let site = Site::start_serving(plan(83)).await;
     let before = observable_state(&site).await;
     let ca = site.authority.as_ref().unwrap();
-    let alice = read_credentials(&ca.issue("alice.operator.limpetplank.internal", None)).client();
+    let alice = credentials(&ca.issue("alice.operator.limpetplank.internal", None)).client_config();
     let control = control_address(site.plan, 0);
     let send = async |author: &str| {
         let body = wire::encode(&unauthorized_request(author)).unwrap();
@@ -181,10 +185,13 @@
     let ca = CertificateAuthority::new(dir.path(), "site");
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let own = read_credentials(&ca.issue(Names::CONTROL, Some(address.ip())));
-    let other = CertificateAuthority::new(dir.path(), "other");
-    let foreign = other.issue(Names::CONTROL, Some(address.ip()));
-    let elsewhere = ca.issue(Names::CONTROL, Some(harness::address(84, 1, 1).ip()));
+    let own = credentials(&ca.issue(CertificateIdentity::CONTROL_DNS_NAME, Some(address.ip())));
+    let other = Authority::new(dir.path(), "other");
+    let foreign = other.issue(CertificateIdentity::CONTROL_DNS_NAME, Some(address.ip()));
+    let elsewhere = ca.issue(
+        CertificateIdentity::CONTROL_DNS_NAME,
+        Some(harness::address(84, 1, 1).ip()),
+    );
     let cases = [
         ("own", own.clone(), true),
         ("another CA", read_credentials(&foreign), false),
@@ -194,7 +201,7 @@
     for (which, server, accepted) in cases {
         let serve = async {
             let (stream, _) = listener.accept().await.unwrap();
-            let acceptor = TlsAcceptor::from(Arc::new(server.server()));
+            let acceptor = TlsAcceptor::from(Arc::new(server.server_config()));
             let mut stream = acceptor.accept(stream).await?;
             let mut buf = [0; 4096];
             let len = stream.read(&mut buf).await?;
@@ -225,12 +232,12 @@
     ] {
         let serve = async {
             let (stream, _) = listener.accept().await.unwrap();
-            let acceptor = TlsAcceptor::from(Arc::new(server.server()));
+            let acceptor = TlsAcceptor::from(Arc::new(server.server_config()));
             acceptor.accept(stream).await.map(drop)
         };
         let stream = TcpStream::connect(address).await.unwrap();
-        let (_, secured) = tokio::join!(serve, own.secure(address, stream));
-        assert_eq!(secured.is_ok(), accepted, "{which}");
+        let (_, secured) = tokio::join!(serve, own.connect_tls(address, stream));
+        assert_eq!(secured.is_ok(), believed, "{which}");
     }
 }
 
@@ -242,14 +249,14 @@
     let ca = CertificateAuthority::new(dir.path(), "site");
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let own = read_credentials(&ca.issue(Names::CONTROL, Some(address.ip())));
-    let mut config = (*own.client()).clone();
+    let own = credentials(&ca.issue(CertificateIdentity::CONTROL_DNS_NAME, Some(address.ip())));
+    let mut config = (*own.client_config()).clone();
     config.resumption = Resumption::default();
     let connector = TlsConnector::from(Arc::new(config));
     for _ in 0..3 {
         let serve = async {
             let (stream, _) = listener.accept().await?;
-            let acceptor = TlsAcceptor::from(Arc::new(own.server()));
+            let acceptor = TlsAcceptor::from(Arc::new(own.server_config()));
             let mut stream = acceptor.accept(stream).await?;
             stream.write_all(b"x").await?;
             stream.shutdown().await
@@ -273,16 +280,16 @@
 #[actix_rt::test]
 async fn wrong_tls_files_are_reported_before_any_socket_opens() {
     let dir = tempfile::tempdir().unwrap();
-    let ca = CertificateAuthority::new(dir.path(), "site");
-    let good = ca.issue(Names::CONTROL, None);
-    let node = ca.issue(Names::NODE, None);
+    let ca = Authority::new(dir.path(), "site");
+    let good = ca.issue(CertificateIdentity::CONTROL_DNS_NAME, None);
+    let node = ca.issue(CertificateIdentity::NODE_DNS_NAME, None);
     let missing = dir.path().join("missing.pem");
     let empty = dir.path().join("empty.pem");
     std::fs::write(&empty, "").unwrap();
     // The address is in use, so that binding it would fail with another message.
     let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let taken = taken.local_addr().unwrap();
-    let with = |change: &dyn Fn(&mut auth::Files)| {
+    let with = |change: &dyn Fn(&mut auth::CredentialFiles)| {
         let mut files = good.clone();
         change(&mut files);
         files
