--- a/crates/bench/src/bin/requests.rs
+++ b/crates/bench/src/bin/requests.rs
@@ -19,7 +19,7 @@
     process::{AnyKnown, BalancerPolicy, ReachableOnly, run_with_policy},
 };
 use bytes::Bytes;
-use caller::{Caller, Endpoint, Trust};
+use caller::{Caller, Endpoint, ServerTrust};
 use client::{HttpClient, OperatorClient};
 use futures_util::future::join_all;
 use hdrhistogram::Histogram;
@@ -113,13 +113,12 @@
     let mut costs = Vec::new();
     for round in 0..ROUNDS {
         let mut caller = site.connect().await;
-        let local = time_requests(&mut caller).await;
-        // Takes the only slot of the agent, so that the requests after it are
-        // handed off.
-        let mut feed = get(&mut caller, "/feed").await;
-        feed.part().await.expect("line");
-        let handed_off = time_requests(&mut caller).await;
-        feed.cancel();
+        let local = sequence(&mut caller).await;
+        // Holds the only slot of the agent, so that the others are handed off.
+        let mut held = get(&mut caller, "/feed").await;
+        held.next_chunk().await.expect("line");
+        let handed_off = sequence(&mut caller).await;
+        held.cancel();
         sleep(Duration::from_millis(200)).await;
         let cost = handed_off.value_at_quantile(0.5) - local.value_at_quantile(0.5);
         println!(
@@ -169,11 +168,11 @@
     let began = Instant::now();
     let mut answer = get(caller, "/").await;
     assert_eq!(answer.status, 200);
-    answer.body().await.expect("whole answer");
+    answer.read_body().await.expect("whole answer");
     u64::try_from(began.elapsed().as_micros()).unwrap_or(u64::MAX)
 }
 
-async fn get(caller: &mut Caller, path: &str) -> caller::Answer {
+async fn get(caller: &mut Caller, path: &str) -> caller::Response {
     let request = Request::get(format!("https://localhost{path}"));
     let request = request.body(Bytes::new()).expect("request");
     caller.send(request).await.expect("answer")
@@ -298,7 +297,7 @@
 
     async fn connect(&self) -> Caller {
         let service = self.fabric.service;
-        let endpoint = Endpoint::open(service, Trust::Any).expect("socket");
+        let endpoint = Endpoint::open(service, ServerTrust::Any).expect("socket");
         let caller = Caller::connect(&endpoint, service, "localhost").await;
         caller.expect("connection")
     }
--- a/crates/bench/src/soak/load.rs
+++ b/crates/bench/src/soak/load.rs
@@ -8,7 +8,7 @@
 
 use actix_rt::{task::JoinHandle, time::sleep};
 use bytes::Bytes;
-use caller::{Answer, Caller, Category, Endpoint, Outcome, Trust};
+use caller::{Caller, Category, Endpoint, RequestOutcome, Response, ServerTrust};
 use http::Request;
 use quinn::ConnectionError;
 use tokio::{
@@ -79,7 +79,7 @@
         stop: &watch::Receiver<bool>,
     ) -> caller::Result<Load> {
         let client = Client {
-            endpoint: Endpoint::open(service, Trust::Any)?,
+            endpoint: Endpoint::open(service, ServerTrust::Any)?,
             service,
             observations: observations.clone(),
             stop: stop.clone(),
@@ -146,8 +146,8 @@
         )
         .await;
         let mut answer = match sent {
-            Ok(Ok(answer)) if answer.outcome() == Outcome::Answered => answer,
-            Ok(Ok(answer)) => return self.record_refusal(&answer, None).await,
+            Ok(Ok(answer)) if answer.outcome() == RequestOutcome::Answered => answer,
+            Ok(Ok(answer)) => return self.note_refusal(&answer, None).await,
             Ok(Err(e)) if e.category() == Category::NotRun => {
                 return self.record(Observation::NotRun(None)).await;
             }
@@ -155,7 +155,7 @@
         };
         let (mut text, mut last) = (Vec::new(), Instant::now());
         let end = loop {
-            match timeout(REQUEST_TIMEOUT, answer.part()).await {
+            match timeout(PATIENCE, answer.next_chunk()).await {
                 Ok(Ok(Some(part))) => {
                     last = Instant::now();
                     text.extend_from_slice(&part);
@@ -290,13 +290,13 @@
         let start = Instant::now();
         let exchange = async {
             let mut answer = caller.send(request).await?;
-            let body = answer.body().await?;
+            let body = answer.read_body().await?;
             Ok((answer.outcome(), body))
         };
-        match timeout(REQUEST_TIMEOUT, exchange).await {
-            Ok(Ok((Outcome::Answered, body))) => RequestResult::Complete(body),
-            Ok(Ok((Outcome::NotRun, _))) => RequestResult::NotRun,
-            Ok(Ok((Outcome::Unknown, _))) => RequestResult::Unknown,
+        match timeout(PATIENCE, exchange).await {
+            Ok(Ok((RequestOutcome::Answered, body))) => End::Whole(body),
+            Ok(Ok((RequestOutcome::NotRun, _))) => End::NotRun,
+            Ok(Ok((RequestOutcome::Unknown, _))) => End::Unknown,
             Ok(Err(e)) => match caller::Error::category(&e) {
                 Category::NotRun => RequestResult::NotRun,
                 Category::Unknown => {
@@ -332,10 +332,10 @@
         }
     }
 
-    async fn record_refusal(&self, answer: &Answer, claim: Option<Bytes>) {
+    async fn note_refusal(&self, answer: &Response, claim: Option<Bytes>) {
         match answer.outcome() {
-            Outcome::NotRun => self.record(Observation::NotRun(claim)).await,
-            _ => self.record(Observation::Unknown).await,
+            RequestOutcome::NotRun => self.note(Note::NotRun(claim)).await,
+            _ => self.note(Note::Unknown).await,
         }
     }
 }
--- a/crates/caller/src/connection/mod.rs
+++ b/crates/caller/src/connection/mod.rs
@@ -7,7 +7,9 @@
 use http::Request;
 use tokio::task::JoinHandle;
 
-use crate::{Answer, Endpoint, Pending, Result, error::ErrorKind, request::kind};
+use crate::{
+    Endpoint, PendingRequest, Response, Result, error::ErrorKind, request::stream_error_kind,
+};
 
 /// One connection of a caller. Dropping it closes the connection.
 pub struct Caller {
@@ -44,14 +46,14 @@
     /// # Errors
     ///
     /// The request was rejected, or broke off; the category says which.
-    pub async fn send(&mut self, request: Request<Bytes>) -> Result<Answer> {
+    pub async fn send(&mut self, request: Request<Bytes>) -> Result<Response> {
         let (parts, body) = request.into_parts();
         let mut pending = self.start(Request::from_parts(parts, ())).await?;
         // A server may answer before it has all of the body, and then stops it.
-        if body.is_empty() || pending.send(body).await.is_ok() {
+        if body.is_empty() || pending.send_chunk(body).await.is_ok() {
             let _ = pending.finish().await;
         }
-        pending.answer().await
+        pending.response().await
     }
 
     /// Sends the head of a request.
@@ -59,9 +61,13 @@
     /// # Errors
     ///
     /// The request was rejected, or broke off; the category says which.
-    pub async fn start(&mut self, request: Request<()>) -> Result<Pending> {
-        let stream = self.requests.send_request(request).await.map_err(kind)?;
-        Ok(Pending::new(stream))
+    pub async fn start(&mut self, request: Request<()>) -> Result<PendingRequest> {
+        let stream = self
+            .requests
+            .send_request(request)
+            .await
+            .map_err(stream_error_kind)?;
+        Ok(PendingRequest::new(stream))
     }
 
     /// The connection itself, to look at its statistics.
--- a/crates/caller/src/lib.rs
+++ b/crates/caller/src/lib.rs
@@ -1,7 +1,7 @@
 //! An HTTP/3 client for looking at a service.
 //!
 //! `limpetctl call` and the tests use it. [`Caller`] holds one connection,
-//! [`Caller::send`] starts a request on it, and [`Answer`] reads the answer as
+//! [`Caller::send`] starts a request on it, and [`Response`] reads the answer as
 //! it comes.
 
 pub mod connection;
@@ -11,5 +11,5 @@
 
 pub use connection::Caller;
 pub use error::{Category, Error, Result};
-pub use process::{Endpoint, Trust};
-pub use request::{Answer, Outcome, Pending};
+pub use process::{Endpoint, ServerTrust};
+pub use request::{PendingRequest, RequestOutcome, Response};
--- a/crates/caller/src/process/mod.rs
+++ b/crates/caller/src/process/mod.rs
@@ -27,7 +27,7 @@
 
 /// Which certificates are accepted.
 #[derive(Debug, Clone)]
-pub enum Trust {
+pub enum ServerTrust {
     /// Those issued by one of these.
     Roots(Vec<CertificateDer<'static>>),
     /// Any. The connection is encrypted, but the server is not authenticated.
@@ -46,7 +46,7 @@
     /// # Errors
     ///
     /// The socket cannot be opened, or a root certificate cannot be read.
-    pub fn open(server: SocketAddr, trust: Trust) -> Result<Self> {
+    pub fn open(server: SocketAddr, trust: ServerTrust) -> Result<Self> {
         let local: SocketAddr = if server.is_ipv4() {
             (Ipv4Addr::UNSPECIFIED, 0).into()
         } else {
@@ -58,19 +58,19 @@
     }
 }
 
-fn client_config(trust: Trust) -> Result<ClientConfig> {
+fn client_config(trust: ServerTrust) -> Result<ClientConfig> {
     let provider = Arc::new(rustls::crypto::ring::default_provider());
     let builder = rustls::ClientConfig::builder_with_provider(provider.clone())
         .with_protocol_versions(&[&rustls::version::TLS13])?;
     let mut tls = match trust {
-        Trust::Roots(certificates) => {
+        ServerTrust::Roots(certificates) => {
             let mut roots = RootCertStore::empty();
             for certificate in certificates {
                 roots.add(certificate)?;
             }
             builder.with_root_certificates(roots).with_no_client_auth()
         }
-        Trust::Any => builder
+        ServerTrust::Any => builder
             .dangerous()
             .with_custom_certificate_verifier(Arc::new(AnyCertificate(provider)))
             .with_no_client_auth(),
--- a/crates/caller/src/request/mod.rs
+++ b/crates/caller/src/request/mod.rs
@@ -12,7 +12,7 @@
 
 /// What the system says of a request without an answer of an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Outcome {
+pub enum RequestOutcome {
     /// An upstream has answered.
     Answered,
     /// The request was not run.
@@ -22,13 +22,13 @@
 }
 
 /// A request whose answer has not come.
-pub struct Pending {
+pub struct PendingRequest {
     stream: RequestStream<h3_quinn::BidiStream<Bytes>, Bytes>,
 }
 
-impl Pending {
+impl PendingRequest {
     pub(crate) fn new(stream: RequestStream<h3_quinn::BidiStream<Bytes>, Bytes>) -> Self {
-        Pending { stream }
+        PendingRequest { stream }
     }
 
     /// Sends a part of the body.
@@ -36,8 +36,12 @@
     /// # Errors
     ///
     /// The server takes no more of the body, or the request broke off.
-    pub async fn send(&mut self, part: Bytes) -> Result<()> {
-        Ok(self.stream.send_data(part).await.map_err(kind)?)
+    pub async fn send_chunk(&mut self, chunk: Bytes) -> Result<()> {
+        Ok(self
+            .stream
+            .send_data(chunk)
+            .await
+            .map_err(stream_error_kind)?)
     }
 
     /// Ends the body.
@@ -46,7 +50,7 @@
     ///
     /// The server takes no more of the body, or the request broke off.
     pub async fn finish(&mut self) -> Result<()> {
-        Ok(self.stream.finish().await.map_err(kind)?)
+        Ok(self.stream.finish().await.map_err(stream_error_kind)?)
     }
 
     /// Waits for the head of the answer.
@@ -54,8 +58,8 @@
     /// # Errors
     ///
     /// The request was rejected, or broke off; the category says which.
-    pub async fn answer(self) -> Result<Answer> {
-        Answer::receive(self.stream).await
+    pub async fn response(self) -> Result<Response> {
+        Response::receive(self.stream).await
     }
 
     /// Cancels the request.
@@ -67,7 +71,7 @@
 }
 
 /// An answer whose head has come.
-pub struct Answer {
+pub struct Response {
     /// Status of the answer.
     pub status: StatusCode,
     /// Header fields of the answer.
@@ -75,12 +79,16 @@
     stream: RequestStream<h3_quinn::BidiStream<Bytes>, Bytes>,
 }
 
-impl Answer {
+impl Response {
     pub(crate) async fn receive(
         mut stream: RequestStream<h3_quinn::BidiStream<Bytes>, Bytes>,
     ) -> Result<Self> {
-        let (parts, ()) = stream.recv_response().await.map_err(kind)?.into_parts();
-        Ok(Answer {
+        let (parts, ()) = stream
+            .recv_response()
+            .await
+            .map_err(stream_error_kind)?
+            .into_parts();
+        Ok(Response {
             status: parts.status,
             headers: parts.headers,
             stream,
@@ -89,12 +97,12 @@
 
     /// What the system says of the request.
     #[must_use]
-    pub fn outcome(&self) -> Outcome {
+    pub fn outcome(&self) -> RequestOutcome {
         let field = self.headers.get(ClaimHeader::OUTCOME);
         match field.and_then(|value| value.to_str().ok()) {
-            None => Outcome::Answered,
-            Some(ClaimHeader::NOT_RUN) => Outcome::NotRun,
-            Some(_) => Outcome::Unknown,
+            None => RequestOutcome::Answered,
+            Some(ClaimHeader::NOT_RUN) => RequestOutcome::NotRun,
+            Some(_) => RequestOutcome::Unknown,
         }
     }
 
@@ -103,9 +111,9 @@
     /// # Errors
     ///
     /// The answer broke off.
-    pub async fn part(&mut self) -> Result<Option<Bytes>> {
-        let part = self.stream.recv_data().await.map_err(kind)?;
-        Ok(part.map(|mut buf| buf.copy_to_bytes(buf.remaining())))
+    pub async fn next_chunk(&mut self) -> Result<Option<Bytes>> {
+        let chunk = self.stream.recv_data().await.map_err(stream_error_kind)?;
+        Ok(chunk.map(|mut buf| buf.copy_to_bytes(buf.remaining())))
     }
 
     /// The rest of the body.
@@ -113,10 +121,10 @@
     /// # Errors
     ///
     /// The answer broke off.
-    pub async fn body(&mut self) -> Result<Bytes> {
+    pub async fn read_body(&mut self) -> Result<Bytes> {
         let mut body = BytesMut::new();
-        while let Some(part) = self.part().await? {
-            body.extend_from_slice(&part);
+        while let Some(chunk) = self.next_chunk().await? {
+            body.extend_from_slice(&chunk);
         }
         Ok(body.freeze())
     }
@@ -129,7 +137,7 @@
     }
 }
 
-pub(crate) fn kind(error: StreamError) -> ErrorKind {
+pub(crate) fn stream_error_kind(error: StreamError) -> ErrorKind {
     match error {
         StreamError::RemoteTerminate { code, .. } if code == Code::H3_REQUEST_REJECTED => {
             ErrorKind::Rejected
--- a/crates/limpetctl/src/request/call.rs
+++ b/crates/limpetctl/src/request/call.rs
@@ -7,7 +7,7 @@
 };
 
 use bytes::Bytes;
-use caller::{Answer, Caller, Category, Endpoint, Outcome, Trust};
+use caller::{Caller, Category, Endpoint, RequestOutcome, Response, ServerTrust};
 use clap::error::ErrorKind;
 use http::{HeaderValue, Request, header::CONTENT_LENGTH};
 use rustls::{
@@ -78,10 +78,10 @@
     sleep(CLOSE_DELAY).await;
 }
 
-/// Reads the certificates to trust; exits with status 2 if the file is invalid.
-fn read_trust(args: &CallArgs) -> Trust {
+/// The certificates to trust; a file that cannot be used ends the process.
+fn trust(args: &CallArgs) -> ServerTrust {
     let Some(path) = &args.ca else {
-        return Trust::Any;
+        return ServerTrust::Any;
     };
     let invalid = |reason: &dyn std::fmt::Display| -> ! {
         let path = path.display();
@@ -101,7 +101,7 @@
             invalid(&e);
         }
     }
-    Trust::Roots(certificates)
+    ServerTrust::Roots(certificates)
 }
 
 /// Reads the body to send; exits with status 2 if the file cannot be read.
@@ -123,7 +123,7 @@
     }
 }
 
-async fn connect(args: &CallArgs, trust: Trust) -> Result<Caller> {
+async fn connect(args: &CallArgs, trust: ServerTrust) -> Result<Caller> {
     let server = match args.resolve {
         Some(address) => address,
         None => resolve(&args.url).await?,
@@ -181,9 +181,9 @@
     u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Streams an answer to the standard output. The deadline does not apply to its
-/// body, as a feed may stay open.
-async fn stream_answer(mut answer: Answer, verbose: bool) -> Result<Exit> {
+/// Streams an answer to the standard output. Its end has no deadline, as a
+/// feed may stay open.
+async fn receive(mut answer: Response, verbose: bool) -> Result<Exit> {
     if verbose {
         print_stderr(format_args!("HTTP/3 {}", answer.status));
         for (name, value) in &answer.headers {
@@ -192,7 +192,7 @@
         }
     }
     loop {
-        match answer.part().await {
+        match answer.next_chunk().await {
             Ok(Some(part)) => {
                 stdout().write_all(&part)?;
                 stdout().flush()?;
@@ -201,29 +201,31 @@
             Err(e) => {
                 print_stderr(format_args!("limpetctl: the answer broke off: {e}"));
                 return Ok(match answer.outcome() {
-                    Outcome::Answered => Exit::Failed,
-                    _ => report_outcome(&answer),
+                    RequestOutcome::Answered => Exit::Failed,
+                    _ => judge(&answer),
                 });
             }
         }
     }
 }
 
-fn report_outcome(answer: &Answer) -> Exit {
+fn judge(answer: &Response) -> Exit {
     match answer.outcome() {
-        Outcome::NotRun => {
-            print_stderr("limpetctl: not run; it is safe to try again");
+        RequestOutcome::NotRun => {
+            message("limpetctl: not run; it is safe to try again");
             Exit::Refused
         }
-        Outcome::Unknown => {
-            print_stderr("limpetctl: outcome unknown: the service may have run the request");
+        RequestOutcome::Unknown => {
+            message("limpetctl: outcome unknown: the service may have run the request");
             Exit::Unknown
         }
-        Outcome::Answered if answer.status.is_success() || answer.status.is_redirection() => {
+        RequestOutcome::Answered
+            if answer.status.is_success() || answer.status.is_redirection() =>
+        {
             Exit::Done
         }
-        Outcome::Answered => {
-            print_stderr(format_args!(
+        RequestOutcome::Answered => {
+            message(format_args!(
                 "limpetctl: answered with status {}",
                 answer.status
             ));
--- a/crates/limpetd/tests/balancer.rs
+++ b/crates/limpetd/tests/balancer.rs
@@ -15,10 +15,8 @@
     task::JoinHandle,
     time::{sleep, timeout},
 };
-use caller::{Caller, Endpoint, Trust};
-use harness::{
-    Process, SERVICE, Site, SitePlan, WAIT_TIMEOUT, address, feed_lines, request, wait_for,
-};
+use caller::{Caller, Endpoint, ServerTrust};
+use harness::{PATIENCE, Plan, Process, SERVICE, Site, address, feed_lines, request, wait_for};
 use nix::sys::signal::Signal;
 use standin::{FabricHandle, Upstream};
 use types::{Change, ClassName, Connections, Revision, Slots, Target};
@@ -77,7 +75,7 @@
         feeds.push(actix_rt::spawn(async move {
             // Dropping the caller would close the connection.
             let _caller = caller;
-            match feed.body().await {
+            match feed.read_body().await {
                 Ok(body) => String::from_utf8_lossy(&body).into_owned(),
                 Err(e) => e.to_string(),
             }
@@ -123,7 +121,7 @@
         .await
         .map_err(text)?;
     let mut answer = caller.send(request("GET", "/", "")).await.map_err(text)?;
-    let body = answer.body().await.map_err(text)?;
+    let body = answer.read_body().await.map_err(text)?;
     let body = String::from_utf8_lossy(&body);
     if answer.status == 200 && body.starts_with(expected) {
         Ok(())
@@ -145,9 +143,9 @@
         RequestLoop { done, requests }
     }
 
-    fn start_on(site: &Site) -> Self {
-        let endpoint = Endpoint::open(site.fabric.service, Trust::Any).unwrap();
-        RequestLoop::start(&endpoint, site.fabric.service, "served by upstream-")
+    fn on(site: &Site) -> Self {
+        let endpoint = Endpoint::open(site.fabric.service, ServerTrust::Any).unwrap();
+        Steady::start(&endpoint, site.fabric.service, "served by upstream-")
     }
 
     async fn expect_all_answered(self) {
@@ -273,12 +271,11 @@
         (vouchers, "served by upstream-0"),
         (badges, "served by badge-0"),
     ];
-    // Requests to both services share one socket, so that their datagrams
-    // differ only in the service address.
-    let endpoint = Endpoint::open(vouchers, Trust::Any).unwrap();
-    let request_loops = cases.map(|(service, expected)| {
-        [(); 2].map(|()| RequestLoop::start(&endpoint, service, expected))
-    });
+    // The same socket asks both services, so that only the service tells
+    // their datagrams apart.
+    let endpoint = Endpoint::open(vouchers, ServerTrust::Any).unwrap();
+    let steady = cases
+        .map(|(service, expected)| [(); 2].map(|()| Steady::start(&endpoint, service, expected)));
     sleep(Duration::from_secs(4)).await;
     for requests in request_loops.into_iter().flatten() {
         requests.expect_all_answered().await;
--- a/crates/limpetd/tests/drain.rs
+++ b/crates/limpetd/tests/drain.rs
@@ -7,7 +7,7 @@
 
 use actix_rt::time::{sleep, timeout};
 use bytes::Bytes;
-use caller::{Answer, Caller, Category, Outcome};
+use caller::{Caller, Category, RequestOutcome, Response};
 use futures_util::future::join_all;
 use harness::{
     Process, Site, SitePlan, accepted_revision, feed_lines, get_text, request, wait_for,
@@ -32,7 +32,7 @@
     (caller, number.parse().expect("number"))
 }
 
-async fn start_feed(caller: &mut Caller, path: &str) -> Answer {
+async fn feed(caller: &mut Caller, path: &str) -> Response {
     caller.send(request("GET", path, "")).await.expect("feed")
 }
 
@@ -52,7 +52,7 @@
 async fn claim_on_new_connection(site: &Site, id: &str) -> Option<usize> {
     let answer = site.call("POST", &format!("/claim/{id}"), "seat").await;
     let answer = answer.expect("answer on a new connection");
-    assert_eq!(answer.outcome(), Outcome::Answered, "{id}");
+    assert_eq!(answer.outcome(), RequestOutcome::Answered, "{id}");
     for (n, upstream) in site.upstreams.iter().enumerate() {
         if upstream.runs().await.contains_key(id.as_bytes()) {
             return Some(n);
@@ -69,11 +69,14 @@
     let mut site = Site::start_serving(plan(55, 8)).await;
     let (mut caller, own) = connect(&site).await;
     let other = 1 - own;
-    let mut open_feed = start_feed(&mut caller, "/feed?ms=50&lines=100").await;
-    open_feed.part().await.unwrap();
+    let mut open_feed = feed(&mut caller, "/feed?ms=50&lines=100").await;
+    open_feed.next_chunk().await.unwrap();
     let upload = request("POST", "/upload", "").map(drop);
     let mut upload = caller.start(upload).await.unwrap();
-    upload.send(Bytes::from(vec![1; 100_000])).await.unwrap();
+    upload
+        .send_chunk(Bytes::from(vec![1; 100_000]))
+        .await
+        .unwrap();
     let claim = request("POST", "/claim/early?ms=2500", "").map(drop);
     let mut claim = caller.start(claim).await.unwrap();
     claim.finish().await.unwrap();
@@ -91,7 +94,7 @@
         }
         let claim = request("POST", &format!("/claim/open-{requests_sent}"), "");
         match caller.send(claim).await {
-            Ok(answer) => assert_eq!(answer.outcome(), Outcome::Answered, "{requests_sent}"),
+            Ok(answer) => assert_eq!(answer.outcome(), RequestOutcome::Answered, "{loops}"),
             Err(e) => break e,
         }
         requests_sent += 1;
@@ -120,17 +123,17 @@
         assert!(!upstream.runs().await.contains_key(refused.as_bytes()));
     }
 
-    upload.send(Bytes::from(vec![2; 100_000])).await.unwrap();
+    upload
+        .send_chunk(Bytes::from(vec![2; 100_000]))
+        .await
+        .unwrap();
     upload.finish().await.unwrap();
-    let mut uploaded = upload.answer().await.unwrap();
-    assert_eq!(uploaded.body().await.unwrap(), "200000\n");
-    assert_eq!(claim.answer().await.unwrap().status, 200);
-    assert!(
-        site.agents[own].exit_success().is_none(),
-        "a feed is still open"
-    );
-    assert_eq!(open_feed.body().await.unwrap(), feed_lines(1, 100));
-    assert!(wait_for_exit(&mut site.agents[own]).await);
+    let mut uploaded = upload.response().await.unwrap();
+    assert_eq!(uploaded.read_body().await.unwrap(), "200000\n");
+    assert_eq!(claim.response().await.unwrap().status, 200);
+    assert!(site.agents[own].ended().is_none(), "a feed is still open");
+    assert_eq!(open_feed.read_body().await.unwrap(), feed_lines(1, 100));
+    assert!(ended(&mut site.agents[own]).await);
 }
 
 /// P1. An operator sets and clears the drain mark of an upstream: guards against
@@ -140,8 +143,8 @@
 async fn operator_drains_and_undrains_an_upstream() {
     let mut site = Site::start_serving(plan(56, 8)).await;
     let (mut caller, own) = connect(&site).await;
-    let mut open_feed = start_feed(&mut caller, "/feed?ms=100&lines=100").await;
-    open_feed.part().await.unwrap();
+    let mut open_feed = feed(&mut caller, "/feed?ms=100&lines=100").await;
+    open_feed.next_chunk().await.unwrap();
     let host: types::HostName = format!("agent-{own}").parse().unwrap();
     let set_drain_mark = async |site: &Site, base, drain| {
         let host = host.clone();
@@ -162,7 +165,7 @@
         served == own
     })
     .await;
-    assert_eq!(open_feed.body().await.unwrap(), feed_lines(1, 100));
+    assert_eq!(open_feed.read_body().await.unwrap(), feed_lines(1, 100));
     let (mut again, _) = connect(&site).await;
     sleep(Duration::from_millis(1500)).await;
     get_text(&mut again, "/").await;
@@ -179,17 +182,16 @@
     })
     .await;
     let (mut caller, own) = connect(&site).await;
-    let mut local = start_feed(&mut caller, "/feed").await;
-    let mut handed_off = start_feed(&mut caller, "/feed").await;
-    local.part().await.unwrap();
-    handed_off.part().await.unwrap();
-    // Stops the agent that runs the handed-off feed first: that feed is its only
-    // request.
+    let mut local = feed(&mut caller, "/feed").await;
+    let mut handed_off = feed(&mut caller, "/feed").await;
+    local.next_chunk().await.unwrap();
+    handed_off.next_chunk().await.unwrap();
+    // First the one that runs the handed-off feed, which alone keeps it.
     for (n, feed) in [(1 - own, &mut handed_off), (own, &mut local)] {
         site.agents[n].signal(Signal::SIGTERM);
         let stopped_at = Instant::now();
-        assert!(feed.body().await.is_err());
-        assert!(wait_for_exit(&mut site.agents[n]).await);
+        assert!(feed.read_body().await.is_err());
+        assert!(ended(&mut site.agents[n]).await);
         let stayed = stopped_at.elapsed();
         let bounds = Duration::from_millis(1900)..Duration::from_secs(4);
         assert!(bounds.contains(&stayed), "{stayed:?}");
@@ -201,12 +203,12 @@
 async fn handed_off_feed_completes_during_drain() {
     let mut site = Site::start_serving(plan(58, 1)).await;
     let (mut caller, own) = connect(&site).await;
-    let local = start_feed(&mut caller, "/feed").await;
-    let mut handed_off = start_feed(&mut caller, "/feed?ms=50&lines=60").await;
-    handed_off.part().await.unwrap();
+    let local = feed(&mut caller, "/feed").await;
+    let mut handed_off = feed(&mut caller, "/feed?ms=50&lines=60").await;
+    handed_off.next_chunk().await.unwrap();
     site.agents[1 - own].signal(Signal::SIGTERM);
-    assert_eq!(handed_off.body().await.unwrap(), feed_lines(1, 60));
-    assert!(wait_for_exit(&mut site.agents[1 - own]).await);
+    assert_eq!(handed_off.read_body().await.unwrap(), feed_lines(1, 60));
+    assert!(ended(&mut site.agents[1 - own]).await);
     local.cancel();
 }
 
@@ -228,8 +230,8 @@
     for agent in &site.agents {
         agent.signal(Signal::SIGTERM);
     }
-    site.fabric.set_loss_rate(0.3).await;
-    for body in join_all(feeds.iter_mut().map(Answer::body)).await {
+    site.fabric.set_loss(0.3).await;
+    for body in join_all(feeds.iter_mut().map(Response::read_body)).await {
         assert_eq!(body.unwrap(), feed_lines(0, 2));
     }
     site.fabric.set_loss_rate(0.0).await;
@@ -244,8 +246,8 @@
 async fn feed_survives_balancer_restarts_and_a_paused_agent() {
     let mut site = Site::start_serving(plan(60, 4)).await;
     let (mut caller, own) = connect(&site).await;
-    let mut open_feed = start_feed(&mut caller, "/feed?ms=50&lines=300").await;
-    open_feed.part().await.unwrap();
+    let mut open_feed = feed(&mut caller, "/feed?ms=50&lines=300").await;
+    open_feed.next_chunk().await.unwrap();
     let changes = async {
         for n in 0..2u8 {
             let index = usize::from(n);
@@ -262,7 +264,7 @@
         sleep(Duration::from_millis(4500)).await;
         site.agents[own].signal(Signal::SIGCONT);
     };
-    let (body, ()) = tokio::join!(open_feed.body(), changes);
+    let (body, ()) = tokio::join!(open_feed.read_body(), changes);
     assert_eq!(body.unwrap(), feed_lines(1, 300));
     let served = timeout(Duration::from_secs(5), get_text(&mut caller, "/"));
     served.await.expect("the connection still serves");
--- a/crates/limpetd/tests/harness/mod.rs
+++ b/crates/limpetd/tests/harness/mod.rs
@@ -18,7 +18,7 @@
 
 use auth::CertificateIdentity;
 use bytes::Bytes;
-use caller::{Answer, Caller, Endpoint, Trust};
+use caller::{Caller, Endpoint, Response, ServerTrust};
 use certificates::{Authority, credentials, flags};
 use client::{HttpClient, OperatorClient};
 use http::Request;
@@ -381,12 +381,12 @@
     }
 
     pub async fn try_connect(&self) -> caller::Result<Caller> {
-        let endpoint = Endpoint::open(self.fabric.service, Trust::Any)?;
+        let endpoint = Endpoint::open(self.fabric.service, ServerTrust::Any)?;
         Caller::connect(&endpoint, self.fabric.service, "localhost").await
     }
 
-    /// Sends a request on a new connection.
-    pub async fn call(&self, method: &str, path: &str, body: &str) -> caller::Result<Answer> {
+    /// Sends a request on a connection of its own.
+    pub async fn call(&self, method: &str, path: &str, body: &str) -> caller::Result<Response> {
         let mut caller = self.try_connect().await?;
         caller.send(request(method, path, body)).await
     }
@@ -437,7 +437,7 @@
 /// Sends a GET and returns the body of the answer; panics if it is cut short.
 pub async fn get_text(caller: &mut Caller, path: &str) -> String {
     let mut answer = caller.send(request("GET", path, "")).await.expect("answer");
-    let body = answer.body().await.expect("whole answer");
+    let body = answer.read_body().await.expect("whole answer");
     String::from_utf8_lossy(&body).into_owned()
 }
 
--- a/crates/limpetd/tests/keys.rs
+++ b/crates/limpetd/tests/keys.rs
@@ -6,8 +6,8 @@
 
 use actix_rt::time::sleep;
 use bytes::Bytes;
-use caller::{Answer, Caller};
-use harness::{Site, SitePlan, request, wait_for};
+use caller::{Caller, Response};
+use harness::{Plan, Site, request, wait_for};
 use http::Request;
 use types::ChangeId;
 
@@ -37,7 +37,7 @@
         request
     }
 
-    async fn send(&self, caller: &mut Caller) -> caller::Result<Answer> {
+    async fn send(&self, caller: &mut Caller) -> caller::Result<Response> {
         caller.send(self.request()).await
     }
 }
@@ -85,7 +85,7 @@
             let mut caller = site.connect().await;
             let mut answer = claim.send(&mut caller).await.unwrap();
             assert_eq!(answer.status, 200);
-            assert_eq!(answer.body().await.unwrap(), "1\n");
+            assert_eq!(answer.read_body().await.unwrap(), "1\n");
         }
     }
     assert!(claim_runs(&site).await.values().all(|runs| *runs == 1));
@@ -111,7 +111,7 @@
         let mut caller = site.connect().await;
         let mut answer = claim.send(&mut caller).await.unwrap();
         in_progress |= answer.status == 409;
-        answer.status == 200 && answer.body().await.unwrap() == "1\n"
+        answer.status == 200 && answer.read_body().await.unwrap() == "1\n"
     })
     .await;
     assert!(
--- a/crates/limpetd/tests/path.rs
+++ b/crates/limpetd/tests/path.rs
@@ -18,16 +18,16 @@
 
     let mut answer = site.call("GET", "/", "").await.unwrap();
     assert_eq!(answer.status, 200);
-    let body = answer.body().await.unwrap();
+    let body = answer.read_body().await.unwrap();
     assert!(body.starts_with(b"served by upstream-"), "{body:?}");
 
     let mut caller = site.connect().await;
     let request = request("GET", "/feed?ms=20&lines=200", "");
     let mut feed = caller.send(request).await.unwrap();
-    assert_eq!(feed.part().await.unwrap().unwrap(), "0\n");
+    assert_eq!(feed.next_chunk().await.unwrap().unwrap(), "0\n");
 
     site.balancers[0].kill();
-    let rest = feed.body().await.unwrap();
+    let rest = feed.read_body().await.unwrap();
     assert_eq!(rest, feed_lines(1, 200));
 
     site.set_fabric_balancers(&[1]).await;
--- a/crates/limpetd/tests/requests.rs
+++ b/crates/limpetd/tests/requests.rs
@@ -11,7 +11,7 @@
 
 use actix_rt::time::{sleep, timeout};
 use bytes::Bytes;
-use caller::{Caller, Category, Endpoint, Outcome, Trust};
+use caller::{Caller, Category, Endpoint, RequestOutcome, ServerTrust};
 use client::HttpClient;
 use futures_util::future::join_all;
 use harness::{Site, SitePlan, WAIT_TIMEOUT, feed_lines, get_text, request, wait_for};
@@ -44,16 +44,15 @@
     Request::from_parts(parts, body)
 }
 
-/// Opens a connection and starts a feed that takes the only slot of its agent, so
-/// that further requests on the connection are handed off. Needs a site with one
-/// slot for each upstream.
-async fn busy_connection(site: &Site) -> (Caller, caller::Answer) {
+/// A connection whose agent has no slot left, so that its further requests are
+/// handed off. Needs a site whose upstreams carry one request each.
+async fn busy_connection(site: &Site) -> (Caller, caller::Response) {
     let mut caller = site.connect().await;
     let mut feed = caller
         .send(request("GET", "/feed", ""))
         .await
         .expect("feed");
-    feed.part().await.expect("line");
+    feed.next_chunk().await.expect("line");
     (caller, feed)
 }
 
@@ -81,10 +80,9 @@
     count
 }
 
-/// Sends `claims` claims one after another and returns the outcome that the
-/// caller got for each id. `lane` keeps the ids of parallel calls apart.
-async fn send_claims(site: &Site, lane: u32, claims: u32) -> BTreeMap<String, Outcome> {
-    let mut outcomes = BTreeMap::new();
+/// Runs claims until they are used up; tells what each caller was told.
+async fn claim_all(site: &Site, lane: u32, claims: u32) -> BTreeMap<String, RequestOutcome> {
+    let mut told = BTreeMap::new();
     for n in 0..claims {
         let id = format!("{lane}-{n}");
         let claim = async {
@@ -92,13 +90,13 @@
                 .call("POST", &format!("/claim/{id}?ms=150"), "seat")
                 .await?;
             let outcome = answer.outcome();
-            answer.body().await?;
+            answer.read_body().await?;
             Ok::<_, caller::Error>(outcome)
         };
         let outcome = match timeout(Duration::from_secs(3), claim).await {
             Ok(Ok(outcome)) => outcome,
-            Ok(Err(e)) if e.category() == Category::NotRun => Outcome::NotRun,
-            Ok(Err(_)) | Err(_) => Outcome::Unknown,
+            Ok(Err(e)) if e.category() == Category::NotRun => RequestOutcome::NotRun,
+            Ok(Err(_)) | Err(_) => RequestOutcome::Unknown,
         };
         outcomes.insert(id, outcome);
     }
@@ -135,7 +133,7 @@
         };
         (outcomes, ())
     };
-    let outcomes: BTreeMap<String, Outcome> = outcomes.into_iter().flatten().collect();
+    let told: BTreeMap<String, RequestOutcome> = told.into_iter().flatten().collect();
 
     let mut runs: BTreeMap<String, u64> = BTreeMap::new();
     for upstream in &site.upstreams {
@@ -148,20 +146,16 @@
     let run = |id: &String| runs.get(id).copied().unwrap_or_default();
     for (id, outcome) in &outcomes {
         match outcome {
-            Outcome::Answered => assert_eq!(run(id), 1, "{id} was answered"),
-            Outcome::NotRun => assert_eq!(run(id), 0, "{id} was reported as not run"),
-            Outcome::Unknown => assert!(run(id) <= 1, "{id} ran {} times", run(id)),
+            RequestOutcome::Answered => assert_eq!(run(id), 1, "{id} was answered"),
+            RequestOutcome::NotRun => assert_eq!(run(id), 0, "{id} was called not run"),
+            RequestOutcome::Unknown => assert!(run(id) <= 1, "{id} ran {} times", run(id)),
         }
     }
-    let answered = outcomes
+    let answered = told
         .values()
-        .filter(|o| **o == Outcome::Answered)
+        .filter(|o| **o == RequestOutcome::Answered)
         .count();
-    assert!(
-        answered >= outcomes.len() / 2,
-        "only {answered} of {} claims were answered",
-        outcomes.len()
-    );
+    assert!(answered >= told.len() / 2, "{answered} of {}", told.len());
 }
 
 /// P3. Guards against a truncated answer that looks complete to the caller, from
@@ -173,15 +167,15 @@
     let (mut busy, feed) = busy_connection(&site).await;
     for path in ["/truncated", "/truncated?chunked=1"] {
         let mut handed_off = busy.send(request("GET", path, "")).await.unwrap();
-        assert_eq!(handed_off.outcome(), Outcome::Answered);
-        let e = handed_off.body().await.unwrap_err();
+        assert_eq!(handed_off.outcome(), RequestOutcome::Answered);
+        let e = handed_off.read_body().await.unwrap_err();
         assert_eq!(e.category(), Category::Unknown, "{path}: {e}");
     }
     feed.cancel();
     wait_until_idle(&site).await;
     for path in ["/truncated", "/truncated?chunked=1"] {
         let mut local = busy.send(request("GET", path, "")).await.unwrap();
-        let e = local.body().await.unwrap_err();
+        let e = local.read_body().await.unwrap_err();
         assert_eq!(e.category(), Category::Unknown, "{path}: {e}");
     }
     wait_until_idle(&site).await;
@@ -221,15 +215,18 @@
         wait_for_running(running - 1).await;
 
         let mut feed = caller.send(request("GET", "/feed", "")).await.unwrap();
-        feed.part().await.unwrap();
-        wait_for_running(running).await;
+        feed.next_chunk().await.unwrap();
+        at_work(running).await;
         feed.cancel();
         wait_for_running(running - 1).await;
 
         let upload = request("POST", "/upload", "").map(drop);
         let mut upload = caller.start(upload).await.unwrap();
-        upload.send(Bytes::from_static(&[7; 4096])).await.unwrap();
-        wait_for_running(running).await;
+        upload
+            .send_chunk(Bytes::from_static(&[7; 4096]))
+            .await
+            .unwrap();
+        at_work(running).await;
         upload.cancel();
         wait_for_running(running - 1).await;
 
@@ -255,7 +252,7 @@
     let mut caller = site.connect().await;
     let field = "limpet-timeout-ms";
     let head = with_field(request("GET", "/head", ""), field, "5000");
-    let text = caller.send(head).await.unwrap().body().await.unwrap();
+    let text = caller.send(head).await.unwrap().read_body().await.unwrap();
     let text = String::from_utf8(text.to_vec()).unwrap();
     let line = text
         .lines()
@@ -267,7 +264,7 @@
         let head = with_field(request("GET", "/head", ""), field, malformed);
         let mut answer = caller.send(head).await.unwrap();
         assert_eq!(answer.status, 200, "{malformed:?}");
-        let text = answer.body().await.unwrap();
+        let text = answer.read_body().await.unwrap();
         let text = String::from_utf8(text.to_vec()).unwrap();
         assert!(!text.contains(field), "{malformed:?}: {text}");
     }
@@ -280,7 +277,7 @@
     let answer = caller.send(slow).await.unwrap();
     assert_eq!(
         (answer.status.as_u16(), answer.outcome()),
-        (504, Outcome::Unknown)
+        (504, RequestOutcome::Unknown)
     );
     assert!(began.elapsed() < Duration::from_secs(2));
     wait_until_idle(&site).await;
@@ -292,7 +289,7 @@
     let answer = busy.send(queued).await.unwrap();
     assert_eq!(
         (answer.status.as_u16(), answer.outcome()),
-        (503, Outcome::NotRun)
+        (503, RequestOutcome::NotRun)
     );
     assert!(
         began.elapsed() < Duration::from_millis(450),
@@ -330,13 +327,17 @@
     ] {
         let mut answer = caller.send(request(method, path, "")).await.unwrap();
         assert_eq!(answer.status, status, "{method} {path}");
-        assert_eq!(answer.outcome(), Outcome::Answered, "{method} {path}");
-        assert_eq!(answer.body().await.unwrap(), "", "{method} {path}");
+        assert_eq!(
+            answer.outcome(),
+            RequestOutcome::Answered,
+            "{method} {path}"
+        );
+        assert_eq!(answer.read_body().await.unwrap(), "", "{method} {path}");
     }
 
     let large = request("POST", "/upload", "").map(|_| Bytes::from(vec![7; UPLOAD_BYTES]));
     let mut answer = caller.send(large).await.unwrap();
-    assert_eq!(answer.body().await.unwrap(), format!("{UPLOAD_BYTES}\n"));
+    assert_eq!(answer.read_body().await.unwrap(), format!("{UPLOAD}\n"));
 
     let early = request("POST", "/early", "").map(|_| Bytes::from(vec![7; UPLOAD_BYTES]));
     let answer = caller.send(early).await.unwrap();
@@ -344,15 +345,21 @@
     // The upstream closes the connection while the body is still being sent,
     // which may discard its answer.
     assert!(
-        result == (413, Outcome::Answered) || result == (502, Outcome::Unknown),
-        "{result:?}"
+        told == (413, RequestOutcome::Answered) || told == (502, RequestOutcome::Unknown),
+        "{told:?}"
     );
 
     let mut outside = request("GET", "/head", "");
     for name in ["limpet-reservation", "limpet-upstream", "limpet-other"] {
         outside = with_field(outside, name, "1");
     }
-    let text = caller.send(outside).await.unwrap().body().await.unwrap();
+    let text = caller
+        .send(outside)
+        .await
+        .unwrap()
+        .read_body()
+        .await
+        .unwrap();
     let text = String::from_utf8(text.to_vec()).unwrap();
     assert!(text.contains("host: localhost\n"), "{text}");
     assert!(!text.contains("limpet-"), "{text}");
@@ -360,7 +367,7 @@
     let answer = caller.send(request("GET", "/fields", "")).await.unwrap();
     assert_eq!(
         (answer.status.as_u16(), answer.outcome()),
-        (200, Outcome::Answered)
+        (200, RequestOutcome::Answered)
     );
     assert_eq!(answer.headers["x-kept"], "1");
     assert!(
@@ -374,7 +381,7 @@
     let answer = caller.send(request("GET", "/shed", "")).await.unwrap();
     assert_eq!(
         (answer.status.as_u16(), answer.outcome()),
-        (503, Outcome::Answered)
+        (503, RequestOutcome::Answered)
     );
 }
 
@@ -385,7 +392,7 @@
         let mut answer = busy.send(request("POST", path, "x")).await.unwrap();
         assert_eq!(answer.status, 200, "{path}");
         assert!(
-            answer.body().await.unwrap().starts_with(b"served by"),
+            answer.read_body().await.unwrap().starts_with(b"served by"),
             "{path}"
         );
     }
@@ -406,7 +413,7 @@
         let mut claim = callers[n % 4].start(claim).await.unwrap();
         claim.finish().await.unwrap();
         pending.push(async move {
-            let answer = claim.answer().await.unwrap();
+            let answer = claim.response().await.unwrap();
             (n, answer.status.as_u16(), answer.outcome())
         });
     }
@@ -420,8 +427,8 @@
     for (n, status, outcome) in outcomes {
         let ran = runs.contains(n.to_string().as_bytes());
         match status {
-            200 => assert!(ran && outcome == Outcome::Answered, "{n}"),
-            503 => assert!(!ran && outcome == Outcome::NotRun, "{n}"),
+            200 => assert!(ran && outcome == RequestOutcome::Answered, "{n}"),
+            503 => assert!(!ran && outcome == RequestOutcome::NotRun, "{n}"),
             other => panic!("{n}: status {other}"),
         }
     }
@@ -484,7 +491,7 @@
         let slow = request("GET", "/slow?ms=60", "").map(drop);
         let mut slow = caller.start(slow).await.unwrap();
         slow.finish().await.unwrap();
-        pending.push(slow.answer());
+        pending.push(slow.response());
     }
     join_all(pending).await;
     assert_eq!(site.upstreams[0].activity().await.unwrap().max_running, 1);
@@ -606,9 +613,9 @@
         ..plan(52, 1, 4)
     })
     .await;
-    let silent_socket = tokio::net::UdpSocket::bind("127.0.0.1:0").await.unwrap();
-    let silent_address = silent_socket.local_addr().unwrap();
-    let endpoint = Endpoint::open(silent_address, Trust::Any).unwrap();
+    let sink = tokio::net::UdpSocket::bind("127.0.0.1:0").await.unwrap();
+    let away = sink.local_addr().unwrap();
+    let endpoint = Endpoint::open(away, ServerTrust::Any).unwrap();
     let agent = harness::data_address(site.plan, 0);
     let mut buf = vec![0; 2048];
     let mut connecting = JoinSet::new();
@@ -660,7 +667,7 @@
     // a probe timeout.
     assert!(slowest < Duration::from_millis(150), "{slowest:?}");
     site.balancers[0].signal(Signal::SIGCONT);
-    assert_eq!(feed.body().await.unwrap(), feed_lines(0, 150));
+    assert_eq!(feed.read_body().await.unwrap(), feed_lines(0, 150));
 }
 
 /// P3. Guards against an answer that is matched to another request, when answers
@@ -677,14 +684,14 @@
         let mut head = caller.start(head).await.unwrap();
         head.finish().await.unwrap();
         pending.push(async move {
-            let mut answer = head.answer().await.unwrap();
+            let mut answer = head.response().await.unwrap();
             let outcome = answer.outcome();
-            (path, outcome, answer.body().await.unwrap())
+            (path, outcome, answer.read_body().await.unwrap())
         });
     }
     let mut answered = 0;
     for (path, outcome, body) in join_all(pending).await {
-        if outcome == Outcome::Answered {
+        if outcome == RequestOutcome::Answered {
             let first = format!("GET {path}\n");
             assert!(body.starts_with(first.as_bytes()), "{path}: {body:?}");
             answered += 1;
--- a/crates/limpetd/tests/tls.rs
+++ b/crates/limpetd/tests/tls.rs
@@ -57,7 +57,7 @@
     let mut caller = site.connect().await;
     let own = get_text(&mut caller, "/").await;
     let mut feed = caller.send(request("GET", "/feed", "")).await.unwrap();
-    assert!(feed.part().await.unwrap().is_some());
+    assert!(feed.next_chunk().await.unwrap().is_some());
     // The agent of this connection has no slot left.
     let handed_off = get_text(&mut caller, "/").await;
     assert!(own.starts_with("served by upstream-"), "{own}");
