--- a/crates/bench/src/bin/control.rs
+++ b/crates/bench/src/bin/control.rs
@@ -15,7 +15,7 @@
 use actix_rt::{System, task::JoinHandle, time::sleep};
 use client::{HttpClient, NodeAnnouncement, OperatorClient, SyncEvent, SyncSettings, SyncTask};
 use comfy_table::{Table, presets::ASCII_MARKDOWN};
-use control::process::Nodes;
+use control::process::LiveNodes;
 use hdrhistogram::Histogram;
 use member::Registry;
 use tempfile::TempDir;
@@ -202,11 +202,11 @@
         }
         let announce_time = started.elapsed();
         let requests: Vec<_> = (0..count).map(|n| sync_request(host(n), None)).collect();
-        let mut nodes = Nodes::default();
+        let mut nodes = LiveNodes::default();
         let started = Instant::now();
         for _ in 0..rounds {
             for request in &requests {
-                nodes.note(now, request);
+                nodes.record_sync(now, request);
             }
         }
         let note_time = started.elapsed();
@@ -331,7 +331,7 @@
             Host::start(control::Settings {
                 listen: *listen,
                 data_dir: dir.path().join(n.to_string()),
-                group: control.iter().copied().collect(),
+                initial_group: control.iter().copied().collect(),
                 ..control::Settings::default()
             })
         });
--- a/crates/bench/src/bin/requests.rs
+++ b/crates/bench/src/bin/requests.rs
@@ -210,7 +210,7 @@
         let cfg = control::Settings {
             listen: control,
             data_dir: dir.path().into(),
-            group: [control].into(),
+            initial_group: [control].into(),
             ..control::Settings::default()
         };
         let (stop_tx, stop) = watch::channel(false);
--- a/crates/control/src/error.rs
+++ b/crates/control/src/error.rs
@@ -16,13 +16,13 @@
     Store(#[from] store::Error),
     /// The thread that writes to the disk has ended.
     #[error("the thread that writes to the data folder has ended")]
-    DiskEnded,
+    StoreThreadEnded,
     /// The snapshot cannot be read.
     #[error("cannot read the snapshot: {0}")]
-    Snapshot(#[from] config::Error),
+    InvalidSnapshot(#[from] config::Error),
     /// A log entry cannot be read.
     #[error("cannot read log entry {0}: {1}; a newer version of limpetd may have written it")]
-    Entry(types::Revision, wire::Error),
+    InvalidLogEntry(types::Revision, wire::Error),
     /// A metric cannot be registered.
     #[error("cannot register a metric: {0}")]
     Metrics(#[from] prometheus::Error),
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -15,4 +15,4 @@
 pub mod version;
 
 pub use error::{Error, Result};
-pub use process::{Settings, run, run_on};
+pub use process::{Settings, run, run_with_disk};
--- a/crates/control/src/process/group.rs
+++ b/crates/control/src/process/group.rs
@@ -29,8 +29,8 @@
 use super::{Settings, leadership::Leadership, metrics::Metrics, peers::Peers};
 use crate::{
     Error, Result,
-    request::{Command, Pending, Waiter, group_change, refusal},
-    version::View,
+    request::{Command, PendingRequest, WaitingSync, group_change, refusal},
+    version::LeaderView,
 };
 
 /// Longest time that a node's request is held, whatever it asks for. Below a
@@ -65,7 +65,7 @@
     consensus: Consensus,
     state: ConfigState,
     leadership: Option<Leadership>,
-    pending: BTreeMap<RequestToken, Pending>,
+    pending: BTreeMap<RequestToken, PendingRequest>,
     next_token: u64,
     /// Answers to entries of this leadership, until their proposals are
     /// reported as accepted.
@@ -144,7 +144,7 @@
                 _ = stop.changed() => return Ok(()),
                 report = self.disk.reports.recv() => match report {
                     Some(report) => self.note_write(report)?,
-                    None => return Err(Error::DiskEnded),
+                    None => return Err(Error::StoreThreadEnded),
                 },
                 command = self.commands.recv() => match command {
                     Some(command) => self.handle(command)?,
@@ -177,9 +177,9 @@
                 });
                 Ok(())
             }
-            GroupCommand::Change(req, tx) => self.propose(*req, Pending::Change(tx)),
+            GroupCommand::Change(req, tx) => self.propose(*req, PendingRequest::Change(tx)),
             GroupCommand::Query(query, tx) => {
-                let token = self.expect(Pending::Query(query, tx));
+                let token = self.expect(PendingRequest::Query(query, tx));
                 self.step(Input::ConfirmRead { token })
             }
             GroupCommand::ChangeGroup(req, tx) => {
@@ -188,7 +188,7 @@
                     "group change asked"
                 );
                 let change = group_change(req.change);
-                let token = self.expect(Pending::Group(req, tx));
+                let token = self.expect(PendingRequest::Group(req, tx));
                 self.step(Input::ChangeGroup { token, change })
             }
             GroupCommand::Sync(req, tx) => {
@@ -208,14 +208,14 @@
         })
     }
 
-    fn expect(&mut self, pending: Pending) -> RequestToken {
+    fn expect(&mut self, pending: PendingRequest) -> RequestToken {
         let token = RequestToken(self.next_token);
         self.next_token += 1;
         self.pending.insert(token, pending);
         token
     }
 
-    fn propose(&mut self, req: ChangeRequest, pending: Pending) -> Result<()> {
+    fn propose(&mut self, req: ChangeRequest, pending: PendingRequest) -> Result<()> {
         let command = Command {
             at: unix_now(),
             req,
@@ -238,7 +238,7 @@
             let _ = tx.send(SyncReply::NotLeader { leader });
             return;
         };
-        leadership.nodes.note(now, &req);
+        leadership.nodes.record_sync(now, &req);
         if let Some(upstream) = &req.upstream {
             leadership.registry.announce(now, &req.host, upstream);
         }
@@ -248,7 +248,7 @@
                 .announce_balancer(now, &req.host, balancer);
         }
         let until = now + req.hold.min(MAX_HOLD);
-        leadership.waiters.push(Waiter { req, tx, until });
+        leadership.waiters.push(WaitingSync { req, tx, until });
     }
 
     /// Gives the consensus an input and carries out what it decides.
@@ -266,7 +266,7 @@
             self.disk
                 .writes
                 .try_send(write)
-                .map_err(|_| Error::DiskEnded)?;
+                .map_err(|_| Error::StoreThreadEnded)?;
         }
         for envelope in output.messages {
             self.peers.send(envelope);
@@ -328,7 +328,7 @@
             return Ok(());
         };
         let Command { at, req } =
-            wire::decode(command).map_err(|e| Error::Entry(entry.index, e))?;
+            wire::decode(command).map_err(|e| Error::InvalidLogEntry(entry.index, e))?;
         let answer = self.state.apply(entry.index, at, &req);
         let label = answer_label(&answer);
         self.metrics.changes.with_label_values(&[label]).inc();
@@ -355,22 +355,24 @@
             Completion::Accepted { token, index } => {
                 let answer = self.answers.remove(&index);
                 match (self.pending.remove(&token), answer) {
-                    (Some(Pending::Change(tx)), Some(answer)) => {
+                    (Some(PendingRequest::Change(tx)), Some(answer)) => {
                         // Whoever asked may be gone.
                         let _ = tx.send(ChangeReply::Final(answer));
                     }
-                    (Some(Pending::Group(call, tx)), _) => {
+                    (Some(PendingRequest::Group(call, tx)), _) => {
                         self.note(call, None);
                         // Whoever asked may be gone.
                         let _ = tx.send(GroupReply::Done);
                     }
-                    (Some(pending), _) => pending.lose(),
+                    (Some(pending), _) => pending.reply_unknown(),
                     (None, _) => {}
                 }
             }
             Completion::Rejected { token, reason } => {
                 if let Some(pending) = self.pending.remove(&token) {
-                    if let (Pending::Group(call, _), Some(refused)) = (&pending, refusal(reason)) {
+                    if let (PendingRequest::Group(call, _), Some(refused)) =
+                        (&pending, refusal(reason))
+                    {
                         self.note(call.clone(), Some(refused));
                     }
                     pending.reject(reason);
@@ -378,7 +380,7 @@
             }
             Completion::OutcomeUnknown { token } => {
                 if let Some(pending) = self.pending.remove(&token) {
-                    pending.lose();
+                    pending.reply_unknown();
                 }
             }
             Completion::ReadConfirmed { token, .. } => self.answer_read(token),
@@ -408,12 +410,12 @@
             return pending.reject(consensus::Rejection::NotLeader { leader: None });
         };
         leadership.confirmed = true;
-        let view = View {
+        let view = LeaderView {
             state: &self.state,
             registry: &leadership.registry,
         };
         match pending {
-            Pending::Syncs(waiters) => {
+            PendingRequest::Syncs(waiters) => {
                 for waiter in waiters {
                     let reply = view.reply(&waiter.req);
                     let label = reply_label(&reply);
@@ -422,12 +424,12 @@
                     let _ = waiter.tx.send(reply);
                 }
             }
-            Pending::Query(query, tx) => {
+            PendingRequest::Query(query, tx) => {
                 let status = self.consensus.status();
-                let reply = super::report::answer(&query, view, &leadership.nodes, &status);
+                let reply = super::report::answer_query(&query, view, &leadership.nodes, &status);
                 let _ = tx.send(reply);
             }
-            other => other.lose(),
+            other => other.reply_unknown(),
         }
     }
 
@@ -445,11 +447,11 @@
         if !due.is_empty() {
             // One confirmation for all of them, so that a change costs a
             // constant number of messages between the members.
-            let token = self.expect(Pending::Syncs(due));
+            let token = self.expect(PendingRequest::Syncs(due));
             self.step(Input::ConfirmRead { token })?;
         }
         for note in std::mem::take(&mut self.notes) {
-            self.propose(note, Pending::Own)?;
+            self.propose(note, PendingRequest::Internal)?;
         }
         if self.state.keys().is_none() && self.may_propose_key() {
             self.propose_first_key()?;
@@ -460,7 +462,10 @@
     /// Whether the first key is certainly missing and not yet proposed. A new
     /// leader may hold one that it has not applied yet.
     fn may_propose_key(&self) -> bool {
-        let own = self.pending.values().any(|p| matches!(p, Pending::Own));
+        let own = self
+            .pending
+            .values()
+            .any(|p| matches!(p, PendingRequest::Internal));
         self.leadership.as_ref().is_some_and(|l| l.confirmed) && !own
     }
 
@@ -480,13 +485,13 @@
                 },
             },
         };
-        self.propose(req, Pending::Own)
+        self.propose(req, PendingRequest::Internal)
     }
 
     /// Replaces the applied log by a snapshot when it has grown long.
     fn compact(&mut self, commit: Revision) -> Result<()> {
-        let through = self.state.last_applied().min(commit);
-        if through.0 < self.compacted.0 + self.cfg.compact_after {
+        let through = self.state.applied().min(commit);
+        if through.0 < self.compacted.0 + self.cfg.compact_after_entries {
             return Ok(());
         }
         let mut state = Vec::new();
--- a/crates/control/src/process/leadership.rs
+++ b/crates/control/src/process/leadership.rs
@@ -6,8 +6,8 @@
 use member::Registry;
 use types::{Revision, Term};
 
-use super::{Settings, nodes::Nodes, waiters::Waiters};
-use crate::{request::Waiter, version::View};
+use super::{Settings, nodes::LiveNodes, waiters::WaitingSyncs};
+use crate::{request::WaitingSync, version::LeaderView};
 
 /// Shortest time between two published memberships, so that many changes at
 /// once are one switch of version.
@@ -18,9 +18,9 @@
 pub(super) struct Leadership {
     pub term: Term,
     pub registry: Registry,
-    pub nodes: Nodes,
+    pub nodes: LiveNodes,
     /// Nodes that wait for something newer.
-    pub waiters: Waiters,
+    pub waiters: WaitingSyncs,
     /// No membership is published before this instant.
     pub publish_at: Instant,
     /// A read of this term was confirmed, so every entry of earlier leaders is
@@ -35,8 +35,8 @@
         Leadership {
             term,
             registry: Registry::new(cfg.member.clone(), now, term),
-            nodes: Nodes::default(),
-            waiters: Waiters::default(),
+            nodes: LiveNodes::default(),
+            waiters: WaitingSyncs::default(),
             publish_at: now,
             confirmed: false,
             known: Revision(0),
@@ -84,8 +84,8 @@
     }
 
     /// Takes the nodes that are to be answered now.
-    pub fn take_due(&mut self, now: Instant, state: &ConfigState) -> Vec<Waiter> {
-        let view = View {
+    pub fn take_due(&mut self, now: Instant, state: &State) -> Vec<WaitingSync> {
+        let view = LeaderView {
             state,
             registry: &self.registry,
         };
--- a/crates/control/src/process/mod.rs
+++ b/crates/control/src/process/mod.rs
@@ -12,11 +12,11 @@
 mod waiters;
 
 pub use group::GroupCommand;
-pub use nodes::Nodes;
-pub use report::answer;
-pub use run::{run, run_on};
+pub use nodes::LiveNodes;
+pub use report::answer_query;
+pub use run::{run, run_with_disk};
 pub use settings::Settings;
-pub use waiters::Waiters;
+pub use waiters::WaitingSyncs;
 
 /// Path of messages between members.
 pub(crate) const CONSENSUS_PATH: &str = "/v1/consensus";
--- a/crates/control/src/process/nodes.rs
+++ b/crates/control/src/process/nodes.rs
@@ -8,7 +8,7 @@
 use types::{DataCentre, HostName, Revision, Role, Version};
 use wire::{SyncRequest, request::NodeReport};
 
-use crate::version::View;
+use crate::version::LeaderView;
 
 /// Time after which a silent node no longer counts as live.
 const LEASE: Duration = Duration::from_secs(3);
@@ -26,15 +26,15 @@
 
 /// The nodes that were heard, at the leader.
 #[derive(Debug, Default)]
-pub struct Nodes {
+pub struct LiveNodes {
     nodes: BTreeMap<(Role, HostName), Node>,
     /// When silent nodes are next searched for.
     expire_at: Option<Instant>,
 }
 
-impl Nodes {
+impl LiveNodes {
     /// Notes the request of a node.
-    pub fn note(&mut self, now: Instant, req: &SyncRequest) {
+    pub fn record_sync(&mut self, now: Instant, req: &SyncRequest) {
         let node = Node {
             data_centre: req.data_centre.clone(),
             version: req.have,
@@ -71,7 +71,7 @@
     #[must_use]
     pub fn lagging(&self, now: Instant, revision: Revision) -> Vec<NodeReport> {
         self.report(now)
-            .filter(|node| !View::in_force(node.version, revision))
+            .filter(|node| !LeaderView::in_force(node.version, revision))
             .collect()
     }
 
--- a/crates/control/src/process/report.rs
+++ b/crates/control/src/process/report.rs
@@ -9,11 +9,16 @@
     UpstreamReport,
 };
 
-use super::nodes::Nodes;
-use crate::version::View;
+use super::nodes::LiveNodes;
+use crate::version::LeaderView;
 
 /// Answers a query that a majority has confirmed.
-pub fn answer(query: &Query, view: View<'_>, nodes: &Nodes, status: &Status) -> QueryReply {
+pub fn answer_query(
+    query: &Query,
+    view: LeaderView<'_>,
+    nodes: &LiveNodes,
+    status: &Status,
+) -> QueryReply {
     let now = Instant::now();
     let state = view.state;
     match query {
@@ -42,7 +47,7 @@
     }
 }
 
-fn keys(view: View<'_>) -> Option<KeysReport> {
+fn keys(view: LeaderView<'_>) -> Option<KeysReport> {
     let keys = view.state.keys()?;
     Some(KeysReport {
         current: keys.set.current.generation,
@@ -67,7 +72,7 @@
     }
 }
 
-fn service(view: View<'_>, service: &Service) -> ServiceReport {
+fn service(view: LeaderView<'_>, service: &Service) -> ServiceReport {
     let status = view.registry.status(service.id);
     let classes = status.classes.iter().map(|(name, class)| {
         let report = ClassReport {
--- a/crates/control/src/process/run.rs
+++ b/crates/control/src/process/run.rs
@@ -37,8 +37,8 @@
 ///
 /// The data folder or the socket cannot be used.
 pub async fn run(cfg: Settings, registry: &Registry, stop: watch::Receiver<bool>) -> Result<()> {
-    let dir = DataDir::new(&cfg.data_dir)?;
-    run_on(dir, cfg, registry, stop).await
+    let dir = Dir::new(&cfg.data_dir)?;
+    run_with_disk(dir, cfg, registry, stop).await
 }
 
 /// Like [`run`], with a disk of the caller's in place of the data folder.
@@ -46,7 +46,7 @@
 /// # Errors
 ///
 /// The disk or the socket cannot be used.
-pub async fn run_on<D: Disk<File: 'static>>(
+pub async fn run_with_disk<D: Disk<File: 'static>>(
     disk: D,
     cfg: Settings,
     registry: &Registry,
@@ -77,9 +77,9 @@
     let snapshot = found.restored.snapshot.clone();
     let seed = rand::rng().random();
     let consensus = Consensus::new(cfg.consensus, me, found.restored, seed, Instant::now());
-    let forms = blank && cfg.group.first() == Some(&address);
+    let forms = blank && cfg.initial_group.first() == Some(&address);
     let form = forms.then(|| {
-        let hosts = cfg.group.iter().copied().collect();
+        let hosts = cfg.initial_group.iter().copied().collect();
         actix_rt::spawn(form(http.clone(), me, hosts, tx))
     });
     let task = GroupTask::new(
--- a/crates/control/src/process/settings.rs
+++ b/crates/control/src/process/settings.rs
@@ -16,10 +16,10 @@
     pub data_dir: PathBuf,
     /// The hosts that form the first group, this one included. Not used once
     /// the host belongs to a group.
-    pub group: BTreeSet<SocketAddr>,
+    pub initial_group: BTreeSet<SocketAddr>,
     /// Applied entries after which the log is replaced by a snapshot. What a
     /// snapshot costs grows with the state, so it must not come too often.
-    pub compact_after: u64,
+    pub compact_after_entries: u64,
     /// Times of the consensus.
     pub consensus: consensus::Settings,
     /// Times of the membership.
@@ -33,8 +33,8 @@
         Settings {
             listen: (Ipv4Addr::LOCALHOST, 0).into(),
             data_dir: PathBuf::from("data"),
-            group: BTreeSet::new(),
-            compact_after: 4096,
+            initial_group: BTreeSet::new(),
+            compact_after_entries: 4096,
             consensus: consensus::Settings::default(),
             member: member::Settings::default(),
             credentials: None,
--- a/crates/control/src/process/waiters.rs
+++ b/crates/control/src/process/waiters.rs
@@ -7,7 +7,7 @@
 
 use types::Version;
 
-use crate::{request::Waiter, version::View};
+use crate::{request::WaitingSync, version::LeaderView};
 
 /// Shortest time between two reviews of all nodes. A change after a quiet time
 /// goes out at once; more changes go together in the next review. At 5 changes
@@ -20,8 +20,8 @@
 /// and when its hold ends, so that other messages cost nothing for each
 /// waiting node.
 #[derive(Debug, Default)]
-pub struct Waiters {
-    waiting: BTreeMap<u64, Waiter>,
+pub struct WaitingSyncs {
+    waiting: BTreeMap<u64, WaitingSync>,
     /// One entry for each waiting node.
     holds: BTreeSet<(Instant, u64)>,
     /// Nodes that were not looked at yet.
@@ -36,9 +36,9 @@
     next: u64,
 }
 
-impl Waiters {
+impl WaitingSyncs {
     /// Adds a node.
-    pub fn push(&mut self, waiter: Waiter) {
+    pub fn push(&mut self, waiter: WaitingSync) {
         let number = self.next;
         self.next += 1;
         self.holds.insert((waiter.until, number));
@@ -55,13 +55,13 @@
     }
 
     /// Takes the nodes that are to be answered now.
-    pub fn take_due(&mut self, now: Instant, view: View<'_>) -> Vec<Waiter> {
+    pub fn take_due(&mut self, now: Instant, view: LeaderView<'_>) -> Vec<WaitingSync> {
         let candidates = self.candidates(now, view.version());
-        let has_news = |number: &u64| {
+        let has_update = |number: &u64| {
             let waiter = self.waiting.get(number);
-            waiter.is_some_and(|waiter| view.has_news(&waiter.req))
+            waiter.is_some_and(|waiter| view.has_update(&waiter.req))
         };
-        let mut due: BTreeSet<u64> = candidates.into_iter().filter(has_news).collect();
+        let mut due: BTreeSet<u64> = candidates.into_iter().filter(has_update).collect();
         let over = self.holds.iter().take_while(|(until, _)| *until <= now);
         due.extend(over.map(|(_, number)| number));
         due.into_iter().filter_map(|n| self.take(n)).collect()
@@ -96,12 +96,12 @@
     }
 
     /// Takes every node.
-    pub fn take_all(&mut self) -> impl Iterator<Item = Waiter> {
+    pub fn take_all(&mut self) -> impl Iterator<Item = WaitingSync> {
         std::mem::take(self).waiting.into_values()
     }
 
     /// Takes one node; `None` if it has gone away meanwhile.
-    fn take(&mut self, number: u64) -> Option<Waiter> {
+    fn take(&mut self, number: u64) -> Option<WaitingSync> {
         let waiter = self.waiting.remove(&number)?;
         self.holds.remove(&(waiter.until, number));
         (!waiter.tx.is_closed()).then_some(waiter)
--- a/crates/control/src/request/mod.rs
+++ b/crates/control/src/request/mod.rs
@@ -14,22 +14,22 @@
 
 /// A request that waits for a commit or a confirmed read.
 #[derive(Debug)]
-pub enum Pending {
+pub enum PendingRequest {
     /// An operator's change.
     Change(oneshot::Sender<ChangeReply>),
     /// A change that the leader itself proposed.
-    Own,
+    Internal,
     /// A change of the group.
     Group(GroupChangeRequest, oneshot::Sender<GroupReply>),
     /// An operator's query.
     Query(Query, oneshot::Sender<QueryReply>),
     /// Requests of nodes to be brought up to date.
-    Syncs(Vec<Waiter>),
+    Syncs(Vec<WaitingSync>),
 }
 
 /// A node that waits for something newer.
 #[derive(Debug)]
-pub struct Waiter {
+pub struct WaitingSync {
     /// What the node asked.
     pub req: SyncRequest,
     /// Where the reply goes.
@@ -57,7 +57,7 @@
     }
 }
 
-impl Pending {
+impl PendingRequest {
     /// Answers a request that was rejected and will have no effect.
     pub fn reject(self, reason: Rejection) {
         let leader = match reason {
@@ -67,18 +67,18 @@
         let not_leader = matches!(reason, Rejection::NotLeader { .. });
         // Whoever asked may be gone.
         match self {
-            Pending::Own => {}
-            Pending::Change(tx) => drop(tx.send(if not_leader {
+            PendingRequest::Internal => {}
+            PendingRequest::Change(tx) => drop(tx.send(if not_leader {
                 ChangeReply::NotLeader { leader }
             } else {
                 ChangeReply::Unavailable
             })),
-            Pending::Group(_, tx) => drop(tx.send(match refusal(reason) {
+            PendingRequest::Group(_, tx) => drop(tx.send(match refusal(reason) {
                 Some(refusal) => GroupReply::Refused(refusal),
                 None => GroupReply::NotLeader { leader },
             })),
-            Pending::Query(_, tx) => drop(tx.send(QueryReply::NotLeader { leader })),
-            Pending::Syncs(waiters) => {
+            PendingRequest::Query(_, tx) => drop(tx.send(QueryReply::NotLeader { leader })),
+            PendingRequest::Syncs(waiters) => {
                 for waiter in waiters {
                     let _ = waiter.tx.send(if not_leader {
                         SyncReply::NotLeader { leader }
@@ -91,10 +91,10 @@
     }
 
     /// Answers a request whose outcome is unknown.
-    pub fn lose(self) {
+    pub fn reply_unknown(self) {
         match self {
-            Pending::Change(tx) => drop(tx.send(ChangeReply::Unknown)),
-            Pending::Group(_, tx) => drop(tx.send(GroupReply::Unknown)),
+            PendingRequest::Change(tx) => drop(tx.send(ChangeReply::Unknown)),
+            PendingRequest::Group(_, tx) => drop(tx.send(GroupReply::Unknown)),
             other => other.reject(Rejection::NotLeader { leader: None }),
         }
     }
--- a/crates/control/src/version/mod.rs
+++ b/crates/control/src/version/mod.rs
@@ -9,14 +9,14 @@
 
 /// The configuration and, once it is settled, the membership.
 #[derive(Debug, Clone, Copy)]
-pub struct View<'a> {
+pub struct LeaderView<'a> {
     /// The committed configuration.
     pub state: &'a ConfigState,
     /// The leader's membership.
     pub registry: &'a Registry,
 }
 
-impl View<'_> {
+impl LeaderView<'_> {
     /// The version that is published; `None` while the membership settles.
     #[must_use]
     pub fn version(&self) -> Option<Version> {
@@ -30,7 +30,7 @@
 
     /// Whether something newer concerns the node.
     #[must_use]
-    pub fn has_news(&self, req: &SyncRequest) -> bool {
+    pub fn has_update(&self, req: &SyncRequest) -> bool {
         let Some(version) = self.version() else {
             return false;
         };
--- a/crates/control/tests/host.rs
+++ b/crates/control/tests/host.rs
@@ -17,8 +17,8 @@
 use actix_rt::{task::JoinHandle, time::sleep};
 use client::{HttpClient, OperatorClient};
 use common::{balancer, create, request, set_target};
-use control::{Settings, run_on};
-use store::{DataDir, Disk};
+use control::{Settings, run_with_disk};
+use store::{Dir, Disk};
 use tempfile::TempDir;
 use tokio::sync::watch;
 use types::{Answer, ChangeRequest, Revision, Version};
@@ -89,8 +89,8 @@
     fn start(folder: &Path, listen: SocketAddr, group: &[SocketAddr]) -> Host {
         let cfg = Settings {
             listen,
-            group: group.iter().copied().collect(),
-            compact_after: 64,
+            initial_group: group.iter().copied().collect(),
+            compact_after_entries: 64,
             ..Settings::default()
         };
         let full = Arc::new(AtomicBool::new(false));
@@ -101,7 +101,7 @@
         let (stop, stopped) = watch::channel(false);
         let metrics = prometheus::Registry::new();
         let registry = metrics.clone();
-        let run = async move { run_on(disk, cfg, &registry, stopped).await };
+        let run = async move { run_with_disk(disk, cfg, &registry, stopped).await };
         Host {
             full,
             stop,
--- a/crates/control/tests/version.rs
+++ b/crates/control/tests/version.rs
@@ -9,9 +9,9 @@
 
 use common::{agent, announcement, apply, balancer, create, set_target};
 use control::{
-    process::{Nodes, Waiters, answer},
-    request::Waiter,
-    version::View,
+    process::{LiveNodes, WaitingSyncs, answer_query},
+    request::WaitingSync,
+    version::LeaderView,
 };
 use member::{Registry, Settings};
 use tokio::sync::oneshot;
@@ -66,8 +66,8 @@
             .announce(self.at(millis), &host, &announcement);
     }
 
-    fn view(&self) -> View<'_> {
-        View {
+    fn view(&self) -> LeaderView<'_> {
+        LeaderView {
             state: &self.state,
             registry: &self.registry,
         }
@@ -100,7 +100,7 @@
     let leader = Leader::new(false);
     for have in [None, Some(version(1, 3, 900))] {
         for req in [agent("vouchers", have), balancer(have)] {
-            assert!(!leader.view().has_news(&req));
+            assert!(!leader.view().has_update(&req));
             let reply = leader.view().reply(&req);
             assert!(matches!(reply, SyncReply::Current { .. }), "{reply:?}");
         }
@@ -141,7 +141,7 @@
     ];
     for (req, at_once, snapshot, services) in cases {
         let case = format!("{} {:?}", req.host, req.have);
-        assert_eq!(leader.view().has_news(&req), at_once, "{case}");
+        assert_eq!(leader.view().has_update(&req), at_once, "{case}");
         let update = leader.update(&req);
         assert_eq!(update.snapshot, snapshot, "{case}");
         assert_eq!(ids(&update), services, "{case}");
@@ -186,12 +186,12 @@
     assert!(
         !leader
             .view()
-            .has_news(&agent("badges", Some(version(2, TERM, 1))))
+            .has_update(&agent("badges", Some(version(2, TERM, 1))))
     );
 }
 
 struct Wait {
-    waiters: Waiters,
+    waiters: WaitingSyncs,
     replies: Vec<oneshot::Receiver<SyncReply>>,
 }
 
@@ -199,7 +199,7 @@
     fn push(&mut self, req: SyncRequest, until: Instant) {
         let (tx, rx) = oneshot::channel();
         self.replies.push(rx);
-        self.waiters.push(Waiter { req, tx, until });
+        self.waiters.push(WaitingSync { req, tx, until });
     }
 }
 
@@ -209,7 +209,7 @@
 fn nodes_wait_for_news_or_the_end_of_their_hold() {
     let mut leader = Leader::new(true);
     let mut wait = Wait {
-        waiters: Waiters::default(),
+        waiters: WaitingSyncs::default(),
         replies: Vec::new(),
     };
     let have = Some(version(2, TERM, 1));
@@ -267,17 +267,17 @@
     };
     let new = Leader::new(false);
     let query = Query::Lagging(Revision(2));
-    let reply = answer(&query, new.view(), &Nodes::default(), &status);
+    let reply = answer_query(&query, new.view(), &LiveNodes::default(), &status);
     assert_eq!(reply, QueryReply::Unsettled);
 
     let leader = Leader::new(true);
-    let reply = answer(&query, leader.view(), &Nodes::default(), &status);
+    let reply = answer_query(&query, leader.view(), &LiveNodes::default(), &status);
     assert_eq!(reply, QueryReply::Lagging(Vec::new()));
 
-    let mut nodes = Nodes::default();
-    nodes.note(leader.at(0), &balancer(Some(version(1, TERM, 1))));
-    nodes.note(leader.at(1000), &agent("badges", Some(version(2, TERM, 1))));
-    let lagging = |nodes: &Nodes, millis| -> Vec<String> {
+    let mut nodes = LiveNodes::default();
+    nodes.record_sync(leader.at(0), &balancer(Some(version(1, TERM, 1))));
+    nodes.record_sync(leader.at(1000), &agent("badges", Some(version(2, TERM, 1))));
+    let lagging = |nodes: &LiveNodes, millis| -> Vec<String> {
         let lagging = nodes.lagging(leader.at(millis), Revision(2));
         lagging.iter().map(|node| node.host.to_string()).collect()
     };
--- a/crates/limpetd/src/process/cli.rs
+++ b/crates/limpetd/src/process/cli.rs
@@ -138,7 +138,7 @@
             credentials: self.tls.control_credentials()?,
             listen: self.listen,
             data_dir: self.data_dir,
-            group: self.group.into_iter().collect(),
+            initial_group: self.group.into_iter().collect(),
             ..control::Settings::default()
         })
     }
--- a/crates/limpetd/src/process/local.rs
+++ b/crates/limpetd/src/process/local.rs
@@ -65,7 +65,7 @@
     control::Settings {
         listen: args.control,
         data_dir: args.data_dir.clone(),
-        group: [args.control].into(),
+        initial_group: [args.control].into(),
         ..control::Settings::default()
     }
 }
