--- a/crates/control/src/error.rs
+++ b/crates/control/src/error.rs
@@ -1,27 +1,27 @@
-//! The error of this crate.
+//! Errors of the control host.
 
 use std::{io, net::SocketAddr};
 
 /// A [`std::result::Result`] with this crate's [`Error`].
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// The control host cannot start or go on.
+/// A failure that prevents the control host from starting or makes it exit.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// A socket cannot be opened.
-    #[error("cannot open a socket at {0}: {1}")]
+    /// The HTTP listener cannot be opened at this address.
+    #[error("cannot listen on {0}: {1}")]
     Bind(SocketAddr, io::Error),
-    /// The data folder cannot be used.
+    /// The data folder cannot be opened or read.
     #[error(transparent)]
     Store(#[from] store::Error),
-    /// The thread that writes to the disk has ended.
-    #[error("the thread that writes to the data folder has ended")]
+    /// The storage thread has exited.
+    #[error("the storage thread of the data folder has exited")]
     StoreThreadEnded,
-    /// The snapshot cannot be read.
-    #[error("cannot read the snapshot: {0}")]
+    /// The configuration in a snapshot cannot be encoded or decoded.
+    #[error("invalid configuration snapshot: {0}")]
     InvalidSnapshot(#[from] config::Error),
-    /// A log entry cannot be read.
-    #[error("cannot read log entry {0}: {1}; a newer version of limpetd may have written it")]
+    /// The command in a committed log entry cannot be decoded.
+    #[error("cannot decode log entry {0}: {1}; a newer version of limpetd may have written it")]
     InvalidLogEntry(types::Revision, wire::Error),
     /// A metric cannot be registered.
     #[error("cannot register a metric: {0}")]
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,13 +1,14 @@
 //! The control host: a member of the control group.
 //!
-//! One task, the group task, owns the decisions: [`consensus::Consensus`], the
-//! [`config::ConfigState`] that the log drives and, at the leader, the
-//! [`member::Registry`]. It talks by message with the disk, with one task for
-//! each other member, and with the HTTP server.
+//! A single task, the group task, owns all state and makes all decisions. It
+//! holds the [`consensus::Consensus`] state machine, the [`config::State`]
+//! that results from applying the log and, on the leader, the
+//! [`member::Registry`]. It exchanges messages with the storage thread, with
+//! the send tasks for the other members, and with the HTTP server.
 //!
 //! - [`process`]: settings and tasks;
-//! - [`version`]: what a node is sent for the version it has;
-//! - [`request`]: requests that wait for the group.
+//! - [`version`]: computes the reply to a node from the version that it has;
+//! - [`request`]: requests that wait for a commit or a confirmed read.
 
 pub mod error;
 pub mod process;
--- a/crates/control/src/process/group.rs
+++ b/crates/control/src/process/group.rs
@@ -1,4 +1,4 @@
-//! The task that owns the decisions of a control host.
+//! The task that owns the consensus state machine and the configuration.
 
 use std::{
     collections::BTreeMap,
@@ -29,37 +29,39 @@
 use super::{Settings, leadership::Leadership, metrics::Metrics, peers::Peers};
 use crate::{
     Error, Result,
-    request::{Command, PendingRequest, WaitingSync, group_change, refusal},
+    request::{Command, PendingRequest, WaitingSync, group_change, group_refusal},
     version::LeaderView,
 };
 
-/// Longest time that a node's request is held, whatever it asks for. Below a
-/// lease, because a node that waits does not renew its own.
-const MAX_HOLD: Duration = Duration::from_secs(2);
+/// Upper bound on the hold of a sync request, whatever the node asks for. It is
+/// shorter than the lease of a node, because a node does not renew its lease
+/// while its request is held.
+const MAX_SYNC_HOLD: Duration = Duration::from_secs(2);
 
-/// Author of the changes that the leader makes itself.
-const SYSTEM: &str = "limpetd";
+/// Author of the changes that the leader proposes itself.
+const SYSTEM_AUTHOR: &str = "limpetd";
 
-/// A message to the task.
+/// A message to the group task.
 #[derive(Debug)]
 pub enum GroupCommand {
-    /// A message of another member.
+    /// A consensus message from another member.
     Message(Message),
-    /// Another member looks for a group to form.
+    /// Asks for the id of this host and whether its data folder is blank.
     Hello(oneshot::Sender<HelloReply>),
-    /// All hosts of the first group are blank: form it.
-    Form(Group),
-    /// An operator's change.
+    /// Bootstraps the initial group; all of its hosts are blank.
+    Bootstrap(Group),
+    /// A configuration change from an operator.
     Change(Box<ChangeRequest>, oneshot::Sender<ChangeReply>),
-    /// An operator's query.
+    /// A query from an operator.
     Query(Query, oneshot::Sender<QueryReply>),
-    /// An operator's change of the group.
-    ChangeGroup(GroupChangeRequest, oneshot::Sender<GroupReply>),
-    /// A node's request to be brought up to date.
+    /// A membership change of the control group from an operator.
+    ChangeGroup(GroupCall, oneshot::Sender<GroupReply>),
+    /// A sync request from a node.
     Sync(Box<SyncRequest>, oneshot::Sender<SyncReply>),
 }
 
-/// The task that owns the decisions of a control host.
+/// The task that owns the consensus state machine, the configuration and the
+/// leader's soft state.
 pub struct GroupTask {
     cfg: Settings,
     consensus: Consensus,
@@ -67,25 +69,26 @@
     leadership: Option<Leadership>,
     pending: BTreeMap<RequestToken, PendingRequest>,
     next_token: u64,
-    /// Answers to entries of this leadership, until their proposals are
-    /// reported as accepted.
-    answers: BTreeMap<Revision, Answer>,
-    /// Changes of the group that are to be noted in the audit trail.
-    notes: Vec<ChangeRequest>,
-    /// Last entry that is covered by a snapshot.
-    compacted: Revision,
-    disk: store::StoreHandle,
+    /// Answers to the entries applied during this leadership, by log index. An
+    /// answer is removed when the consensus reports its proposal as accepted.
+    change_answers: BTreeMap<Revision, Answer>,
+    /// Membership changes that still have to be proposed for the audit trail.
+    audit_notes: Vec<ChangeRequest>,
+    /// Index of the last log entry that a snapshot covers.
+    snapshot_index: Revision,
+    disk: store::Handle,
     peers: Peers,
     metrics: Metrics,
     commands: mpsc::Receiver<GroupCommand>,
 }
 
 impl GroupTask {
-    /// Creates the task with the state in `snapshot`, if there is one.
+    /// Creates the task. The configuration is loaded from `snapshot` if there
+    /// is one.
     ///
     /// # Errors
     ///
-    /// The snapshot cannot be read.
+    /// The snapshot cannot be decoded.
     pub fn new(
         cfg: Settings,
         consensus: Consensus,
@@ -102,25 +105,27 @@
             leadership: None,
             pending: BTreeMap::new(),
             next_token: 0,
-            answers: BTreeMap::new(),
-            notes: Vec::new(),
-            compacted: Revision(0),
+            change_answers: BTreeMap::new(),
+            audit_notes: Vec::new(),
+            snapshot_index: Revision(0),
             disk,
             peers,
             metrics,
             commands,
         };
         if let Some(snapshot) = snapshot {
-            task.load(snapshot)?;
+            task.load_snapshot(snapshot)?;
         }
         Ok(task)
     }
 
-    /// Runs until `stop` changes, then waits until the data folder is free.
+    /// Runs until `stop` changes, then waits until the storage thread has
+    /// released the data folder.
     ///
     /// # Errors
     ///
-    /// A snapshot of the leader cannot be read.
+    /// The storage thread has exited, or a snapshot or a committed log entry
+    /// cannot be decoded.
     pub async fn run(mut self, stop: watch::Receiver<bool>) -> Result<()> {
         let result = self.serve(stop).await;
         let store::StoreHandle {
@@ -128,11 +133,12 @@
             reports,
             thread,
         } = self.disk;
-        // Without these the thread ends after the write that it has begun.
+        // Closing the channels makes the storage thread exit after the write
+        // in progress.
         drop((writes, reports));
         let ended = tokio::task::spawn_blocking(|| thread.join()).await;
         if !matches!(ended, Ok(Ok(()))) {
-            log::error!(event = "disk_thread_failed"; "the thread that writes to the data folder has failed");
+            log::error!(event = "disk_thread_failed"; "the storage thread of the data folder panicked");
         }
         result
     }
@@ -143,7 +149,7 @@
             tokio::select! {
                 _ = stop.changed() => return Ok(()),
                 report = self.disk.reports.recv() => match report {
-                    Some(report) => self.note_write(report)?,
+                    Some(report) => self.handle_write_report(report)?,
                     None => return Err(Error::StoreThreadEnded),
                 },
                 command = self.commands.recv() => match command {
@@ -152,7 +158,7 @@
                 },
                 () = sleep_until(deadline.into()) => self.step(Input::Tick)?,
             }
-            self.review(Instant::now())?;
+            self.run_due_work(Instant::now())?;
         }
     }
 
@@ -167,10 +173,10 @@
     fn handle(&mut self, command: GroupCommand) -> Result<()> {
         match command {
             GroupCommand::Message(message) => self.step(Input::Message(message)),
-            GroupCommand::Form(group) => self.step(Input::Bootstrap(group)),
+            GroupCommand::Bootstrap(group) => self.step(Input::Bootstrap(group)),
             GroupCommand::Hello(tx) => {
                 let status = self.consensus.status();
-                // Whoever asked may be gone.
+                // The requester may have disconnected.
                 let _ = tx.send(HelloReply {
                     id: status.id,
                     blank: status.is_blank(),
@@ -179,27 +185,27 @@
             }
             GroupCommand::Change(req, tx) => self.propose(*req, PendingRequest::Change(tx)),
             GroupCommand::Query(query, tx) => {
-                let token = self.expect(PendingRequest::Query(query, tx));
+                let token = self.register_pending(PendingRequest::Query(query, tx));
                 self.step(Input::ConfirmRead { token })
             }
             GroupCommand::ChangeGroup(req, tx) => {
                 log::info!(
                     event = "group_change_asked", author:% = req.author, change:% = req.change;
-                    "group change asked"
+                    "membership change of the control group requested"
                 );
                 let change = group_change(req.change);
-                let token = self.expect(PendingRequest::Group(req, tx));
+                let token = self.register_pending(PendingRequest::Group(req, tx));
                 self.step(Input::ChangeGroup { token, change })
             }
             GroupCommand::Sync(req, tx) => {
-                self.sync(Instant::now(), *req, tx);
+                self.hold_sync(Instant::now(), *req, tx);
                 Ok(())
             }
         }
     }
 
-    fn note_write(&mut self, report: WriteReport) -> Result<()> {
-        self.metrics.syncs.set(gauge(report.sync_count));
+    fn handle_write_report(&mut self, report: Report) -> Result<()> {
+        self.metrics.syncs.set(gauge_value(report.syncs));
         self.metrics.disk_failed.set(i64::from(!report.synced));
         self.step(if report.synced {
             Input::WriteSynced(report.id)
@@ -208,7 +214,7 @@
         })
     }
 
-    fn expect(&mut self, pending: PendingRequest) -> RequestToken {
+    fn register_pending(&mut self, pending: PendingRequest) -> RequestToken {
         let token = RequestToken(self.next_token);
         self.next_token += 1;
         self.pending.insert(token, pending);
@@ -221,20 +227,22 @@
             req,
         };
         let Ok(command) = wire::encode(&command) else {
-            // A change that came in by the same encoding can be encoded.
+            // Cannot happen for a change that was decoded from the same
+            // encoding.
             pending.reject(consensus::Rejection::DiskFailed);
             return Ok(());
         };
-        let token = self.expect(pending);
+        let token = self.register_pending(pending);
         let command = Bytes::from(command);
         self.step(Input::Propose { token, command })
     }
 
-    /// Takes a node's request in. It is answered from [`Self::review`].
-    fn sync(&mut self, now: Instant, req: SyncRequest, tx: oneshot::Sender<SyncReply>) {
+    /// Renews the leases of a node and holds its request. The reply is sent by
+    /// [`Self::run_due_work`].
+    fn hold_sync(&mut self, now: Instant, req: SyncRequest, tx: oneshot::Sender<SyncReply>) {
         let Some(leadership) = &mut self.leadership else {
             let leader = self.consensus.status().leader.map(|(_, address)| address);
-            // The node may be gone.
+            // The node may have disconnected.
             let _ = tx.send(SyncReply::NotLeader { leader });
             return;
         };
@@ -247,22 +255,27 @@
                 .registry
                 .announce_balancer(now, &req.host, balancer);
         }
-        let until = now + req.hold.min(MAX_HOLD);
-        leadership.waiters.push(WaitingSync { req, tx, until });
+        let hold_deadline = now + req.hold.min(MAX_SYNC_HOLD);
+        leadership.waiting_syncs.push(WaitingSync {
+            req,
+            tx,
+            hold_deadline,
+        });
     }
 
-    /// Gives the consensus an input and carries out what it decides.
+    /// Passes an input to the consensus and executes the resulting output.
     fn step(&mut self, input: Input) -> Result<()> {
         let output = self.consensus.step(Instant::now(), input);
         let status = self.consensus.status();
-        self.note_leadership(&status);
-        self.carry_out(output)?;
+        self.update_leadership(&status);
+        self.execute(output)?;
         self.compact(status.commit_index)
     }
 
-    fn carry_out(&mut self, output: Output) -> Result<()> {
+    fn execute(&mut self, output: Output) -> Result<()> {
         if let Some(write) = output.write {
-            // At most one write is outstanding, so the queue has room.
+            // The consensus has at most one write in flight, so the queue is
+            // never full.
             self.disk
                 .writes
                 .try_send(write)
@@ -272,30 +285,31 @@
             self.peers.send(envelope);
         }
         if let Some(snapshot) = &output.installed_snapshot {
-            self.load(snapshot)?;
+            self.load_snapshot(snapshot)?;
         }
         for entry in output.committed_entries {
             self.apply(&entry)?;
         }
-        self.inform_registry();
+        self.update_registry();
         for event in output.completions {
-            self.resolve(&event);
+            self.complete(&event);
         }
         Ok(())
     }
 
-    /// Starts or ends the leader's soft state.
-    fn note_leadership(&mut self, status: &Status) {
+    /// Creates or drops the leader's soft state when the role or the term
+    /// changes, and updates the metrics of the consensus.
+    fn update_leadership(&mut self, status: &Status) {
         self.metrics.leader.set(i64::from(status.is_leader()));
-        self.metrics.term.set(gauge(status.term.0));
-        self.metrics.commit.set(gauge(status.commit_index.0));
+        self.metrics.term.set(gauge_value(status.term.0));
+        self.metrics.commit.set(gauge_value(status.commit_index.0));
         let term = self.leadership.as_ref().map(|l| l.term);
         if status.is_leader() && term != Some(status.term) {
-            log::info!(event = "leader", term:% = status.term; "leads the control group");
+            log::info!(event = "leader", term:% = status.term; "became leader of the control group");
             self.end_leadership(status);
             self.leadership = Some(Leadership::new(&self.cfg, status.term, Instant::now()));
         } else if !status.is_leader() && term.is_some() {
-            log::info!(event = "leadership_ended", term:% = status.term; "no longer leads the control group");
+            log::info!(event = "leadership_ended", term:% = status.term; "lost leadership of the control group");
             self.end_leadership(status);
         }
     }
@@ -303,26 +317,27 @@
     fn end_leadership(&mut self, status: &Status) {
         let leader = status.leader.map(|(_, address)| address);
         if let Some(mut ended) = self.leadership.take() {
-            for waiter in ended.waiters.take_all() {
-                // The node may be gone.
-                let _ = waiter.tx.send(SyncReply::NotLeader { leader });
+            for sync in ended.waiting_syncs.take_all() {
+                // The node may have disconnected.
+                let _ = sync.tx.send(SyncReply::NotLeader { leader });
             }
         }
-        self.answers.clear();
+        self.change_answers.clear();
     }
 
-    fn load(&mut self, snapshot: &Snapshot) -> Result<()> {
+    fn load_snapshot(&mut self, snapshot: &Snapshot) -> Result<()> {
         self.state = if snapshot.state.is_empty() {
             ConfigState::default()
         } else {
             ConfigState::decode(&snapshot.state[..])?
         };
-        self.compacted = snapshot.position.index;
+        self.snapshot_index = snapshot.position.index;
         Ok(())
     }
 
-    /// Applies an entry. One that cannot be read ends the process: to skip it
-    /// would make this host's configuration differ from the others'.
+    /// Applies a committed entry. An entry that cannot be decoded is an error
+    /// that ends the process: skipping it would make the configuration of this
+    /// host diverge from that of the other members.
     fn apply(&mut self, entry: &LogEntry) -> Result<()> {
         let EntryPayload::Command(command) = &entry.payload else {
             return Ok(());
@@ -334,34 +349,34 @@
         self.metrics.changes.with_label_values(&[label]).inc();
         log::info!(
             event = "change", index:% = entry.index, id:% = req.id, author:% = req.author,
-            base:% = req.base, answer = label; "change applied"
+            base:% = req.base, answer = label; "configuration change applied"
         );
         if self.leadership.is_some() {
-            self.answers.insert(entry.index, answer);
+            self.change_answers.insert(entry.index, answer);
         }
         Ok(())
     }
 
-    /// Tells the registry what changed in the configuration.
-    fn inform_registry(&mut self) {
+    /// Copies configuration changes into the registry of the leader.
+    fn update_registry(&mut self) {
         let Some(leadership) = &mut self.leadership else {
             return;
         };
-        leadership.learn(&self.state);
+        leadership.apply_configuration(&self.state);
     }
 
-    fn resolve(&mut self, event: &Completion) {
+    fn complete(&mut self, event: &Completion) {
         match *event {
             Completion::Accepted { token, index } => {
-                let answer = self.answers.remove(&index);
+                let answer = self.change_answers.remove(&index);
                 match (self.pending.remove(&token), answer) {
                     (Some(PendingRequest::Change(tx)), Some(answer)) => {
-                        // Whoever asked may be gone.
+                        // The requester may have disconnected.
                         let _ = tx.send(ChangeReply::Final(answer));
                     }
                     (Some(PendingRequest::Group(call, tx)), _) => {
-                        self.note(call, None);
-                        // Whoever asked may be gone.
+                        self.queue_audit_note(call, None);
+                        // The requester may have disconnected.
                         let _ = tx.send(GroupReply::Done);
                     }
                     (Some(pending), _) => pending.reply_unknown(),
@@ -371,9 +386,9 @@
             Completion::Rejected { token, reason } => {
                 if let Some(pending) = self.pending.remove(&token) {
                     if let (PendingRequest::Group(call, _), Some(refused)) =
-                        (&pending, refusal(reason))
+                        (&pending, group_refusal(reason))
                     {
-                        self.note(call.clone(), Some(refused));
+                        self.queue_audit_note(call.clone(), Some(refused));
                     }
                     pending.reject(reason);
                 }
@@ -383,14 +398,14 @@
                     pending.reply_unknown();
                 }
             }
-            Completion::ReadConfirmed { token, .. } => self.answer_read(token),
+            Completion::ReadConfirmed { token, .. } => self.answer_confirmed_read(token),
         }
     }
 
-    /// Has a change of the group noted in the audit trail. A leader that removed
-    /// itself can no longer do so.
-    fn note(&mut self, call: GroupChangeRequest, refused: Option<GroupRefusal>) {
-        self.notes.push(ChangeRequest {
+    /// Queues a record of a membership change for the audit trail. The record is
+    /// lost if the leader has removed itself, because it can no longer propose.
+    fn queue_audit_note(&mut self, call: GroupCall, refused: Option<GroupRefusal>) {
+        self.audit_notes.push(ChangeRequest {
             id: ChangeId::generate(),
             author: call.author,
             base: Revision(0),
@@ -401,27 +416,28 @@
         });
     }
 
-    /// Answers a read that a majority has confirmed.
-    fn answer_read(&mut self, token: RequestToken) {
+    /// Replies to a read after a majority has confirmed that this host still
+    /// leads.
+    fn answer_confirmed_read(&mut self, token: RequestToken) {
         let Some(pending) = self.pending.remove(&token) else {
             return;
         };
         let Some(leadership) = &mut self.leadership else {
             return pending.reject(consensus::Rejection::NotLeader { leader: None });
         };
-        leadership.confirmed = true;
+        leadership.read_confirmed = true;
         let view = LeaderView {
             state: &self.state,
             registry: &leadership.registry,
         };
         match pending {
-            PendingRequest::Syncs(waiters) => {
-                for waiter in waiters {
-                    let reply = view.reply(&waiter.req);
+            PendingRequest::Syncs(syncs) => {
+                for sync in syncs {
+                    let reply = view.reply(&sync.req);
                     let label = reply_label(&reply);
                     self.metrics.replies.with_label_values(&[label]).inc();
-                    // The node may be gone.
-                    let _ = waiter.tx.send(reply);
+                    // The node may have disconnected.
+                    let _ = sync.tx.send(reply);
                 }
             }
             PendingRequest::Query(query, tx) => {
@@ -433,8 +449,9 @@
         }
     }
 
-    /// Does what is due at the leader: publishes, and answers nodes.
-    fn review(&mut self, now: Instant) -> Result<()> {
+    /// Does the leader's due work: publishes a membership, expires nodes, answers
+    /// held syncs and proposes the leader's own changes.
+    fn run_due_work(&mut self, now: Instant) -> Result<()> {
         let Some(leadership) = &mut self.leadership else {
             return Ok(());
         };
@@ -442,36 +459,40 @@
             self.metrics.publications.inc();
         }
         leadership.nodes.expire(now);
-        self.metrics.nodes.set(gauge(leadership.nodes.len() as u64));
+        self.metrics
+            .nodes
+            .set(gauge_value(leadership.nodes.len() as u64));
         let due = leadership.take_due(now, &self.state);
         if !due.is_empty() {
-            // One confirmation for all of them, so that a change costs a
-            // constant number of messages between the members.
-            let token = self.expect(PendingRequest::Syncs(due));
+            // A single confirmed read covers all of them, so that the number
+            // of messages between the members for one change does not grow
+            // with the number of nodes.
+            let token = self.register_pending(PendingRequest::Syncs(due));
             self.step(Input::ConfirmRead { token })?;
         }
-        for note in std::mem::take(&mut self.notes) {
+        for note in std::mem::take(&mut self.audit_notes) {
             self.propose(note, PendingRequest::Internal)?;
         }
-        if self.state.keys().is_none() && self.may_propose_key() {
+        if self.state.keys().is_none() && self.can_propose_first_key() {
             self.propose_first_key()?;
         }
         Ok(())
     }
 
-    /// Whether the first key is certainly missing and not yet proposed. A new
-    /// leader may hold one that it has not applied yet.
-    fn may_propose_key(&self) -> bool {
-        let own = self
+    /// Whether the first key is certainly missing and not yet proposed. Before a
+    /// confirmed read, the log of a new leader may contain a key that it has not
+    /// applied yet.
+    fn can_propose_first_key(&self) -> bool {
+        let proposed = self
             .pending
             .values()
             .any(|p| matches!(p, PendingRequest::Internal));
-        self.leadership.as_ref().is_some_and(|l| l.confirmed) && !own
+        self.leadership.as_ref().is_some_and(|l| l.read_confirmed) && !proposed
     }
 
-    /// Makes the first key of connection ids.
+    /// Proposes a random first key for connection ids.
     fn propose_first_key(&mut self) -> Result<()> {
-        let Ok(author) = SYSTEM.parse() else {
+        let Ok(author) = SYSTEM_AUTHOR.parse() else {
             return Ok(());
         };
         let req = ChangeRequest {
@@ -488,20 +509,22 @@
         self.propose(req, PendingRequest::Internal)
     }
 
-    /// Replaces the applied log by a snapshot when it has grown long.
+    /// Takes a snapshot of the configuration and truncates the log once
+    /// `compact_after_entries` entries have been applied since the last one.
     fn compact(&mut self, commit: Revision) -> Result<()> {
         let through = self.state.applied().min(commit);
-        if through.0 < self.compacted.0 + self.cfg.compact_after_entries {
+        if through.0 < self.snapshot_index.0 + self.cfg.compact_after_entries {
             return Ok(());
         }
         let mut state = Vec::new();
         self.state.encode(&mut state)?;
-        self.compacted = through;
+        self.snapshot_index = through;
         let state = Bytes::from(state);
         self.step(Input::Compact { through, state })
     }
 }
 
+/// Value of the `answer` metric label and log field.
 fn answer_label(answer: &Answer) -> &'static str {
     match answer {
         Answer::Accepted(_) => "accepted",
@@ -510,6 +533,7 @@
     }
 }
 
+/// Value of the `reply` metric label.
 fn reply_label(reply: &SyncReply) -> &'static str {
     match reply {
         SyncReply::Current { .. } => "current",
@@ -525,7 +549,7 @@
     UnixMillis(u64::try_from(millis).unwrap_or(u64::MAX))
 }
 
-/// A gauge's value; gauges are signed.
-fn gauge(value: u64) -> i64 {
+/// Converts a value for a gauge, which is signed; saturates at `i64::MAX`.
+fn gauge_value(value: u64) -> i64 {
     i64::try_from(value).unwrap_or(i64::MAX)
 }
--- a/crates/control/src/process/http.rs
+++ b/crates/control/src/process/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP server.
+//! The HTTP server of a control host.
 
 use std::net::TcpListener;
 
@@ -19,16 +19,17 @@
 use super::{CONSENSUS_PATH, GroupCommand, HELLO_PATH, Settings};
 use crate::{Error, Result};
 
-/// Threads that read and write messages; the decisions are in one task.
-const WORKERS: usize = 2;
+/// Threads that decode requests and encode replies. The state is owned by the
+/// group task.
+const HTTP_WORKERS: usize = 2;
 
-type Tx = web::Data<mpsc::Sender<GroupCommand>>;
+type GroupTx = web::Data<mpsc::Sender<GroupCommand>>;
 
 /// Starts the server on `listener`.
 ///
 /// # Errors
 ///
-/// The listener cannot be used.
+/// [`Error::Bind`] if the listener cannot be used.
 pub fn serve(
     cfg: &Settings,
     listener: TcpListener,
@@ -50,11 +51,11 @@
             .route("/v1/sync", web::post().to(sync))
     };
     let server = HttpServer::new(factory)
-        .workers(WORKERS)
+        .workers(HTTP_WORKERS)
         .on_connect(Authorizer::record_identity)
         .disable_signals()
         .shutdown_timeout(1)
-        // A node that closed its connection waits no more.
+        // A closed connection cancels the held sync request of its node.
         .h1_allow_half_closed(false);
     let server = match &cfg.credentials {
         Some(credentials) => server.listen_rustls_0_23(listener, credentials.server_config()),
@@ -63,7 +64,7 @@
     Ok(server.map_err(|e| Error::Bind(cfg.listen, e))?.run())
 }
 
-async fn consensus(tx: Tx, body: Bytes) -> HttpResponse {
+async fn consensus(tx: GroupTx, body: Bytes) -> HttpResponse {
     let Ok(messages) = wire::decode::<Vec<Message>>(&body) else {
         return HttpResponse::BadRequest().finish();
     };
@@ -75,50 +76,51 @@
     reply(&())
 }
 
-async fn hello(tx: Tx, body: Bytes) -> HttpResponse {
-    ask(&tx, &body, |_: Hello, tx| GroupCommand::Hello(tx), None).await
+async fn hello(tx: GroupTx, body: Bytes) -> HttpResponse {
+    decode_and_forward(&tx, &body, |_: Hello, tx| GroupCommand::Hello(tx), None).await
 }
 
-async fn change(tx: Tx, http: HttpRequest, body: Bytes) -> HttpResponse {
+async fn change(tx: GroupTx, http: HttpRequest, body: Bytes) -> HttpResponse {
     let Ok(req) = wire::decode::<ChangeRequest>(&body) else {
         return HttpResponse::BadRequest().finish();
     };
-    // Only the leader itself notes changes of the group.
+    // Only the leader itself proposes records of membership changes.
     if matches!(req.change, Change::NoteGroup { .. }) {
         return HttpResponse::BadRequest().finish();
     }
-    // Before the change is proposed: the audit trail has only true authors.
+    // Checked before the change is proposed, so that the audit trail contains
+    // only authenticated authors.
     if let Some(refusal) = auth::deny_unless_author(&http, &req.author) {
         return refusal;
     }
-    let lost = Some(ChangeReply::Unknown);
-    pass(&tx, |tx| GroupCommand::Change(Box::new(req), tx), lost).await
+    let fallback = Some(ChangeReply::Unknown);
+    forward(&tx, |tx| GroupCommand::Change(Box::new(req), tx), fallback).await
 }
 
-async fn query(tx: Tx, body: Bytes) -> HttpResponse {
-    let lost = Some(QueryReply::NotLeader { leader: None });
-    ask(
+async fn query(tx: GroupTx, body: Bytes) -> HttpResponse {
+    let fallback = Some(QueryReply::NotLeader { leader: None });
+    decode_and_forward(
         &tx,
         &body,
         |req: Query, tx| GroupCommand::Query(req, tx),
-        lost,
+        fallback,
     )
     .await
 }
 
-async fn group(tx: Tx, http: HttpRequest, body: Bytes) -> HttpResponse {
-    let Ok(req) = wire::decode::<GroupChangeRequest>(&body) else {
+async fn group(tx: GroupTx, http: HttpRequest, body: Bytes) -> HttpResponse {
+    let Ok(req) = wire::decode::<GroupCall>(&body) else {
         return HttpResponse::BadRequest().finish();
     };
     if let Some(refusal) = auth::deny_unless_author(&http, &req.author) {
         return refusal;
     }
-    let lost = Some(GroupReply::Unknown);
-    pass(&tx, |tx| GroupCommand::ChangeGroup(req, tx), lost).await
+    let fallback = Some(GroupReply::Unknown);
+    forward(&tx, |tx| GroupCommand::ChangeGroup(req, tx), fallback).await
 }
 
-async fn sync(tx: Tx, body: Bytes) -> HttpResponse {
-    ask(
+async fn sync(tx: GroupTx, body: Bytes) -> HttpResponse {
+    decode_and_forward(
         &tx,
         &body,
         |req: SyncRequest, tx| GroupCommand::Sync(Box::new(req), tx),
@@ -127,31 +129,32 @@
     .await
 }
 
-/// Reads a request and passes it to the group task.
-async fn ask<Req: DeserializeOwned, Reply: Serialize>(
+/// Decodes a request and forwards it to the group task. `fallback` as for
+/// [`forward`].
+async fn decode_and_forward<Req: DeserializeOwned, Reply: Serialize>(
     tx: &mpsc::Sender<GroupCommand>,
     body: &[u8],
     command: impl FnOnce(Req, oneshot::Sender<Reply>) -> GroupCommand,
-    lost: Option<Reply>,
+    fallback: Option<Reply>,
 ) -> HttpResponse {
     let Ok(req) = wire::decode::<Req>(body) else {
         return HttpResponse::BadRequest().finish();
     };
-    pass(tx, |reply_tx| command(req, reply_tx), lost).await
+    forward(tx, |reply_tx| command(req, reply_tx), fallback).await
 }
 
-/// Passes a request to the group task. `lost` is the reply if the task ends
-/// before it answers.
-async fn pass<Reply: Serialize>(
+/// Forwards a request to the group task and encodes the reply. `fallback` is the
+/// reply if the task ends before it answers; without one the status is 503.
+async fn forward<Reply: Serialize>(
     tx: &mpsc::Sender<GroupCommand>,
     command: impl FnOnce(oneshot::Sender<Reply>) -> GroupCommand,
-    lost: Option<Reply>,
+    fallback: Option<Reply>,
 ) -> HttpResponse {
     let (reply_tx, reply_rx) = oneshot::channel();
     if tx.send(command(reply_tx)).await.is_err() {
         return HttpResponse::ServiceUnavailable().finish();
     }
-    match (reply_rx.await, lost) {
+    match (reply_rx.await, fallback) {
         (Ok(message), _) | (Err(_), Some(message)) => reply(&message),
         (Err(_), None) => HttpResponse::ServiceUnavailable().finish(),
     }
--- a/crates/control/src/process/leadership.rs
+++ b/crates/control/src/process/leadership.rs
@@ -1,4 +1,4 @@
-//! What the leader keeps besides the log.
+//! Soft state of the leader.
 
 use std::time::{Duration, Instant};
 
@@ -6,28 +6,29 @@
 use member::Registry;
 use types::{Revision, Term};
 
-use super::{Settings, nodes::LiveNodes, waiters::WaitingSyncs};
+use super::{Settings, live_nodes::LiveNodes, waiting_syncs::WaitingSyncs};
 use crate::{request::WaitingSync, version::LeaderView};
 
-/// Shortest time between two published memberships, so that many changes at
-/// once are one switch of version.
+/// Shortest interval between two published memberships, so that many changes
+/// at once cause a single switch of version on the nodes.
 const PUBLISH_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What the leader keeps besides the log. Soft state: a new leader starts
-/// without it.
+/// State that the leader keeps outside the log. A new leader starts without it
+/// and rebuilds it from the syncs of the nodes.
 pub(super) struct Leadership {
     pub term: Term,
     pub registry: Registry,
     pub nodes: LiveNodes,
-    /// Nodes that wait for something newer.
-    pub waiters: WaitingSyncs,
+    /// Sync requests that are held until there is an update.
+    pub waiting_syncs: WaitingSyncs,
     /// No membership is published before this instant.
-    pub publish_at: Instant,
-    /// A read of this term was confirmed, so every entry of earlier leaders is
-    /// applied here.
-    pub confirmed: bool,
-    /// Revision up to which the registry knows the configuration.
-    pub known: Revision,
+    pub earliest_publish: Instant,
+    /// Whether a read was confirmed in this term, so that every entry committed
+    /// under earlier leaders has been applied here.
+    pub read_confirmed: bool,
+    /// Revision of the configuration that the registry has; 0 before the first
+    /// copy.
+    pub registry_revision: Revision,
 }
 
 impl Leadership {
@@ -36,19 +37,20 @@
             term,
             registry: Registry::new(cfg.member.clone(), now, term),
             nodes: LiveNodes::default(),
-            waiters: WaitingSyncs::default(),
-            publish_at: now,
-            confirmed: false,
-            known: Revision(0),
+            waiting_syncs: WaitingSyncs::default(),
+            earliest_publish: now,
+            read_confirmed: false,
+            registry_revision: Revision(0),
         }
     }
 
-    /// Takes the configuration after `self.known` over into the registry.
-    pub fn learn(&mut self, state: &ConfigState) {
-        if self.known == state.revision() && self.known != Revision(0) {
+    /// Copies the configuration changes after `registry_revision` into the
+    /// registry.
+    pub fn apply_configuration(&mut self, state: &State) {
+        if self.registry_revision == state.revision() && self.registry_revision != Revision(0) {
             return;
         }
-        let changes = match state.delta_since(self.known) {
+        let changes = match state.delta_since(self.registry_revision) {
             config::Delta::Changes(changes) => changes,
             config::Delta::SnapshotNeeded => state.full_changes(),
         };
@@ -62,33 +64,39 @@
         for (host, drain) in changes.drains {
             self.registry.set_drain(&host, drain);
         }
-        self.known = state.revision();
+        self.registry_revision = state.revision();
     }
 
+    /// When the next membership may be published, a held sync or a review is
+    /// due, or after one second if nothing is scheduled.
     pub fn next_deadline(&self) -> Instant {
-        let publish = self.registry.next_deadline();
-        let publish = publish.map(|at| at.max(self.publish_at));
-        let hold = self.waiters.next_deadline();
-        let far = Instant::now() + Duration::from_secs(1);
-        publish.into_iter().chain(hold).min().unwrap_or(far)
+        let publish_deadline = self.registry.next_deadline();
+        let publish_deadline = publish_deadline.map(|at| at.max(self.earliest_publish));
+        let sync_deadline = self.waiting_syncs.next_deadline();
+        let idle_deadline = Instant::now() + Duration::from_secs(1);
+        publish_deadline
+            .into_iter()
+            .chain(sync_deadline)
+            .min()
+            .unwrap_or(idle_deadline)
     }
 
-    /// Publishes a membership if one is due; returns whether it did.
+    /// Publishes a membership if one is due; returns whether it was published.
     pub fn publish(&mut self, now: Instant) -> bool {
         let due = self.registry.next_deadline();
-        if now < self.publish_at || due.is_none_or(|due| now < due) {
+        if now < self.earliest_publish || due.is_none_or(|due| now < due) {
             return false;
         }
-        self.publish_at = now + PUBLISH_INTERVAL;
+        self.earliest_publish = now + PUBLISH_INTERVAL;
         self.registry.tick(now).is_some()
     }
 
-    /// Takes the nodes that are to be answered now.
+    /// Removes and returns the sync requests that are to be answered now.
     pub fn take_due(&mut self, now: Instant, state: &State) -> Vec<WaitingSync> {
         let view = LeaderView {
             state,
             registry: &self.registry,
         };
-        self.waiters.take_due(now, view)
+        self.waiting_syncs.take_due(now, view)
     }
 }
--- a/crates/control/src/process/metrics.rs
+++ b/crates/control/src/process/metrics.rs
@@ -7,28 +7,28 @@
 /// Metrics of a control host.
 #[derive(Debug)]
 pub struct Metrics {
-    /// 1 at the leader, else 0.
+    /// 1 on the leader, else 0.
     pub leader: IntGauge,
-    /// Term of the consensus.
+    /// Current term of the consensus.
     pub term: IntGauge,
-    /// Last committed entry.
+    /// Index of the last committed log entry.
     pub commit: IntGauge,
-    /// Live nodes, at the leader.
+    /// Number of live nodes; set on the leader only.
     pub nodes: IntGauge,
-    /// Changes, by answer.
+    /// Applied configuration changes, by answer.
     pub changes: IntCounterVec,
     /// Published memberships.
     pub publications: IntCounter,
-    /// Replies to nodes, by kind.
+    /// Replies to sync requests, by kind.
     pub replies: IntCounterVec,
-    /// Syncs of the data folder.
+    /// `fsync` calls on the data folder since the start.
     pub syncs: IntGauge,
-    /// 1 while the disk refuses writes.
+    /// 1 while writes to the disk fail, else 0.
     pub disk_failed: IntGauge,
 }
 
 impl Metrics {
-    /// Registers the metrics.
+    /// Creates the metrics and registers them in `registry`.
     pub fn new(registry: &Registry) -> Result<Self> {
         let gauge = |name: &str, help: &str| -> Result<IntGauge> {
             let gauge = IntGauge::new(name, help)?;
--- a/crates/control/src/process/mod.rs
+++ b/crates/control/src/process/mod.rs
@@ -1,25 +1,26 @@
-//! What lives as long as the control host.
+//! Tasks and state with the lifetime of the control host process.
 
 mod group;
 mod http;
 mod leadership;
+mod live_nodes;
 mod metrics;
-mod nodes;
 mod peers;
 mod report;
 mod run;
 mod settings;
-mod waiters;
+mod waiting_syncs;
 
 pub use group::GroupCommand;
-pub use nodes::LiveNodes;
+pub use live_nodes::LiveNodes;
 pub use report::answer_query;
 pub use run::{run, run_with_disk};
 pub use settings::Settings;
-pub use waiters::WaitingSyncs;
+pub use waiting_syncs::WaitingSyncs;
 
-/// Path of messages between members.
+/// HTTP path for consensus messages between members.
 pub(crate) const CONSENSUS_PATH: &str = "/v1/consensus";
 
-/// Path on which members find each other before the first group.
+/// HTTP path on which a host reports its id and whether it is blank, before the
+/// initial group exists.
 pub(crate) const HELLO_PATH: &str = "/v1/hello";
--- a/crates/control/src/process/report.rs
+++ b/crates/control/src/process/report.rs
@@ -1,4 +1,4 @@
-//! Answers to operators' queries.
+//! Replies to queries of operators.
 
 use std::time::Instant;
 
@@ -9,10 +9,10 @@
     UpstreamReport,
 };
 
-use super::nodes::LiveNodes;
+use super::live_nodes::LiveNodes;
 use crate::version::LeaderView;
 
-/// Answers a query that a majority has confirmed.
+/// Computes the reply to a query after a majority has confirmed the read.
 pub fn answer_query(
     query: &Query,
     view: LeaderView<'_>,
@@ -25,29 +25,29 @@
         Query::Services => QueryReply::Services(state.services().values().cloned().collect()),
         Query::Service(name) => QueryReply::Service(state.service(name).cloned()),
         Query::Drain(host) => QueryReply::Drain(state.drains().get(host).cloned()),
-        Query::Keys => QueryReply::Keys(keys(view)),
+        Query::Keys => QueryReply::Keys(keys_report(view)),
         Query::Audit { limit } => {
             QueryReply::Audit(state.audit().rev().take(*limit).cloned().collect())
         }
-        // A new leader has not heard every live node yet: an empty list would
-        // wrongly say that the revision is in force everywhere.
+        // A new leader has not received a sync from every live node yet, so an
+        // empty list would wrongly claim that every node has the revision.
         Query::Lagging(_) if view.version().is_none() => QueryReply::Unsettled,
         Query::Lagging(revision) => QueryReply::Lagging(nodes.lagging(now, *revision)),
         Query::Routes => QueryReply::Routes(state.routes().cloned()),
         Query::Status => QueryReply::Status(Box::new(StatusReport {
             version: view.version().unwrap_or_default(),
-            group: group(status),
+            group: group_report(status),
             nodes: nodes.report(now).collect(),
             services: state
                 .services()
                 .values()
-                .map(|s| service(view, s))
+                .map(|s| service_report(view, s))
                 .collect(),
         })),
     }
 }
 
-fn keys(view: LeaderView<'_>) -> Option<KeysReport> {
+fn keys_report(view: LeaderView<'_>) -> Option<KeysReport> {
     let keys = view.state.keys()?;
     Some(KeysReport {
         current: keys.set.current.generation,
@@ -56,7 +56,7 @@
     })
 }
 
-fn group(status: &Status) -> GroupReport {
+fn group_report(status: &Status) -> GroupReport {
     let group = status.group.clone().unwrap_or_default();
     GroupReport {
         leader: status.id,
@@ -72,7 +72,7 @@
     }
 }
 
-fn service(view: LeaderView<'_>, service: &Service) -> ServiceReport {
+fn service_report(view: LeaderView<'_>, service: &Service) -> ServiceReport {
     let status = view.registry.status(service.id);
     let classes = status.classes.iter().map(|(name, class)| {
         let report = ClassReport {
--- a/crates/control/src/process/run.rs
+++ b/crates/control/src/process/run.rs
@@ -1,4 +1,4 @@
-//! Starting and ending a control host.
+//! Start and shutdown of a control host.
 
 use std::{
     collections::BTreeMap,
@@ -22,30 +22,33 @@
 };
 use crate::{Error, Result};
 
-/// Commands that may wait for the group task.
-const COMMANDS: usize = 4096;
+/// Capacity of the command queue of the group task.
+const COMMAND_QUEUE_CAPACITY: usize = 4096;
 
-/// Pause between two looks for the hosts of the first group.
-const FORM_INTERVAL: Duration = Duration::from_millis(200);
+/// Delay between two attempts to reach the hosts of the initial group.
+const BOOTSTRAP_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Time for a host to answer whether it is blank.
-const HELLO: Duration = Duration::from_secs(1);
+/// Timeout of the request that asks a host whether it is blank.
+const HELLO_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Runs a control host until `stop` changes.
 ///
 /// # Errors
 ///
-/// The data folder or the socket cannot be used.
+/// The data folder or the listener cannot be opened, a metric cannot be
+/// registered, the storage thread has exited, or a snapshot or a log entry
+/// cannot be decoded.
 pub async fn run(cfg: Settings, registry: &Registry, stop: watch::Receiver<bool>) -> Result<()> {
     let dir = Dir::new(&cfg.data_dir)?;
     run_with_disk(dir, cfg, registry, stop).await
 }
 
-/// Like [`run`], with a disk of the caller's in place of the data folder.
+/// Like [`run`], but stores the state on `disk` instead of in
+/// [`Settings::data_dir`].
 ///
 /// # Errors
 ///
-/// The disk or the socket cannot be used.
+/// As for [`run`].
 pub async fn run_with_disk<D: Disk<File: 'static>>(
     disk: D,
     cfg: Settings,
@@ -65,7 +68,7 @@
     };
     log::info!(event = "control_started", member:% = me.id, listen:% = address; "control host started");
 
-    let (tx, rx) = mpsc::channel(COMMANDS);
+    let (tx, rx) = mpsc::channel(COMMAND_QUEUE_CAPACITY);
     let authorizer = Authorizer::new(ServerKind::Control, cfg.credentials.as_ref(), registry)?;
     let server = http::serve(&cfg, listener, tx.clone(), authorizer)?;
     let server_handle = server.handle();
@@ -77,10 +80,10 @@
     let snapshot = found.restored.snapshot.clone();
     let seed = rand::rng().random();
     let consensus = Consensus::new(cfg.consensus, me, found.restored, seed, Instant::now());
-    let forms = blank && cfg.initial_group.first() == Some(&address);
-    let form = forms.then(|| {
+    let bootstraps = blank && cfg.initial_group.first() == Some(&address);
+    let bootstrap = bootstraps.then(|| {
         let hosts = cfg.initial_group.iter().copied().collect();
-        actix_rt::spawn(form(http.clone(), me, hosts, tx))
+        actix_rt::spawn(bootstrap_group(http.clone(), me, hosts, tx))
     });
     let task = GroupTask::new(
         cfg,
@@ -92,8 +95,8 @@
         rx,
     )?;
     let result = task.run(stop).await;
-    if let Some(form) = form {
-        form.abort();
+    if let Some(bootstrap) = bootstrap {
+        bootstrap.abort();
     }
     server_handle.stop(false).await;
     server.abort();
@@ -101,11 +104,11 @@
     result
 }
 
-/// Forms the first group once all its hosts are blank.
+/// Bootstraps the initial group once all of its hosts are blank.
 ///
-/// Only the host with the lowest address does so. If each did, two hosts could
-/// form different groups while a third one loses its disk in between.
-async fn form(
+/// Only the host with the lowest address runs this. If every host did, two hosts
+/// could bootstrap different groups when a third one loses its disk in between.
+async fn bootstrap_group(
     http: HttpClient,
     me: MemberIdentity,
     hosts: Vec<SocketAddr>,
@@ -113,18 +116,19 @@
 ) {
     loop {
         if let Some(voters) = blank_hosts(&http, me, &hosts).await {
-            log::info!(event = "group_formed", voters = voters.len(); "all hosts are blank; forming the first group");
-            // The task ends only with the process.
+            log::info!(event = "group_formed", voters = voters.len(); "all hosts are blank; bootstrapping the initial group");
+            // The group task ends only with the process.
             let _ = tx
-                .send(GroupCommand::Form(Group::from_voters(voters)))
+                .send(GroupCommand::Bootstrap(Group::from_voters(voters)))
                 .await;
             return;
         }
-        sleep(FORM_INTERVAL).await;
+        sleep(BOOTSTRAP_INTERVAL).await;
     }
 }
 
-/// The ids of the hosts, if all answer and are blank.
+/// Ids and addresses of the hosts if all of them reply and are blank, else
+/// `None`.
 async fn blank_hosts(
     http: &HttpClient,
     me: MemberIdentity,
@@ -132,7 +136,7 @@
 ) -> Option<BTreeMap<MemberId, SocketAddr>> {
     let mut voters = BTreeMap::from([(me.id, me.address)]);
     for &host in hosts.iter().filter(|host| **host != me.address) {
-        let deadline = Instant::now() + HELLO;
+        let deadline = Instant::now() + HELLO_TIMEOUT;
         let reply: HelloReply = http.post(host, HELLO_PATH, &Hello, deadline).await.ok()?;
         if !reply.blank {
             return None;
--- a/crates/control/src/process/settings.rs
+++ b/crates/control/src/process/settings.rs
@@ -9,22 +9,24 @@
 /// Settings of a control host.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// Where nodes, operators and other members send requests; announced, so
-    /// not a wildcard address.
+    /// Address of the HTTP server for nodes, operators and other members. It is
+    /// announced to the other members, so it must not be a wildcard address.
     pub listen: SocketAddr,
-    /// Folder for the state that must survive.
+    /// Folder of the persistent state: the log and the snapshots.
     pub data_dir: PathBuf,
-    /// The hosts that form the first group, this one included. Not used once
-    /// the host belongs to a group.
+    /// Addresses of the hosts that form the initial group, including this one.
+    /// Ignored once the host belongs to a group.
     pub initial_group: BTreeSet<SocketAddr>,
-    /// Applied entries after which the log is replaced by a snapshot. What a
-    /// snapshot costs grows with the state, so it must not come too often.
+    /// Number of applied log entries after which a snapshot replaces them. The
+    /// cost of a snapshot grows with the size of the state, so snapshots must not
+    /// be too frequent.
     pub compact_after_entries: u64,
-    /// Times of the consensus.
+    /// Settings of the consensus.
     pub consensus: consensus::Settings,
-    /// Times of the membership.
+    /// Settings of the upstream membership.
     pub member: member::Settings,
-    /// Proofs of identity; plain HTTP without them.
+    /// TLS certificate, key and CA; `None` for plain HTTP without
+    /// authentication.
     pub credentials: Option<auth::Credentials>,
 }
 
--- a/crates/control/src/request/mod.rs
+++ b/crates/control/src/request/mod.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for the group.
+//! Requests that wait for a commit or a confirmed read.
 
 use std::time::Instant;
 
@@ -15,39 +15,42 @@
 /// A request that waits for a commit or a confirmed read.
 #[derive(Debug)]
 pub enum PendingRequest {
-    /// An operator's change.
+    /// A configuration change from an operator.
     Change(oneshot::Sender<ChangeReply>),
-    /// A change that the leader itself proposed.
+    /// A configuration change proposed by the leader itself; nobody waits for a
+    /// reply.
     Internal,
-    /// A change of the group.
-    Group(GroupChangeRequest, oneshot::Sender<GroupReply>),
-    /// An operator's query.
+    /// A membership change of the control group.
+    Group(GroupCall, oneshot::Sender<GroupReply>),
+    /// A query from an operator.
     Query(Query, oneshot::Sender<QueryReply>),
-    /// Requests of nodes to be brought up to date.
+    /// Sync requests of nodes that are answered together after one confirmed
+    /// read.
     Syncs(Vec<WaitingSync>),
 }
 
-/// A node that waits for something newer.
+/// A sync request that is held open until there is an update for the node or
+/// its hold ends.
 #[derive(Debug)]
 pub struct WaitingSync {
-    /// What the node asked.
+    /// The request.
     pub req: SyncRequest,
-    /// Where the reply goes.
+    /// Receives the reply.
     pub tx: oneshot::Sender<SyncReply>,
-    /// When it is answered in any case.
-    pub until: Instant,
+    /// Deadline by which the request is answered even without an update.
+    pub hold_deadline: Instant,
 }
 
-/// An operator's change in the log.
+/// A configuration change as it is stored in the log.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Command {
-    /// The leader's clock when it proposed the change.
+    /// Wall-clock time of the leader when it proposed the change.
     pub at: types::UnixMillis,
-    /// The change.
+    /// The requested change.
     pub req: ChangeRequest,
 }
 
-/// The change of the group that a request asks for.
+/// Converts a membership request into the input of the consensus.
 #[must_use]
 pub fn group_change(req: GroupRequest) -> GroupChange {
     match req {
@@ -58,14 +61,14 @@
 }
 
 impl PendingRequest {
-    /// Answers a request that was rejected and will have no effect.
+    /// Replies that the request was rejected and has no effect.
     pub fn reject(self, reason: Rejection) {
         let leader = match reason {
             Rejection::NotLeader { leader } => leader.map(|(_, address)| address),
             _ => None,
         };
         let not_leader = matches!(reason, Rejection::NotLeader { .. });
-        // Whoever asked may be gone.
+        // The requester may have disconnected.
         match self {
             PendingRequest::Internal => {}
             PendingRequest::Change(tx) => drop(tx.send(if not_leader {
@@ -73,7 +76,7 @@
             } else {
                 ChangeReply::Unavailable
             })),
-            PendingRequest::Group(_, tx) => drop(tx.send(match refusal(reason) {
+            PendingRequest::Group(_, tx) => drop(tx.send(match group_refusal(reason) {
                 Some(refusal) => GroupReply::Refused(refusal),
                 None => GroupReply::NotLeader { leader },
             })),
@@ -90,7 +93,7 @@
         }
     }
 
-    /// Answers a request whose outcome is unknown.
+    /// Replies that the outcome of the request is unknown.
     pub fn reply_unknown(self) {
         match self {
             PendingRequest::Change(tx) => drop(tx.send(ChangeReply::Unknown)),
@@ -100,7 +103,9 @@
     }
 }
 
-pub(crate) fn refusal(reason: Rejection) -> Option<GroupRefusal> {
+/// Maps a rejection by the consensus to the refusal that is sent to the
+/// operator. `None` if another host has to be asked.
+pub(crate) fn group_refusal(reason: Rejection) -> Option<GroupRefusal> {
     match reason {
         Rejection::NotLeader { .. } => None,
         Rejection::DiskFailed => Some(GroupRefusal::DiskFailed),
--- a/crates/control/src/version/mod.rs
+++ b/crates/control/src/version/mod.rs
@@ -1,4 +1,4 @@
-//! What a node is sent for the version that it has.
+//! Computes the reply to a sync request from the version that the node has.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,17 +7,18 @@
 use types::{ClassLoads, Revision, Role, ServiceId, ServiceState, UpstreamId, Version};
 use wire::{ServiceSubset, SyncReply, SyncRequest, Update};
 
-/// The configuration and, once it is settled, the membership.
+/// The leader's configuration and membership, from which replies are computed.
 #[derive(Debug, Clone, Copy)]
 pub struct LeaderView<'a> {
-    /// The committed configuration.
-    pub state: &'a ConfigState,
-    /// The leader's membership.
+    /// The configuration as of the last applied log entry.
+    pub state: &'a State,
+    /// The leader's registry of upstreams and balancers.
     pub registry: &'a Registry,
 }
 
 impl LeaderView<'_> {
-    /// The version that is published; `None` while the membership settles.
+    /// The published version; `None` until the membership of a new leader has
+    /// settled.
     #[must_use]
     pub fn version(&self) -> Option<Version> {
         let (epoch, seq) = self.registry.version()?;
@@ -28,7 +29,7 @@
         })
     }
 
-    /// Whether something newer concerns the node.
+    /// Whether there is an update that affects the node.
     #[must_use]
     pub fn has_update(&self, req: &SyncRequest) -> bool {
         let Some(version) = self.version() else {
@@ -43,19 +44,19 @@
         let Some(members) = self.registry.changed_since(have.membership()) else {
             return true;
         };
-        if wants_balancers(req) && self.registry.balancers_seq() > have.seq {
+        if needs_balancers(req) && self.registry.balancers_seq() > have.seq {
             return true;
         }
         match self.state.delta_since(have.revision) {
             Delta::SnapshotNeeded => true,
             Delta::Changes(changes) => {
-                concerns(&changes, req) || members.iter().any(|id| self.wants(req, *id))
+                affects(&changes, req) || members.iter().any(|id| self.subscribes_to(req, *id))
             }
         }
     }
 
-    /// The reply to a node, as of now. Nothing may be sent before a majority
-    /// has confirmed that this host still leads.
+    /// The reply to a sync request. It may be sent only after a majority has
+    /// confirmed that this host is still the leader.
     #[must_use]
     pub fn reply(&self, req: &SyncRequest) -> SyncReply {
         let loads = self.loads(req);
@@ -70,6 +71,7 @@
         }
     }
 
+    /// Builds the delta from the node's version, or a snapshot if there is none.
     fn update(
         &self,
         req: &SyncRequest,
@@ -91,7 +93,7 @@
             keys: self.state.keys().map(|keys| keys.set.clone()),
             services: ids.iter().filter_map(|id| self.service(*id)).collect(),
             removed: changes.removed,
-            balancers: if wants_balancers(req) {
+            balancers: if needs_balancers(req) {
                 self.registry.balancers().clone()
             } else {
                 BTreeMap::new()
@@ -101,7 +103,8 @@
         }
     }
 
-    /// Services in the node's subset whose configuration or members changed.
+    /// Services in the node's subset whose configuration or members have changed
+    /// since the node's version.
     fn changed_services(
         &self,
         req: &SyncRequest,
@@ -113,10 +116,10 @@
         let members = have.and_then(|have| self.registry.changed_since(have.membership()));
         match members {
             Some(members) => ids.extend(members),
-            // Of another term: every member list may have changed.
+            // The version is of another term: any member list may differ.
             None => ids.extend(self.state.services().keys()),
         }
-        ids.retain(|id| self.wants(req, *id));
+        ids.retain(|id| self.subscribes_to(req, *id));
         ids
     }
 
@@ -135,15 +138,16 @@
         })
     }
 
-    fn wants(&self, req: &SyncRequest, id: ServiceId) -> bool {
+    /// Whether the service is in the node's subset.
+    fn subscribes_to(&self, req: &SyncRequest, id: ServiceId) -> bool {
         let service = self.state.services().get(&id);
         service.is_some_and(|service| req.subset.contains(&service.name))
     }
 
-    /// ClassLoads of the upstreams of named services; a node that wants all
-    /// services only forwards and needs none.
-    fn loads(&self, req: &SyncRequest) -> BTreeMap<UpstreamId, ClassLoads> {
-        let ServiceSubset::Named(names) = &req.subset else {
+    /// Loads of the upstreams of the services that the subset names. A node that
+    /// wants all services is a balancer, which only forwards and needs no loads.
+    fn loads(&self, req: &SyncRequest) -> BTreeMap<UpstreamId, Loads> {
+        let Subset::Named(names) = &req.subset else {
             return BTreeMap::new();
         };
         names
@@ -154,27 +158,28 @@
             .collect()
     }
 
-    /// The drain mark of the node's own host.
+    /// The node's own host if it is marked for draining, else empty.
     fn drains(&self, req: &SyncRequest) -> BTreeSet<types::HostName> {
         let mark = self.state.drains().get(&req.host);
         let drained = mark.is_some_and(|mark| mark.drain);
         drained.then(|| req.host.clone()).into_iter().collect()
     }
 
-    /// Whether a node with this subset and version has a revision in force, or
-    /// the revision does not concern it.
+    /// Whether a node that has applied the version `have` has `revision` in
+    /// force. A node also gets versions that do not affect it, when its hold ends.
     #[must_use]
     pub fn in_force(have: Option<Version>, revision: Revision) -> bool {
         have.is_some_and(|have| have.revision >= revision)
     }
 }
 
-fn wants_balancers(req: &SyncRequest) -> bool {
+/// Whether the node needs the addresses of the balancers.
+fn needs_balancers(req: &SyncRequest) -> bool {
     req.role == Role::Agent
 }
 
-/// Whether configuration changes concern a node.
-fn concerns(changes: &Changes, req: &SyncRequest) -> bool {
+/// Whether configuration changes affect a node.
+fn affects(changes: &Changes, req: &SyncRequest) -> bool {
     changes.keys.is_some()
         || !changes.removed.is_empty()
         || changes.drains.contains_key(&req.host)
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Values for requests of nodes and operators.
+//! Builders for the requests of nodes and operators.
 #![allow(dead_code)]
 
 use std::{collections::BTreeMap, time::Duration};
@@ -43,7 +43,7 @@
     assert_eq!(answer, types::Answer::Accepted(Revision(index)));
 }
 
-/// A sync of an agent with an upstream of `service`.
+/// A sync request of an agent with an upstream of `service`.
 pub fn agent(service: &str, have: Option<Version>) -> SyncRequest {
     SyncRequest {
         host: "app-1".parse().unwrap(),
@@ -57,7 +57,7 @@
     }
 }
 
-/// A sync of a balancer, which wants every service.
+/// A sync request of a balancer, whose subset is every service.
 pub fn balancer(have: Option<Version>) -> SyncRequest {
     SyncRequest {
         host: "lb-1".parse().unwrap(),
--- a/crates/control/tests/host.rs
+++ b/crates/control/tests/host.rs
@@ -1,4 +1,5 @@
-//! Control hosts in this process, with their sockets and a disk that can fail.
+//! Tests of control hosts that run in the test process, with real sockets and a
+//! disk that can run full.
 
 mod common;
 
@@ -27,15 +28,15 @@
     request::{ChangeReply, Query, QueryReply},
 };
 
-const PATIENCE: Duration = Duration::from_secs(10);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A folder whose disk can be full.
-struct Disks {
-    dir: DataDir,
+/// A data folder whose writes fail while `full` is set.
+struct FaultyDisk {
+    dir: Dir,
     full: Arc<AtomicBool>,
 }
 
-impl Disk for Disks {
+impl Disk for FaultyDisk {
     type File = File;
 
     fn list(&self) -> io::Result<Vec<String>> {
@@ -94,8 +95,8 @@
             ..Settings::default()
         };
         let full = Arc::new(AtomicBool::new(false));
-        let disk = Disks {
-            dir: DataDir::new(folder).unwrap(),
+        let disk = FaultyDisk {
+            dir: Dir::new(folder).unwrap(),
             full: full.clone(),
         };
         let (stop, stopped) = watch::channel(false);
@@ -128,23 +129,23 @@
     }
 }
 
-fn addresses(range: u8, count: u8) -> Vec<SocketAddr> {
-    let address = |n| ([127, 78, range, n], 7000).into();
+fn addresses(subnet: u8, count: u8) -> Vec<SocketAddr> {
+    let address = |n| ([127, 78, subnet, n], 7000).into();
     (1..=count).map(address).collect()
 }
 
-struct Site {
+struct Cluster {
     dir: TempDir,
     addresses: Vec<SocketAddr>,
     operator: OperatorClient,
     http: HttpClient,
 }
 
-impl Site {
-    fn new(range: u8, count: u8) -> Site {
-        let addresses = addresses(range, count);
+impl Cluster {
+    fn new(subnet: u8, count: u8) -> Cluster {
+        let addresses = addresses(subnet, count);
         let http = HttpClient::default();
-        Site {
+        Cluster {
             dir: tempfile::tempdir().unwrap(),
             operator: OperatorClient::new(http.clone(), addresses.clone()),
             addresses,
@@ -158,7 +159,9 @@
     }
 
     async fn change(&self, req: &ChangeRequest) -> ChangeReply {
-        self.operator.change(req, Instant::now() + PATIENCE).await
+        self.operator
+            .change(req, Instant::now() + WAIT_TIMEOUT)
+            .await
     }
 
     async fn accepted(&self, req: &ChangeRequest) -> Revision {
@@ -169,7 +172,7 @@
     }
 
     /// Changes a target `count` times and returns the last revision.
-    async fn change_often(&self, mut base: Revision, count: u32) -> Revision {
+    async fn change_repeatedly(&self, mut base: Revision, count: u32) -> Revision {
         for n in 0..count {
             let req = request(base, set_target("vouchers", n + 1));
             base = self.accepted(&req).await;
@@ -182,7 +185,7 @@
             hold,
             ..balancer(have)
         };
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         let reply = self
             .http
             .post(self.addresses[0], "/v1/sync", &req, deadline);
@@ -190,43 +193,43 @@
     }
 
     async fn query(&self, query: Query) -> QueryReply {
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         let reply = self.operator.query("/v1/query", &query, deadline);
         reply.await.unwrap()
     }
 }
 
 async fn wait_for(what: &str, mut check: impl FnMut() -> bool) {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while !check() {
         assert!(Instant::now() < deadline, "no {what} in time");
         sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// Guards against a change that is accepted without being on disk, and against
-/// a full disk that stops the distribution of what is accepted.
+/// Guards against a change that is accepted before it is on disk, and against a
+/// full disk that stops reads and syncs of the committed configuration.
 #[actix_rt::test]
-async fn a_full_disk_refuses_changes_and_answers_reads() {
-    let site = Site::new(1, 1);
-    let host = site.start(0);
+async fn a_full_disk_rejects_changes_and_serves_reads() {
+    let cluster = Cluster::new(1, 1);
+    let host = cluster.start(0);
     let created = request(Revision(0), create("vouchers", 4433));
-    let base = site.accepted(&created).await;
+    let base = cluster.accepted(&created).await;
 
     host.full.store(true, Ordering::Relaxed);
     let lost = request(base, set_target("vouchers", 3));
     let deadline = Instant::now() + Duration::from_secs(1);
-    let reply = site.operator.change(&lost, deadline).await;
-    assert_eq!(reply, ChangeReply::Unknown, "it was under way");
+    let reply = cluster.operator.change(&lost, deadline).await;
+    assert_eq!(reply, ChangeReply::Unknown, "the write was in progress");
     wait_for("failed write", || {
         host.metric("limpet_control_disk_failed") > 0.0
     })
     .await;
     let late = request(base, set_target("vouchers", 5));
     let deadline = Instant::now() + Duration::from_secs(1);
-    let reply = site.operator.change(&late, deadline).await;
+    let reply = cluster.operator.change(&late, deadline).await;
     assert_eq!(reply, ChangeReply::Unavailable);
-    let reply = site.query(Query::Services).await;
+    let reply = cluster.query(Query::Services).await;
     let QueryReply::Services(services) = reply else {
         panic!("unexpected {reply:?}");
     };
@@ -235,7 +238,7 @@
         host.metric("limpet_control_publications_total") > 0.0
     })
     .await;
-    let reply = site.sync(None, Duration::from_secs(1)).await;
+    let reply = cluster.sync(None, Duration::from_secs(1)).await;
     assert!(matches!(reply, SyncReply::Update(_)), "{reply:?}");
 
     host.full.store(false, Ordering::Relaxed);
@@ -243,9 +246,10 @@
         host.metric("limpet_control_disk_failed") < 1.0
     })
     .await;
-    // The first one was only waiting for the disk; the second never ran.
-    let revision = site.accepted(&lost).await;
-    let reply = site.change(&late).await;
+    // The first change was only waiting for the disk; the second was never
+    // proposed.
+    let revision = cluster.accepted(&lost).await;
+    let reply = cluster.change(&late).await;
     assert!(
         matches!(&reply, ChangeReply::Final(Answer::Conflict(c)) if c.winner == revision),
         "{reply:?}"
@@ -253,17 +257,17 @@
     host.stop().await;
 }
 
-/// Guards against answers and configuration that are lost with a snapshot, and
-/// against a folder that stays locked after the end.
+/// Guards against a snapshot that loses the configuration or the answers to
+/// changes, and against a data folder that stays locked after the host has stopped.
 #[actix_rt::test]
 async fn snapshots_keep_configuration_and_answers() {
-    let site = Site::new(2, 1);
-    let host = site.start(0);
+    let cluster = Cluster::new(2, 1);
+    let host = cluster.start(0);
     let created = request(Revision(0), create("vouchers", 4433));
-    let first = site.accepted(&created).await;
-    let last = site.change_often(first, 150).await;
+    let first = cluster.accepted(&created).await;
+    let last = cluster.change_repeatedly(first, 150).await;
     host.stop().await;
-    let files: Vec<_> = std::fs::read_dir(site.dir.path().join("0"))
+    let files: Vec<_> = std::fs::read_dir(cluster.dir.path().join("0"))
         .unwrap()
         .map(|entry| entry.unwrap().file_name().into_string().unwrap())
         .filter(|name| name.starts_with("snapshot-"))
@@ -271,11 +275,11 @@
     assert_eq!(files.len(), 1, "{files:?}");
     assert_ne!(files[0], "snapshot-0000000000000000");
 
-    let host = site.start(0);
-    assert_eq!(site.accepted(&created).await, first, "resend");
-    let last = site.change_often(last, 150).await;
+    let host = cluster.start(0);
+    assert_eq!(cluster.accepted(&created).await, first, "resend");
+    let last = cluster.change_repeatedly(last, 150).await;
     let name = "vouchers".parse().unwrap();
-    let reply = site.query(Query::Service(name)).await;
+    let reply = cluster.query(Query::Service(name)).await;
     let QueryReply::Service(Some(service)) = reply else {
         panic!("unexpected {reply:?}");
     };
@@ -283,53 +287,56 @@
     host.stop().await;
 }
 
-/// Guards against a member that cannot catch up once the entries that it
-/// missed are compacted.
+/// Guards against a member that cannot catch up because the log entries that it
+/// missed have been replaced by a snapshot.
 #[actix_rt::test]
 async fn a_member_that_missed_hundreds_of_entries_catches_up() {
-    let site = Site::new(3, 3);
-    let mut hosts: Vec<Host> = (0..3).map(|n| site.start(n)).collect();
+    let cluster = Cluster::new(3, 3);
+    let mut hosts: Vec<Host> = (0..3).map(|n| cluster.start(n)).collect();
     let created = request(Revision(0), create("vouchers", 4433));
-    let first = site.accepted(&created).await;
+    let first = cluster.accepted(&created).await;
     let late = hosts.pop().unwrap();
     late.stop().await;
-    let last = site.change_often(first, 300).await;
+    let last = cluster.change_repeatedly(first, 300).await;
 
-    let late = site.start(2);
+    let late = cluster.start(2);
     wait_for("member that caught up", || {
         late.metric("limpet_control_commit") >= f64::from(u32::try_from(last.0).unwrap())
     })
     .await;
     let applied = late.metric("limpet_control_changes_total");
-    assert!(applied < 100.0, "{applied} changes were sent one by one");
+    assert!(applied < 100.0, "{applied} changes were applied one by one");
     for host in hosts {
         host.stop().await;
     }
     late.stop().await;
 }
 
-/// Guards against a node that is never answered, and so loses its lease.
+/// Guards against a sync request that is held without limit, so that the node loses
+/// its lease.
 #[actix_rt::test]
-async fn a_hold_without_end_is_capped() {
-    let site = Site::new(4, 1);
-    let host = site.start(0);
-    site.accepted(&request(Revision(0), create("vouchers", 4433)))
+async fn an_unbounded_hold_is_capped() {
+    let cluster = Cluster::new(4, 1);
+    let host = cluster.start(0);
+    cluster
+        .accepted(&request(Revision(0), create("vouchers", 4433)))
         .await;
     wait_for("published membership", || {
         host.metric("limpet_control_publications_total") > 0.0
     })
     .await;
-    // The second look comes after the first key, the last change of all.
+    // The first reply may precede the first key, which is the last change; the
+    // second one includes it.
     let mut have = None;
     for _ in 0..2 {
-        let reply = site.sync(have, Duration::from_secs(1)).await;
+        let reply = cluster.sync(have, Duration::from_secs(1)).await;
         if let SyncReply::Update(update) = reply {
             have = Some(update.version);
         }
     }
-    let asked = Instant::now();
-    let reply = site.sync(have, Duration::from_millis(u64::MAX)).await;
+    let started = Instant::now();
+    let reply = cluster.sync(have, Duration::from_millis(u64::MAX)).await;
     assert!(matches!(reply, SyncReply::Current { .. }), "{reply:?}");
-    assert!(asked.elapsed() < Duration::from_secs(3));
+    assert!(started.elapsed() < Duration::from_secs(3));
     host.stop().await;
 }
--- a/crates/control/tests/version.rs
+++ b/crates/control/tests/version.rs
@@ -1,4 +1,4 @@
-//! What a node is sent, and which nodes are looked at.
+//! Tests of sync replies, held sync requests and the list of lagging nodes.
 
 mod common;
 
@@ -93,10 +93,10 @@
     update.services.iter().map(|s| s.service.id.0).collect()
 }
 
-/// Guards against a new leader that hands out a membership before the live
-/// upstreams had the time to announce themselves.
+/// Guards against a new leader that publishes a membership before the live
+/// upstreams had time to announce themselves.
 #[test]
-fn nobody_gets_a_version_before_the_membership_is_settled() {
+fn no_version_is_sent_before_the_membership_is_settled() {
     let leader = Leader::new(false);
     for have in [None, Some(version(1, 3, 900))] {
         for req in [agent("vouchers", have), balancer(have)] {
@@ -107,10 +107,10 @@
     }
 }
 
-/// Guards against nodes that are woken or sent more than what concerns them,
-/// and against nodes that miss something.
+/// Guards against replies to nodes that a change does not affect, and against
+/// updates with too many or too few services.
 #[test]
-fn a_node_gets_what_it_lacks() {
+fn an_update_has_the_services_that_changed_since_the_nodes_version() {
     let mut leader = Leader::new(true);
     apply(
         &mut leader.state,
@@ -121,13 +121,13 @@
         },
     );
     // The request, whether it is answered at once, whether by a snapshot, and
-    // the services in the answer.
+    // the services in the update.
     let cases = [
         (balancer(None), true, true, vec![0, 1]),
         (agent("badges", None), true, true, vec![1]),
-        // Of an earlier term: every list of members is new.
+        // Version of an earlier term: every member list is sent.
         (balancer(Some(version(3, 3, 9))), true, false, vec![0, 1]),
-        // Both configurations are known, and no membership.
+        // The configuration is current, but the node has no membership yet.
         (balancer(Some(version(3, TERM, 0))), true, false, vec![0, 1]),
         (balancer(Some(version(1, TERM, 1))), true, false, vec![1]),
         (
@@ -136,12 +136,12 @@
             false,
             vec![],
         ),
-        // The drain of another host concerns nobody else.
+        // The drain of a host does not affect other hosts.
         (balancer(Some(version(2, TERM, 1))), false, false, vec![]),
     ];
-    for (req, at_once, snapshot, services) in cases {
+    for (req, answered_at_once, snapshot, services) in cases {
         let case = format!("{} {:?}", req.host, req.have);
-        assert_eq!(leader.view().has_update(&req), at_once, "{case}");
+        assert_eq!(leader.view().has_update(&req), answered_at_once, "{case}");
         let update = leader.update(&req);
         assert_eq!(update.snapshot, snapshot, "{case}");
         assert_eq!(ids(&update), services, "{case}");
@@ -155,8 +155,8 @@
     ));
 }
 
-/// Guards against a change whose cost grows with what was there before: after
-/// 500 changes of one service a node gets one update with that service.
+/// Guards against an update whose size grows with the number of missed changes:
+/// after 500 changes of one service a node gets one update with that service.
 #[test]
 fn many_missed_changes_are_one_update() {
     let mut leader = Leader::new(true);
@@ -173,9 +173,10 @@
     assert_eq!(update.version.revision, Revision(509));
 }
 
-/// Guards against an upstream that leaves and is still in what a node has.
+/// Guards against a leaving upstream that keeps its share on the nodes because the
+/// update omits its service.
 #[test]
-fn a_change_of_members_names_their_service() {
+fn an_update_has_the_service_whose_members_changed() {
     let mut leader = Leader::new(true);
     leader.announce(3100, UpstreamState::Leaving);
     assert!(leader.registry.tick(leader.at(3100)).is_some());
@@ -190,68 +191,74 @@
     );
 }
 
-struct Wait {
-    waiters: WaitingSyncs,
+struct HeldSyncs {
+    syncs: WaitingSyncs,
     replies: Vec<oneshot::Receiver<SyncReply>>,
 }
 
-impl Wait {
-    fn push(&mut self, req: SyncRequest, until: Instant) {
+impl HeldSyncs {
+    fn push(&mut self, req: SyncRequest, hold_deadline: Instant) {
         let (tx, rx) = oneshot::channel();
         self.replies.push(rx);
-        self.waiters.push(WaitingSync { req, tx, until });
+        self.syncs.push(WaitingSync {
+            req,
+            tx,
+            hold_deadline,
+        });
     }
 }
 
-/// Guards against nodes that wait longer than they asked for, are answered
-/// without need, or are missed when the version changes.
+/// Guards against sync requests that are held too long, are answered without an
+/// update before their hold ends, or are missed when the version changes.
 #[test]
-fn nodes_wait_for_news_or_the_end_of_their_hold() {
+fn syncs_are_held_until_an_update_or_the_end_of_the_hold() {
     let mut leader = Leader::new(true);
-    let mut wait = Wait {
-        waiters: WaitingSyncs::default(),
+    let mut held = HeldSyncs {
+        syncs: WaitingSyncs::default(),
         replies: Vec::new(),
     };
     let have = Some(version(2, TERM, 1));
-    wait.push(agent("vouchers", have), leader.at(4000));
-    wait.push(agent("badges", have), leader.at(4100));
-    wait.push(balancer(None), leader.at(4200));
-    let take = |wait: &mut Wait, leader: &Leader, millis| -> Vec<_> {
-        let due = wait.waiters.take_due(leader.at(millis), leader.view());
-        due.into_iter().map(|w| w.until).collect()
+    held.push(agent("vouchers", have), leader.at(4000));
+    held.push(agent("badges", have), leader.at(4100));
+    held.push(balancer(None), leader.at(4200));
+    let take = |held: &mut HeldSyncs, leader: &Leader, millis| -> Vec<_> {
+        let due = held.syncs.take_due(leader.at(millis), leader.view());
+        due.into_iter().map(|sync| sync.hold_deadline).collect()
     };
-    // The one without a version is answered at once.
-    assert_eq!(take(&mut wait, &leader, 3000), [leader.at(4200)]);
-    assert!(take(&mut wait, &leader, 3001).is_empty());
-    assert_eq!(wait.waiters.next_deadline(), Some(leader.at(4000)));
+    // A node without a version is answered at once.
+    assert_eq!(take(&mut held, &leader, 3000), [leader.at(4200)]);
+    assert!(take(&mut held, &leader, 3001).is_empty());
+    assert_eq!(held.syncs.next_deadline(), Some(leader.at(4000)));
 
     leader.announce(3100, UpstreamState::Leaving);
     leader.registry.tick(leader.at(3100));
-    // Too soon after the last review of all, but not for one that missed it.
-    wait.push(
+    // Too early for the next review, but a node that missed the last one is
+    // answered at once.
+    held.push(
         agent("vouchers", Some(version(1, TERM, 1))),
         leader.at(4300),
     );
-    wait.push(agent("vouchers", have), leader.at(4400));
-    assert_eq!(take(&mut wait, &leader, 3100), [leader.at(4300)]);
-    assert!(take(&mut wait, &leader, 3499).is_empty());
-    assert_eq!(wait.waiters.next_deadline(), Some(leader.at(3500)));
-    let both = [leader.at(4000), leader.at(4400)];
-    assert_eq!(take(&mut wait, &leader, 3500), both);
-    assert!(take(&mut wait, &leader, 4099).is_empty());
-    assert_eq!(take(&mut wait, &leader, 4100), [leader.at(4100)]);
-    assert_eq!(wait.waiters.next_deadline(), None);
+    held.push(agent("vouchers", have), leader.at(4400));
+    assert_eq!(take(&mut held, &leader, 3100), [leader.at(4300)]);
+    assert!(take(&mut held, &leader, 3499).is_empty());
+    assert_eq!(held.syncs.next_deadline(), Some(leader.at(3500)));
+    let expected = [leader.at(4000), leader.at(4400)];
+    assert_eq!(take(&mut held, &leader, 3500), expected);
+    assert!(take(&mut held, &leader, 4099).is_empty());
+    assert_eq!(take(&mut held, &leader, 4100), [leader.at(4100)]);
+    assert_eq!(held.syncs.next_deadline(), None);
 
-    // A node that closed its connection is dropped.
-    wait.push(balancer(None), leader.at(9000));
-    wait.replies.clear();
-    assert!(take(&mut wait, &leader, 4200).is_empty());
+    // The request of a disconnected node is dropped.
+    held.push(balancer(None), leader.at(9000));
+    held.replies.clear();
+    assert!(take(&mut held, &leader, 4200).is_empty());
 }
 
-/// Guards against a change that is called in force everywhere by a leader that
-/// has not heard the nodes yet, and against waiting for nodes that are gone.
+/// Guards against a new leader that reports a revision as in force on every node
+/// before the nodes have synced with it, and against waiting for nodes whose lease
+/// has expired.
 #[test]
-fn lagging_nodes_are_named_once_all_live_ones_were_heard() {
+fn lagging_nodes_are_reported_once_the_membership_is_settled() {
     let status = consensus::Status {
         id: types::MemberId(1),
         role: consensus::Role::Leader,
@@ -265,9 +272,9 @@
         caught_up: [].into(),
         disk_failed: false,
     };
-    let new = Leader::new(false);
+    let unsettled = Leader::new(false);
     let query = Query::Lagging(Revision(2));
-    let reply = answer_query(&query, new.view(), &LiveNodes::default(), &status);
+    let reply = answer_query(&query, unsettled.view(), &LiveNodes::default(), &status);
     assert_eq!(reply, QueryReply::Unsettled);
 
     let leader = Leader::new(true);
@@ -287,9 +294,9 @@
     assert!(nodes.is_empty());
 }
 
-/// Guards against members of a service that is not in the configuration.
+/// Guards against nodes that keep a service after it was deleted.
 #[test]
-fn a_deleted_service_is_named_as_removed() {
+fn an_update_lists_deleted_services_as_removed() {
     let mut leader = Leader::new(true);
     let name: types::ServiceName = "vouchers".parse().unwrap();
     let base = leader.state.service(&name).unwrap().revision;
