--- a/crates/auth/src/connection/mod.rs
+++ b/crates/auth/src/connection/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as a connection.
+//! The identity of a peer, with the lifetime of its connection.
 
 mod identity;
 
--- a/crates/auth/src/error.rs
+++ b/crates/auth/src/error.rs
@@ -1,49 +1,49 @@
-//! The error of this crate.
+//! Errors of reading credentials.
 
 use std::path::PathBuf;
 
 /// A [`std::result::Result`] with this crate's [`Error`].
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// A certificate or key file cannot be used.
+/// A certificate or key file is missing or invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The file cannot be read or is not PEM.
     #[error("{flag} {}: {cause}; expected a readable file in PEM", file.display())]
     Pem {
-        /// The setting that names the file.
+        /// The command-line flag that names the file.
         flag: &'static str,
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// What is wrong.
+        /// The cause.
         cause: rustls::pki_types::pem::Error,
     },
-    /// The file holds no certificate.
+    /// The file contains no certificate.
     #[error("{flag} {}: expected at least one certificate in PEM", file.display())]
-    Empty {
-        /// The setting that names the file.
+    NoCertificate {
+        /// The command-line flag that names the file.
         flag: &'static str,
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
     },
-    /// A certificate cannot be used, or the key does not belong to it.
+    /// A certificate is invalid, or the key does not match it.
     #[error("{flag} {}: {cause}", file.display())]
-    Unusable {
-        /// The setting that names the file.
+    InvalidCertificate {
+        /// The command-line flag that names the file.
         flag: &'static str,
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// What is wrong.
+        /// The cause.
         cause: rustls::Error,
     },
-    /// The certificates of the CA cannot be used.
+    /// A client verifier cannot be built from the CA certificates.
     #[error("{flag} {}: {cause}", file.display())]
-    Ca {
-        /// The setting that names the file.
+    InvalidCa {
+        /// The command-line flag that names the file.
         flag: &'static str,
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// What is wrong.
+        /// The cause.
         cause: rustls::server::VerifierBuilderError,
     },
 }
--- a/crates/auth/src/lib.rs
+++ b/crates/auth/src/lib.rs
@@ -1,8 +1,7 @@
-//! Who a process or an operator is, and what it may ask for.
+//! Authentication and authorization of processes and operators.
 //!
-//! The HTTP between the system's own processes and for operators is
-//! authenticated by mutual TLS. A certificate says what its holder is by a DNS
-//! name:
+//! HTTP between the system's own processes and from operators is authenticated by
+//! mutual TLS. The DNS names in a certificate identify its holder:
 //!
 //! | Name | Holder |
 //! |---|---|
@@ -10,7 +9,7 @@
 //! | `node.limpetplank.internal` | a balancer or an agent |
 //! | `NAME.operator.limpetplank.internal` | the operator `NAME` |
 //!
-//! - [`process`]: [`Credentials`], read once at start;
+//! - [`process`]: [`Credentials`], read once at startup;
 //! - [`connection`]: [`CertificateIdentity`], what the certificate of a peer says;
 //! - [`request`]: [`authorize_path`], the decision, and [`Authorizer`], which enforces it in a
 //!   server.
--- a/crates/auth/src/process/credentials.rs
+++ b/crates/auth/src/process/credentials.rs
@@ -1,4 +1,4 @@
-//! The certificate of a process and the CA that it trusts.
+//! The certificate and key of a process, and the CA that it trusts.
 
 use std::{
     fmt, io,
@@ -19,11 +19,11 @@
 
 use crate::{CertificateIdentity, Error, Result};
 
-const CA: &str = "--tls-ca";
-const CERTIFICATE: &str = "--tls-certificate";
-const KEY: &str = "--tls-key";
+const CA_FLAG: &str = "--tls-ca";
+const CERTIFICATE_FLAG: &str = "--tls-certificate";
+const KEY_FLAG: &str = "--tls-key";
 
-/// The files that the settings name, all in PEM.
+/// Paths of the credential files, all in PEM format.
 #[derive(Debug, Clone)]
 pub struct CredentialFiles {
     /// Certificates of the CA, as `--tls-ca` names it.
@@ -34,9 +34,10 @@
     pub key: PathBuf,
 }
 
-/// What a process proves its identity with, and whom it believes.
+/// The TLS credentials of a process: its certificate and key, and the CA that it
+/// trusts.
 ///
-/// The files are read once; a renewed certificate is used after a restart.
+/// The files are read once; a renewed certificate takes effect after a restart.
 #[derive(Clone)]
 pub struct Credentials {
     client: Arc<ClientConfig>,
@@ -57,19 +58,19 @@
     ///
     /// # Errors
     ///
-    /// A file cannot be read, or its contents cannot be used. The error names
-    /// the setting and the file.
+    /// A file cannot be read, or its contents are invalid. The error names the
+    /// flag and the file.
     pub fn read(files: &CredentialFiles) -> Result<Self> {
         let mut roots = RootCertStore::empty();
-        for root in certificates(CA, &files.ca)? {
+        for root in read_certificates(CA_FLAG, &files.ca)? {
             roots
                 .add(root)
-                .map_err(|cause| unusable(CA, &files.ca, cause))?;
+                .map_err(|cause| invalid_certificate(CA_FLAG, &files.ca, cause))?;
         }
         let roots = Arc::new(roots);
-        let chain = certificates(CERTIFICATE, &files.certificate)?;
+        let chain = read_certificates(CERTIFICATE_FLAG, &files.certificate)?;
         let key = PrivateKeyDer::from_pem_file(&files.key).map_err(|cause| Error::Pem {
-            flag: KEY,
+            flag: KEY_FLAG,
             file: files.key.clone(),
             cause,
         })?;
@@ -78,45 +79,45 @@
                 .first()
                 .map(CertificateIdentity::from_certificate)
                 .unwrap_or_default(),
-            client: client(files, roots.clone(), chain.clone(), key.clone_key())?,
-            server: server(files, roots, chain, key)?,
+            client: build_client_config(files, roots.clone(), chain.clone(), key.clone_key())?,
+            server: build_server_config(files, roots, chain, key)?,
         })
     }
 
-    /// What the certificate of this process says of it.
+    /// The identity in the certificate of this process.
     #[must_use]
     pub fn identity(&self) -> &CertificateIdentity {
         &self.identity
     }
 
-    /// Settings of a client that shows its certificate and verifies that of
-    /// the server.
+    /// TLS configuration of a client that presents its certificate and verifies
+    /// the server's.
     #[must_use]
     pub fn client_config(&self) -> Arc<ClientConfig> {
         self.client.clone()
     }
 
-    /// Settings of a server that requires a certificate of the CA from every
-    /// client.
+    /// TLS configuration of a server that requires every client to present a
+    /// certificate issued by the CA.
     #[must_use]
     pub fn server_config(&self) -> ServerConfig {
         (*self.server).clone()
     }
 
-    /// Secures a connection to the host at `address`, whose certificate must
-    /// name the IP address.
+    /// Performs the TLS handshake on a connection to `address`. The server's
+    /// certificate must contain that IP address.
     ///
     /// # Errors
     ///
-    /// The handshake failed; nothing was sent but the handshake.
+    /// The handshake failed; no application data was sent.
     pub async fn connect_tls(
         &self,
         address: SocketAddr,
         stream: TcpStream,
     ) -> io::Result<TlsStream<TcpStream>> {
-        // The request follows the end of the handshake, which the server does
-        // not answer: Nagle's algorithm would hold it for a delayed
-        // acknowledgement, 40 ms.
+        // The server does not reply to the last handshake message, so Nagle's
+        // algorithm would delay the request until a delayed acknowledgement
+        // arrives, after 40 ms.
         stream.set_nodelay(true)?;
         let name = ServerName::from(address.ip());
         let connector = TlsConnector::from(self.client.clone());
@@ -124,7 +125,7 @@
     }
 }
 
-fn client(
+fn build_client_config(
     files: &CredentialFiles,
     roots: Arc<RootCertStore>,
     chain: Vec<CertificateDer<'static>>,
@@ -135,12 +136,12 @@
         .with_protocol_versions(&[&TLS13])
         .map(|builder| builder.with_root_certificates(roots))
         .and_then(|builder| builder.with_client_auth_cert(chain, key))
-        .map_err(|cause| unusable(CERTIFICATE, &files.certificate, cause))?;
+        .map_err(|cause| invalid_certificate(CERTIFICATE_FLAG, &files.certificate, cause))?;
     client.resumption = Resumption::disabled();
     Ok(Arc::new(client))
 }
 
-fn server(
+fn build_server_config(
     files: &CredentialFiles,
     roots: Arc<RootCertStore>,
     chain: Vec<CertificateDer<'static>>,
@@ -149,8 +150,8 @@
     let provider = Arc::new(rustls::crypto::ring::default_provider());
     let verifier = WebPkiClientVerifier::builder_with_provider(roots, provider.clone())
         .build()
-        .map_err(|cause| Error::Ca {
-            flag: CA,
+        .map_err(|cause| Error::InvalidCa {
+            flag: CA_FLAG,
             file: files.ca.clone(),
             cause,
         })?;
@@ -158,30 +159,31 @@
         .with_protocol_versions(&[&TLS13])
         .map(|builder| builder.with_client_cert_verifier(verifier))
         .and_then(|builder| builder.with_single_cert(chain, key))
-        .map_err(|cause| unusable(CERTIFICATE, &files.certificate, cause))?;
-    // A resumed session is not verified again and is renewed by each use, so
-    // that a certificate would count long after it has expired.
+        .map_err(|cause| invalid_certificate(CERTIFICATE_FLAG, &files.certificate, cause))?;
+    // Session resumption is disabled: a resumed session skips certificate
+    // verification and each use renews it, so a client could stay authenticated
+    // long after its certificate has expired.
     server.send_tls13_tickets = 0;
     Ok(Arc::new(server))
 }
 
-fn certificates(flag: &'static str, file: &Path) -> Result<Vec<CertificateDer<'static>>> {
-    let found: Vec<_> = CertificateDer::pem_file_iter(file)
+fn read_certificates(flag: &'static str, file: &Path) -> Result<Vec<CertificateDer<'static>>> {
+    let certificates: Vec<_> = CertificateDer::pem_file_iter(file)
         .and_then(Iterator::collect)
         .map_err(|cause| Error::Pem {
             flag,
             file: file.into(),
             cause,
         })?;
-    if found.is_empty() {
+    if certificates.is_empty() {
         let file = file.into();
-        return Err(Error::Empty { flag, file });
+        return Err(Error::NoCertificate { flag, file });
     }
-    Ok(found)
+    Ok(certificates)
 }
 
-fn unusable(flag: &'static str, file: &Path, cause: rustls::Error) -> Error {
-    Error::Unusable {
+fn invalid_certificate(flag: &'static str, file: &Path, cause: rustls::Error) -> Error {
+    Error::InvalidCertificate {
         flag,
         file: file.into(),
         cause,
--- a/crates/auth/src/process/mod.rs
+++ b/crates/auth/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as the process.
+//! Credentials, with the lifetime of the process.
 
 mod credentials;
 
--- a/crates/auth/src/request/authorizer.rs
+++ b/crates/auth/src/request/authorizer.rs
@@ -1,4 +1,4 @@
-//! The decisions, enforced in an HTTP server.
+//! Enforces the authorization rules in an HTTP server.
 
 use std::any::Any;
 
@@ -16,13 +16,14 @@
 use super::{DenyReason, ServerKind, authorize_author, authorize_path};
 use crate::{CertificateIdentity, Credentials};
 
-/// Refuses what the holder of a certificate may not ask for.
+/// Denies requests that the identity of the client does not allow.
 #[derive(Clone)]
 pub struct Authorizer {
     server: ServerKind,
-    /// Whether the server has credentials. Without them all is allowed.
+    /// Whether the server has credentials. Without them every request is
+    /// allowed.
     authenticated: bool,
-    refused: IntCounterVec,
+    denied: IntCounterVec,
 }
 
 impl Authorizer {
@@ -41,23 +42,23 @@
             ServerKind::Peer => ("limpet_agent_forbidden_requests_total", "agent"),
         };
         let opts = Opts::new(name, "Requests that were refused by reason of who asked.");
-        let refused = IntCounterVec::new(opts, &["reason"])?;
-        registry.register(Box::new(refused.clone()))?;
+        let denied = IntCounterVec::new(opts, &["reason"])?;
+        registry.register(Box::new(denied.clone()))?;
         if credentials.is_none() {
             log::warn!(
                 target: "auth::request::gate",
                 event = "not_authenticated", process;
-                "the port is not authenticated; set --tls-ca, --tls-certificate and --tls-key"
+                "clients are not authenticated; set --tls-ca, --tls-certificate and --tls-key"
             );
         }
         Ok(Authorizer {
             server,
             authenticated: credentials.is_some(),
-            refused,
+            denied,
         })
     }
 
-    /// Keeps what the certificate of a new connection says. A callback for
+    /// Stores the identity of the client with a new connection. A callback for
     /// `HttpServer::on_connect`.
     pub fn record_identity(connection: &dyn Any, data: &mut Extensions) {
         let Some(stream) = connection.downcast_ref::<TlsStream<TcpStream>>() else {
@@ -70,13 +71,14 @@
         }
     }
 
-    /// Decides about a request by its path.
-    fn check(&self, req: &HttpRequest) -> Result<(), DenyReason> {
+    /// Checks whether the client may use the path of the request.
+    fn check_path(&self, req: &HttpRequest) -> Result<(), DenyReason> {
         self.check_identity(req, |identity| {
             authorize_path(self.server, req.path(), identity)
         })
     }
 
+    /// Applies `rule` to the identity of the client, if clients are authenticated.
     fn check_identity(
         &self,
         req: &HttpRequest,
@@ -91,35 +93,36 @@
         rule(identity)
     }
 
-    fn refuse(&self, req: &HttpRequest, reason: DenyReason) -> HttpResponse {
-        self.refused.with_label_values(&[reason.label()]).inc();
-        log::debug!(target: "auth::request::gate", event = "forbidden", path = req.path(), reason = reason.label(); "request refused");
+    /// Counts and logs a denied request; returns the response with status 403.
+    fn deny(&self, req: &HttpRequest, reason: DenyReason) -> HttpResponse {
+        self.denied.with_label_values(&[reason.label()]).inc();
+        log::debug!(target: "auth::request::gate", event = "forbidden", path = req.path(), reason = reason.label(); "request denied");
         forbidden()
     }
 }
 
-/// The answer to a request for a change, if whoever sent it may not make
-/// changes in the name of `author`.
+/// Checks whether the client may make changes as `author`; returns the response
+/// with status 403 if not.
 #[must_use]
 pub fn deny_unless_author(req: &HttpRequest, author: &OperatorName) -> Option<HttpResponse> {
     let Some(authorizer) = req.app_data::<Authorizer>() else {
         return Some(forbidden());
     };
-    let checked = authorizer.check_identity(req, |identity| authorize_author(author, identity));
-    checked.err().map(|reason| authorizer.refuse(req, reason))
+    let result = authorizer.check_identity(req, |identity| authorize_author(author, identity));
+    result.err().map(|reason| authorizer.deny(req, reason))
 }
 
 fn forbidden() -> HttpResponse {
     HttpResponse::Forbidden().finish()
 }
 
-/// Middleware that lets only allowed requests through to the handlers. The
-/// [`Authorizer`] is among the data of the application; without it nothing is
-/// allowed.
+/// Middleware that passes only allowed requests to the handlers. The
+/// [`Authorizer`] must be in the application data; without it every request is
+/// denied.
 ///
 /// # Errors
 ///
-/// Those of the handlers.
+/// The errors of the handlers.
 pub async fn authorize_request<B: MessageBody + 'static>(
     req: ServiceRequest,
     next: Next<B>,
@@ -127,11 +130,11 @@
     let Some(authorizer) = req.app_data::<Authorizer>() else {
         return Ok(req.into_response(forbidden()));
     };
-    match authorizer.check(req.request()) {
+    match authorizer.check_path(req.request()) {
         Ok(()) => Ok(next.call(req).await?.map_into_boxed_body()),
         Err(reason) => {
-            let answer = authorizer.refuse(req.request(), reason);
-            Ok(req.into_response(answer))
+            let response = authorizer.deny(req.request(), reason);
+            Ok(req.into_response(response))
         }
     }
 }
--- a/crates/auth/src/request/mod.rs
+++ b/crates/auth/src/request/mod.rs
@@ -1,4 +1,4 @@
-//! What a request may ask for.
+//! Authorization of requests.
 
 mod authorizer;
 mod rule;
--- a/crates/auth/src/request/rule.rs
+++ b/crates/auth/src/request/rule.rs
@@ -1,34 +1,34 @@
-//! Who may ask for what.
+//! The rules that decide which identity may send which request.
 
 use types::OperatorName;
 
 use crate::CertificateIdentity;
 
-/// A port of the system's own processes.
+/// The HTTP servers of the system's own processes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServerKind {
-    /// The port of a control host.
+    /// The server of a control host.
     Control,
-    /// The port on which an agent takes requests of its peers. Requests that
-    /// are handed off have any path.
+    /// The server on which an agent accepts requests from its peers. Handed-off
+    /// requests may have any path.
     Peer,
 }
 
-/// Why a request is refused.
+/// Why a request is denied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DenyReason {
-    /// The connection has no verified certificate.
+    /// The connection has no verified client certificate.
     NoCertificate,
-    /// The holder of the certificate may not ask for this path.
+    /// The identity is not allowed to use this path.
     Role,
-    /// Nobody may ask for this path.
+    /// No identity is allowed to use this path.
     Path,
-    /// The change names another author than the certificate.
+    /// The author of the change is not an operator in the certificate.
     Author,
 }
 
 impl DenyReason {
-    /// The reason as metrics name it.
+    /// Value of the `reason` metric label and log field.
     #[must_use]
     pub fn label(self) -> &'static str {
         match self {
@@ -40,38 +40,37 @@
     }
 }
 
-/// Decides whether the holder of a certificate may ask for `path`.
+/// Checks whether `identity` may send requests to `path`.
 ///
 /// # Errors
 ///
-/// It may not.
+/// [`DenyReason::Role`] or [`DenyReason::Path`] if it may not.
 pub fn authorize_path(
     server: ServerKind,
     path: &str,
     identity: &CertificateIdentity,
 ) -> Result<(), DenyReason> {
-    let operator = !identity.operators.is_empty();
+    let is_operator = !identity.operators.is_empty();
     let allowed = match (server, path) {
         (ServerKind::Peer, _) | (ServerKind::Control, "/v1/sync") => identity.is_node,
         (ServerKind::Control, "/v1/consensus") => identity.is_control_host,
         // `limpetctl control add` asks a blank host for its id.
-        (ServerKind::Control, "/v1/hello") => identity.is_control_host || operator,
-        (ServerKind::Control, "/v1/change" | "/v1/query" | "/v1/group") => operator,
+        (ServerKind::Control, "/v1/hello") => identity.is_control_host || is_operator,
+        (ServerKind::Control, "/v1/change" | "/v1/query" | "/v1/group") => is_operator,
         (ServerKind::Control, _) => return Err(DenyReason::Path),
     };
     allowed.then_some(()).ok_or(DenyReason::Role)
 }
 
-/// Decides whether the holder of a certificate may make changes in the name
-/// of `author`.
+/// Checks whether `identity` may make changes as `author`.
 ///
 /// # Errors
 ///
-/// It may not.
+/// [`DenyReason::Author`] if it may not.
 pub fn authorize_author(
     author: &OperatorName,
     identity: &CertificateIdentity,
 ) -> Result<(), DenyReason> {
-    let own = identity.operators.contains(author);
-    own.then_some(()).ok_or(DenyReason::Author)
+    let allowed = identity.operators.contains(author);
+    allowed.then_some(()).ok_or(DenyReason::Author)
 }
--- a/crates/auth/tests/rules.rs
+++ b/crates/auth/tests/rules.rs
@@ -1,34 +1,34 @@
-//! Who may ask for what, and what a certificate says.
+//! Tests of the authorization rules and of the identity in a certificate.
 
 use auth::{CertificateIdentity, DenyReason, ServerKind, authorize_author, authorize_path};
 use rcgen::{CertificateParams, KeyPair};
 
-const STRANGER: &[&str] = &["app1.example"];
+const NO_ROLE: &[&str] = &["app1.example"];
 const CONTROL: &[&str] = &["control.limpetplank.internal"];
 const NODE: &[&str] = &["node.limpetplank.internal"];
 const OPERATOR: &[&str] = &["alice.operator.limpetplank.internal"];
 
-/// Roles in the order of the columns of [`TABLE`].
-const ROLES: [&[&str]; 4] = [STRANGER, CONTROL, NODE, OPERATOR];
+/// Roles in the order of the columns of [`DECISIONS`].
+const ROLES: [&[&str]; 4] = [NO_ROLE, CONTROL, NODE, OPERATOR];
 
 const YES: Result<(), DenyReason> = Ok(());
 const NO: Result<(), DenyReason> = Err(DenyReason::Role);
-const NOBODY: Result<(), DenyReason> = Err(DenyReason::Path);
+const UNKNOWN_PATH: Result<(), DenyReason> = Err(DenyReason::Path);
 
 type Row = (ServerKind, &'static str, [Result<(), DenyReason>; 4]);
 
-/// Every path and every role.
-const TABLE: &[Row] = &[
+/// The expected decision for every path and role.
+const DECISIONS: &[Row] = &[
     (ServerKind::Control, "/v1/consensus", [NO, YES, NO, NO]),
     (ServerKind::Control, "/v1/hello", [NO, YES, NO, YES]),
     (ServerKind::Control, "/v1/sync", [NO, NO, YES, NO]),
     (ServerKind::Control, "/v1/change", [NO, NO, NO, YES]),
     (ServerKind::Control, "/v1/query", [NO, NO, NO, YES]),
     (ServerKind::Control, "/v1/group", [NO, NO, NO, YES]),
-    (ServerKind::Control, "/", [NOBODY; 4]),
-    (ServerKind::Control, "/v1/%63hange", [NOBODY; 4]),
-    (ServerKind::Control, "/v1/change/", [NOBODY; 4]),
-    (ServerKind::Control, "/v1/reserve", [NOBODY; 4]),
+    (ServerKind::Control, "/", [UNKNOWN_PATH; 4]),
+    (ServerKind::Control, "/v1/%63hange", [UNKNOWN_PATH; 4]),
+    (ServerKind::Control, "/v1/change/", [UNKNOWN_PATH; 4]),
+    (ServerKind::Control, "/v1/reserve", [UNKNOWN_PATH; 4]),
     (ServerKind::Peer, "/v1/reserve", [NO, NO, YES, NO]),
     (ServerKind::Peer, "/v1/release", [NO, NO, YES, NO]),
     (ServerKind::Peer, "/v1/offer", [NO, NO, YES, NO]),
@@ -38,11 +38,11 @@
     (ServerKind::Peer, "/v1/change", [NO, NO, YES, NO]),
 ];
 
-/// Guards against a path that is open to the wrong role, or closed to the
-/// right one, and against a path without a rule that is open.
+/// Guards against a path that allows the wrong role or denies the right one, and
+/// against a path without a rule that is allowed.
 #[test]
 fn every_path_and_every_role() {
-    for (port, path, expected) in TABLE {
+    for (port, path, expected) in DECISIONS {
         for (names, expected) in ROLES.iter().zip(expected) {
             let identity = CertificateIdentity::from_dns_names(names.iter().copied());
             assert_eq!(
@@ -61,9 +61,9 @@
     }
 }
 
-/// Guards against names that only resemble those of a role.
+/// Guards against DNS names that resemble that of a role and are accepted.
 #[test]
-fn names_that_say_nothing() {
+fn unrelated_dns_names_give_no_role() {
     for name in [
         "",
         "limpetplank.internal",
@@ -86,9 +86,9 @@
     }
 }
 
-/// Guards against a change in the name of another operator.
+/// Guards against a change that is attributed to another operator.
 #[test]
-fn an_author_is_a_name_of_the_certificate() {
+fn an_author_must_be_an_operator_in_the_certificate() {
     let names = CertificateIdentity::from_dns_names(OPERATOR.iter().copied());
     let cases = [
         ("alice", Ok(())),
@@ -104,14 +104,14 @@
     }
 }
 
-/// Guards against names that are lost or taken from elsewhere between the
-/// certificate and the decision.
+/// Guards against DNS names that are lost when a certificate is parsed, and against
+/// names taken from other fields than the DNS names.
 #[test]
-fn a_certificate_is_read() {
+fn identity_is_read_from_the_dns_names_of_a_certificate() {
     let mut names: Vec<String> = ROLES.concat().iter().map(ToString::to_string).collect();
     names.push("127.0.0.1".into());
     let mut params = CertificateParams::new(names).unwrap();
-    // The subject is free text and must not count.
+    // The subject is free text and must be ignored.
     let subject = "bob.operator.limpetplank.internal";
     params
         .distinguished_name
