--- a/crates/client/src/error.rs
+++ b/crates/client/src/error.rs
@@ -1,26 +1,26 @@
-//! The error of this crate.
+//! Errors of requests to control hosts.
 
 use std::net::SocketAddr;
 
 /// A [`std::result::Result`] with this crate's [`Error`].
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// An exchange with a host failed.
+/// A request to a host failed.
 #[derive(Debug, thiserror::Error)]
 #[error("{0}")]
 pub struct Error(Box<ErrorKind>);
 
-/// What a failed exchange means for the request.
+/// Whether the host may have received the request that failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Category {
     /// The host has certainly not received the request.
     NotSent,
-    /// The host has refused the request because of who asked, and has not
-    /// acted on it.
+    /// The host denied the request because of the identity of the client, and
+    /// did not execute it.
     Forbidden,
     /// The host may have received the request.
     MaybeSent,
-    /// The host has answered with something that is not a reply.
+    /// The host sent an error status or a body that cannot be decoded.
     InvalidReply,
 }
 
@@ -30,28 +30,28 @@
     Connect(SocketAddr, awc::error::ConnectError),
     #[error("cannot connect to {0}: {1}")]
     Unreachable(SocketAddr, std::io::Error),
-    #[error("no connection to {0} in time")]
+    #[error("connecting to {0} timed out")]
     ConnectTimeout(SocketAddr),
     #[error("cannot send a request to {0}: {1}")]
     Request(SocketAddr, awc::error::SendRequestError),
-    #[error("{0} did not answer in time")]
+    #[error("request to {0} timed out")]
     Timeout(SocketAddr),
-    #[error("the answer of {0} was cut off: {1}")]
+    #[error("cannot read the response body from {0}: {1}")]
     Body(SocketAddr, awc::error::PayloadError),
-    #[error("{0} answered with status {1}")]
+    #[error("{0} responded with status {1}, expected success")]
     Status(SocketAddr, awc::http::StatusCode),
-    #[error("{0} does not allow this to the holder of the certificate (status 403)")]
+    #[error("{0} denied the request to the holder of this certificate (status 403)")]
     Forbidden(SocketAddr),
-    #[error("message to {0}: {1}")]
+    #[error("cannot encode the request to {0}: {1}")]
     Encode(SocketAddr, wire::Error),
-    #[error("no control host is the leader of a majority")]
+    #[error("no control host is leader with a majority")]
     NoLeader,
-    #[error("message of {0}: {1}")]
+    #[error("cannot decode the response from {0}: {1}")]
     Decode(SocketAddr, wire::Error),
 }
 
 impl Error {
-    /// What the failure means for the request.
+    /// Whether the host may have received the request.
     #[must_use]
     pub fn category(&self) -> Category {
         match *self.0 {
@@ -70,7 +70,7 @@
 }
 
 impl Error {
-    /// Whether the host has certainly not acted on the request.
+    /// Whether the host has certainly not executed the request.
     #[must_use]
     pub fn is_not_executed(&self) -> bool {
         matches!(self.category(), Category::NotSent | Category::Forbidden)
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -3,10 +3,11 @@
 //! Balancers and agents run a [`SyncTask`], which keeps a node on the newest
 //! version that a majority of the control group has confirmed and renews the
 //! node's lease. Operators' tools use [`OperatorClient`], which finds the leader and
-//! keeps apart what was certainly not done and what may have been done.
+//! distinguishes requests that certainly had no effect from those that may have
+//! had one.
 //!
-//! All of it goes through [`HttpClient`], one request and one reply, both
-//! `MessagePack`.
+//! Both send their requests through [`HttpClient`]. Requests and replies are
+//! encoded as `MessagePack`.
 
 pub mod error;
 pub mod process;
--- a/crates/client/src/process/mod.rs
+++ b/crates/client/src/process/mod.rs
@@ -15,14 +15,14 @@
 
 use crate::{Result, error::ErrorKind};
 
-/// Messages that went through a client.
+/// Traffic counters of a client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct HttpTraffic {
-    /// Requests that were sent.
+    /// Number of requests sent.
     pub requests: u64,
-    /// Bytes of their bodies.
+    /// Bytes of request bodies sent.
     pub sent_bytes: u64,
-    /// Bytes of the bodies of replies.
+    /// Bytes of response bodies received.
     pub received_bytes: u64,
 }
 
@@ -30,7 +30,7 @@
 #[derive(Clone)]
 pub struct HttpClient {
     client: awc::Client,
-    /// Counted over all clones.
+    /// Shared by all clones.
     traffic: Rc<Cell<HttpTraffic>>,
     scheme: &'static str,
 }
@@ -43,8 +43,8 @@
 }
 
 impl HttpClient {
-    /// A client without limits of its own; every request has a deadline. With
-    /// credentials it uses mutual TLS, without them plain HTTP.
+    /// Creates a client that uses mutual TLS if `credentials` is given, else plain
+    /// HTTP. It has no timeout of its own, as every request has a deadline.
     #[must_use]
     pub fn new(credentials: Option<&Credentials>) -> Self {
         let builder = awc::Client::builder().disable_timeout().disable_redirects();
@@ -55,7 +55,7 @@
                 scheme: "http",
             };
         };
-        let tcp = ServiceExt::<ConnectInfo<Uri>>::map(ConnectorService::default(), without_delay);
+        let tcp = ServiceExt::<ConnectInfo<Uri>>::map(ConnectorService::default(), disable_nagle);
         let connector = Connector::new().connector(tcp);
         HttpClient {
             client: builder
@@ -66,13 +66,13 @@
         }
     }
 
-    /// Messages that went through this client and its clones.
+    /// Traffic of this client and its clones.
     #[must_use]
     pub fn traffic(&self) -> HttpTraffic {
         self.traffic.get()
     }
 
-    fn count(&self, sent: usize, received: usize) {
+    fn record_traffic(&self, sent: usize, received: usize) {
         let traffic = self.traffic.get();
         self.traffic.set(HttpTraffic {
             requests: traffic.requests + u64::from(sent > 0),
@@ -85,8 +85,8 @@
     ///
     /// # Errors
     ///
-    /// The host cannot be reached, does not answer by the deadline, or answers
-    /// with something that is not a `Reply`.
+    /// The host cannot be reached, does not respond by the deadline, responds with
+    /// an error status, or its response cannot be decoded as a `Reply`.
     pub async fn post<Message: Serialize, Reply: DeserializeOwned>(
         &self,
         host: SocketAddr,
@@ -95,19 +95,25 @@
         deadline: Instant,
     ) -> Result<Reply> {
         let body = wire::encode(message).map_err(|e| ErrorKind::Encode(host, e))?;
-        let exchange = self.exchange(host, path, body);
-        let reply = timeout_at(deadline.into(), exchange)
+        let request = self.send_request(host, path, body);
+        let reply = timeout_at(deadline.into(), request)
             .await
             .map_err(|_| ErrorKind::Timeout(host))??;
-        // A process that was frozen finds the reply before its timer.
+        // After the process was suspended, the reply is polled before the timer,
+        // so a late reply has to be discarded here.
         if Instant::now() > deadline {
             return Err(ErrorKind::Timeout(host).into());
         }
         Ok(wire::decode(&reply).map_err(|e| ErrorKind::Decode(host, e))?)
     }
 
-    async fn exchange(&self, host: SocketAddr, path: &str, body: Vec<u8>) -> Result<bytes::Bytes> {
-        self.count(body.len(), 0);
+    async fn send_request(
+        &self,
+        host: SocketAddr,
+        path: &str,
+        body: Vec<u8>,
+    ) -> Result<bytes::Bytes> {
+        self.record_traffic(body.len(), 0);
         let mut response = self
             .client
             .post(format!("{}://{host}{path}", self.scheme))
@@ -123,24 +129,25 @@
         }
         let body = response.body().limit(wire::MAX_MESSAGE_LEN).await;
         let body = body.map_err(|e| ErrorKind::Body(host, e))?;
-        self.count(0, body.len());
+        self.record_traffic(0, body.len());
         Ok(body)
     }
 }
 
-/// Turns Nagle's algorithm off. The server does not answer the end of the TLS
-/// handshake, so the first request of a connection would be held for a delayed
-/// acknowledgement, 40 ms.
-fn without_delay(connection: Connection<Uri, TcpStream>) -> Connection<Uri, TcpStream> {
-    // Without the option requests are only slower.
+/// Disables Nagle's algorithm. The server does not reply to the last message of the
+/// TLS handshake, so the first request of a connection would be delayed until a
+/// delayed acknowledgement arrives, after 40 ms.
+fn disable_nagle(connection: Connection<Uri, TcpStream>) -> Connection<Uri, TcpStream> {
+    // A failure only makes requests slower.
     let _ = connection.io_ref().set_nodelay(true);
     connection
 }
 
-/// Sorts failures to connect from failures of a request on its way.
+/// Distinguishes failures to connect from failures after the request may have been
+/// sent.
 ///
-/// `awc` also reports a connection that closes before the answer as a
-/// `ConnectError`; the host may have received the request then.
+/// `awc` also reports a connection that closes before the response as a
+/// `ConnectError`; in that case the host may have received the request.
 fn send_error(host: SocketAddr, error: SendRequestError) -> ErrorKind {
     match error {
         SendRequestError::Connect(e @ (ConnectError::Io(_) | ConnectError::Timeout)) => {
--- a/crates/client/src/request/host_round.rs
+++ b/crates/client/src/request/host_round.rs
@@ -1,4 +1,4 @@
-//! The order in which the control hosts are asked.
+//! The order in which the hosts hosts are tried.
 
 use std::{
     collections::{BTreeSet, VecDeque},
@@ -6,37 +6,40 @@
     time::Instant,
 };
 
-/// One round over the control hosts, in which each is asked at most once.
+/// One round over the hosts hosts, in which each is tried at most once.
 ///
-/// A host that still names a dead leader therefore cannot keep the others
-/// from being asked.
-pub(super) struct Round {
-    waiting: VecDeque<SocketAddr>,
-    asked: BTreeSet<SocketAddr>,
+/// A host that keeps redirecting to a failed leader therefore cannot prevent the
+/// others from being tried.
+pub(super) struct HostRound {
+    queue: VecDeque<SocketAddr>,
+    tried: BTreeSet<SocketAddr>,
 }
 
-impl Round {
-    /// Starts a round with the leader that was named last, if any.
-    pub(super) fn new(hint: Option<SocketAddr>, control: &[SocketAddr]) -> Self {
-        Round {
-            waiting: hint.into_iter().chain(control.iter().copied()).collect(),
-            asked: BTreeSet::new(),
+impl HostRound {
+    /// Starts a round with the last known leader, if any.
+    pub(super) fn new(last_leader: Option<SocketAddr>, hosts: &[SocketAddr]) -> Self {
+        HostRound {
+            queue: last_leader
+                .into_iter()
+                .chain(hosts.iter().copied())
+                .collect(),
+            tried: BTreeSet::new(),
         }
     }
 
-    /// Has `leader` asked next, unless it was asked in this round.
+    /// Tries `leader` next, unless it was already tried in this round.
     pub(super) fn prefer(&mut self, leader: Option<SocketAddr>) {
-        self.waiting.extend(leader);
-        self.waiting.rotate_right(usize::from(leader.is_some()));
+        self.queue.extend(leader);
+        self.queue.rotate_right(usize::from(leader.is_some()));
     }
 
-    /// The next host to ask, while there is time.
+    /// The next host to try; `None` after the last one or after the deadline.
     pub(super) fn next_before(&mut self, deadline: Instant) -> Option<SocketAddr> {
         if Instant::now() >= deadline {
             return None;
         }
-        while let Some(host) = self.waiting.pop_front() {
-            if self.asked.insert(host) {
+        while let Some(host) = self.queue.pop_front() {
+            if self.tried.insert(host) {
                 return Some(host);
             }
         }
--- a/crates/client/src/request/mod.rs
+++ b/crates/client/src/request/mod.rs
@@ -1,7 +1,7 @@
-//! Exchanges of operators.
+//! Requests of operators to the control group.
 
+mod host_round;
 mod redirect;
-mod round;
 
 use std::{
     net::SocketAddr,
@@ -9,7 +9,7 @@
 };
 
 use actix_rt::time::sleep;
-use round::Round;
+use host_round::HostRound;
 use serde::{Serialize, de::DeserializeOwned};
 use tokio::{net::TcpStream, time::timeout_at};
 use types::ChangeRequest;
@@ -19,18 +19,18 @@
 
 use crate::{Category, HttpClient, Result, error::ErrorKind};
 
-/// Time for one host to answer, before the next is tried.
-const ATTEMPT: Duration = Duration::from_secs(2);
+/// Timeout of a request to one host, after which the next host is tried.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Pause between two rounds over the hosts.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Delay between two rounds over the hosts.
+const ROUND_DELAY: Duration = Duration::from_millis(100);
 
-/// Outcome of a change of the control group.
+/// Outcome of a membership change of the control group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum GroupChangeOutcome {
     /// The change is in force.
     Done,
-    /// The change was not made.
+    /// The change was refused and has no effect.
     Refused(GroupRefusal),
     /// No host can have received the change.
     Unavailable,
@@ -56,14 +56,14 @@
         }
     }
 
-    /// Sends a change until it has a final answer or the deadline passes.
+    /// Sends a change until there is a final answer or the deadline passes.
     ///
     /// The change keeps its id over all attempts, so it takes effect at most
     /// once. [`ChangeReply::Unavailable`] is returned only when no host can
     /// have received the change, [`ChangeReply::Unknown`] when one may have.
     /// The id must never have been sent before; see [`OperatorClient::resend`].
     pub async fn change(&self, req: &ChangeRequest, deadline: Instant) -> ChangeReply {
-        self.deliver(req, deadline, false).await
+        self.send_change(req, deadline, false).await
     }
 
     /// Sends a change that may have been sent before, by this process or by
@@ -72,13 +72,18 @@
     /// Without a final answer the outcome is [`ChangeReply::Unknown`], even
     /// if no host can be reached now: the earlier attempt may take effect.
     pub async fn resend(&self, req: &ChangeRequest, deadline: Instant) -> ChangeReply {
-        self.deliver(req, deadline, true).await
+        self.send_change(req, deadline, true).await
     }
 
-    async fn deliver(&self, req: &ChangeRequest, deadline: Instant, mut sent: bool) -> ChangeReply {
+    async fn send_change(
+        &self,
+        req: &ChangeRequest,
+        deadline: Instant,
+        mut sent: bool,
+    ) -> ChangeReply {
         let mut hint = None;
         loop {
-            let mut round = Round::new(hint.take(), &self.control_hosts);
+            let mut round = HostRound::new(hint.take(), &self.control_hosts);
             while let Some(host) = round.next_before(deadline) {
                 match self.attempt_change(host, "/v1/change", req, deadline).await {
                     Ok(ChangeReply::Final(answer)) => return ChangeReply::Final(answer),
@@ -91,7 +96,7 @@
                     Err(e) => sent |= !e.is_not_executed(),
                 }
             }
-            if !pause(deadline).await {
+            if !wait_for_next_round(deadline).await {
                 return if sent {
                     ChangeReply::Unknown
                 } else {
@@ -101,15 +106,15 @@
         }
     }
 
-    /// Sends a change of the control group to its leader.
+    /// Sends a membership change of the control group to its leader.
     ///
-    /// These changes have no id, so one whose answer is lost is not sent
-    /// again: the answer to a second attempt could deny the first. The caller
-    /// looks at the group instead.
+    /// These changes have no id, so one whose reply is lost is not retried:
+    /// a retry could be refused although the first attempt took effect. The
+    /// caller queries the membership instead.
     pub async fn change_group(&self, req: &GroupCall, deadline: Instant) -> GroupChangeOutcome {
         let mut hint = None;
         loop {
-            let mut round = Round::new(hint.take(), &self.control_hosts);
+            let mut round = HostRound::new(hint.take(), &self.control_hosts);
             while let Some(host) = round.next_before(deadline) {
                 match self.attempt_change(host, "/v1/group", req, deadline).await {
                     Ok(GroupReply::Done) => return GroupChangeOutcome::Done,
@@ -124,7 +129,7 @@
                     Ok(GroupReply::Unknown) | Err(_) => return GroupChangeOutcome::Unknown,
                 }
             }
-            if !pause(deadline).await {
+            if !wait_for_next_round(deadline).await {
                 return GroupChangeOutcome::Unavailable;
             }
         }
@@ -132,11 +137,11 @@
 
     /// Sends a query until a host answers it or the deadline passes.
     ///
-    /// The message may reach several hosts, so it must not change anything.
+    /// The query may reach several hosts, so it must not have side effects.
     ///
     /// # Errors
     ///
-    /// No host answered by the deadline.
+    /// No host answered by the deadline, or one denied the request.
     pub async fn query<Message, Reply>(
         &self,
         path: &str,
@@ -150,7 +155,7 @@
         let mut hint = None;
         let mut last = None;
         loop {
-            let mut round = Round::new(hint.take(), &self.control_hosts);
+            let mut round = HostRound::new(hint.take(), &self.control_hosts);
             while let Some(host) = round.next_before(deadline) {
                 let reply: Result<Reply> = self.attempt(host, path, message, deadline).await;
                 match reply {
@@ -159,12 +164,12 @@
                         round.prefer(reply.leader());
                         hint = reply.leader().or(hint);
                     }
-                    // The other hosts would answer the same.
+                    // The other hosts apply the same rules.
                     Err(e) if e.category() == Category::Forbidden => return Err(e),
                     Err(e) => last = Some(e),
                 }
             }
-            if !pause(deadline).await {
+            if !wait_for_next_round(deadline).await {
                 return Err(last.unwrap_or_else(|| ErrorKind::NoLeader.into()));
             }
         }
@@ -172,9 +177,10 @@
 
     /// Sends a change to one host once it accepts connections.
     ///
-    /// The HTTP client does not tell whether a request that timed out was
-    /// sent. Connecting first keeps a host behind a partition, which has
-    /// certainly not received the change, from making its outcome unknown.
+    /// The HTTP client does not report whether a request that timed out was
+    /// sent. A host behind a partition has certainly not received the change, so
+    /// the connection is tested first; otherwise the timeout would make the
+    /// outcome unknown.
     async fn attempt_change<Message: Serialize, Reply: DeserializeOwned>(
         &self,
         host: SocketAddr,
@@ -182,8 +188,8 @@
         message: &Message,
         deadline: Instant,
     ) -> Result<Reply> {
-        let connect_by = deadline.min(Instant::now() + ATTEMPT);
-        timeout_at(connect_by.into(), TcpStream::connect(host))
+        let connect_deadline = deadline.min(Instant::now() + ATTEMPT_TIMEOUT);
+        timeout_at(connect_deadline.into(), TcpStream::connect(host))
             .await
             .map_err(|_| ErrorKind::ConnectTimeout(host))?
             .map_err(|e| ErrorKind::Unreachable(host, e))?;
@@ -197,16 +203,16 @@
         message: &Message,
         deadline: Instant,
     ) -> Result<Reply> {
-        let deadline = deadline.min(Instant::now() + ATTEMPT);
+        let deadline = deadline.min(Instant::now() + ATTEMPT_TIMEOUT);
         self.http.post(host, path, message, deadline).await
     }
 }
 
 /// Waits before the next round; `false` if the deadline leaves no time for it.
-async fn pause(deadline: Instant) -> bool {
-    if Instant::now() + PAUSE >= deadline {
+async fn wait_for_next_round(deadline: Instant) -> bool {
+    if Instant::now() + ROUND_DELAY >= deadline {
         return false;
     }
-    sleep(PAUSE).await;
+    sleep(ROUND_DELAY).await;
     true
 }
--- a/crates/client/src/request/redirect.rs
+++ b/crates/client/src/request/redirect.rs
@@ -1,15 +1,16 @@
-//! Replies that may point to the leader.
+//! Replies that may redirect to the leader.
 
 use std::net::SocketAddr;
 
 use wire::request::{GroupReply, QueryReply};
 
-/// A reply that may point to the leader.
+/// A reply that may redirect to the leader.
 pub trait Redirect {
-    /// Whether the host declined to answer, so that another should be asked.
+    /// Whether the host declined to answer, so that the request should go to
+    /// another one.
     fn is_declined(&self) -> bool;
 
-    /// The leader that the host named.
+    /// The leader according to the host, if it named one.
     fn leader(&self) -> Option<SocketAddr>;
 }
 
--- a/crates/client/src/version/mod.rs
+++ b/crates/client/src/version/mod.rs
@@ -1,4 +1,4 @@
-//! Keeping a node on the newest version.
+//! Keeps a node on the newest version.
 
 mod sync;
 
--- a/crates/client/src/version/sync.rs
+++ b/crates/client/src/version/sync.rs
@@ -16,10 +16,10 @@
 
 use crate::{HttpClient, Result};
 
-/// Path of the sync exchange.
-const PATH: &str = "/v1/sync";
+/// HTTP path of sync requests.
+const SYNC_PATH: &str = "/v1/sync";
 
-/// How a node syncs.
+/// Settings of the sync task of a node.
 #[derive(Debug, Clone)]
 pub struct SyncSettings {
     /// Name of the node's host.
@@ -30,20 +30,20 @@
     pub data_centre: DataCentre,
     /// The control hosts; never empty.
     pub control_hosts: Vec<SocketAddr>,
-    /// Services that the node wants to know.
-    pub subset: ServiceSubset,
-    /// Longest time that the leader holds a request.
+    /// Services whose configuration and members the node receives.
+    pub subset: Subset,
+    /// How long the leader may hold a request while there is no update.
     pub hold: Duration,
-    /// Time without an answer after which the next host is tried. Longer
+    /// Timeout of a request, after which the next host is tried. Must be longer
     /// than `hold`.
     pub reply_timeout: Duration,
-    /// Longest pause after a failed exchange; the pause is drawn at random,
-    /// so that nodes do not come back all at once.
+    /// Upper bound on the delay after a failed request. The delay is random, so
+    /// that the nodes do not all retry at the same time.
     pub max_retry_delay: Duration,
 }
 
 impl SyncSettings {
-    /// Settings of a node with the default times.
+    /// Creates the settings of a node with the default durations.
     #[must_use]
     pub fn new(
         host: HostName,
@@ -64,7 +64,7 @@
     }
 }
 
-/// What a node tells of itself.
+/// What a node announces to the leader with each sync request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct NodeAnnouncement {
     /// The upstream of an agent.
@@ -73,35 +73,37 @@
     pub balancer: Option<BalancerAnnouncement>,
 }
 
-/// One step that the node's owner applies.
+/// An event that the sync task sends to the task that owns the node's state, the
+/// receiver.
 #[derive(Debug)]
 pub enum SyncEvent {
-    /// A newer version. The owner answers once it is in force.
+    /// A newer version. The receiver acknowledges it once it is in force.
     Update(Box<Update>, oneshot::Sender<()>),
-    /// New loads of the peers.
-    ClassLoads(BTreeMap<UpstreamId, ClassLoads>),
-    /// The version in force was current at this instant, when an exchange
-    /// began that a majority has confirmed.
+    /// Current loads of the peers.
+    Loads(BTreeMap<UpstreamId, Loads>),
+    /// The version in force was current at this instant: the start of a request
+    /// whose reply a majority has confirmed.
     Confirmed(Instant),
 }
 
-/// Keeps a node on the newest version.
+/// Keeps a node on the newest confirmed version.
 pub struct SyncTask {
     cfg: SyncSettings,
     http: HttpClient,
-    /// The version in force; never goes back while the process lives.
+    /// The version in force; never decreases during the lifetime of the process.
     have: Option<Version>,
-    /// Index into `cfg.control_hosts` of the host to ask next.
-    next: usize,
-    /// Host that another one named as the leader.
-    hint: Option<SocketAddr>,
+    /// Index into `cfg.control_hosts` of the next host; used when `leader_hint` is empty.
+    next_host: usize,
+    /// The presumed leader: the last host that answered or that another host
+    /// named.
+    leader_hint: Option<SocketAddr>,
     announcement: watch::Receiver<NodeAnnouncement>,
     tx: mpsc::Sender<SyncEvent>,
 }
 
 impl SyncTask {
-    /// Creates the task. `announcement` is sent with every request, at once when
-    /// it changes; steps go to `tx`.
+    /// Creates the task. `announcement` is sent with every request, and at once
+    /// when it changes; events are sent to `tx`.
     #[must_use]
     pub fn new(
         cfg: SyncSettings,
@@ -109,50 +111,51 @@
         announcement: watch::Receiver<NodeAnnouncement>,
         tx: mpsc::Sender<SyncEvent>,
     ) -> Self {
-        let next = rand::rng().random_range(0..cfg.control_hosts.len().max(1));
+        let next_host = rand::rng().random_range(0..cfg.control_hosts.len().max(1));
         SyncTask {
             cfg,
             http,
             have: None,
-            next,
-            hint: None,
+            next_host,
+            leader_hint: None,
             announcement,
             tx,
         }
     }
 
-    /// Runs until the owner of the node goes away.
+    /// Runs until the receiver of the events is dropped.
     pub async fn run(mut self) {
         while !self.tx.is_closed() {
             let host = self.host();
-            let began = Instant::now();
-            match self.exchange(host).await {
-                Some(Ok(reply)) => self.handle(host, began, reply).await,
+            let started_at = Instant::now();
+            match self.send_request(host).await {
+                Some(Ok(reply)) => self.handle(host, started_at, reply).await,
                 Some(Err(e)) => {
-                    log::debug!(event = "sync_failed", host:% = host, error:% = e; "sync failed");
-                    self.move_on().await;
+                    log::debug!(event = "sync_failed", host:% = host, error:% = e; "sync request failed; trying the next control host");
+                    self.retry_next_host().await;
                 }
-                // The report changed: ask again with the new one.
+                // The announcement changed: send a request with the new one.
                 None => {}
             }
         }
     }
 
     fn host(&self) -> SocketAddr {
-        self.hint
-            .unwrap_or_else(|| self.cfg.control_hosts[self.next % self.cfg.control_hosts.len()])
+        self.leader_hint.unwrap_or_else(|| {
+            self.cfg.control_hosts[self.next_host % self.cfg.control_hosts.len()]
+        })
     }
 
-    /// One exchange; `None` if the report changed meanwhile.
-    async fn exchange(&mut self, host: SocketAddr) -> Option<Result<SyncReply>> {
+    /// Sends one request; `None` if the announcement changed meanwhile.
+    async fn send_request(&mut self, host: SocketAddr) -> Option<Result<SyncReply>> {
         let req = self.request();
         let deadline = Instant::now() + self.cfg.reply_timeout;
         tokio::select! {
-            reply = self.http.post(host, PATH, &req, deadline) => Some(reply),
+            reply = self.http.post(host, SYNC_PATH, &req, deadline) => Some(reply),
             changed = self.announcement.changed() => match changed {
                 Ok(()) => None,
-                // The owner stopped reporting; keep the last report.
-                Err(_) => Some(self.http.post(host, PATH, &req, deadline).await),
+                // The sender was dropped; keep the last announcement.
+                Err(_) => Some(self.http.post(host, SYNC_PATH, &req, deadline).await),
             },
         }
     }
@@ -171,39 +174,39 @@
         }
     }
 
-    async fn handle(&mut self, host: SocketAddr, began: Instant, reply: SyncReply) {
-        // The owner goes away only when the process ends.
+    async fn handle(&mut self, host: SocketAddr, started_at: Instant, reply: SyncReply) {
+        // The receiver is dropped only when the process ends.
         match reply {
             SyncReply::Current { loads, settled } => {
-                self.hint = Some(host);
+                self.leader_hint = Some(host);
                 let _ = self.tx.send(SyncEvent::Loads(loads)).await;
                 if settled {
-                    let _ = self.tx.send(SyncEvent::Confirmed(began)).await;
+                    let _ = self.tx.send(SyncEvent::Confirmed(started_at)).await;
                 }
             }
             SyncReply::Update(update) => {
-                self.hint = Some(host);
+                self.leader_hint = Some(host);
                 let version = Some(update.version);
                 self.apply(update).await;
                 if self.have == version {
-                    let _ = self.tx.send(SyncEvent::Confirmed(began)).await;
+                    let _ = self.tx.send(SyncEvent::Confirmed(started_at)).await;
                 }
             }
             SyncReply::NotLeader {
                 leader: Some(leader),
-            } if self.hint != Some(leader) => {
-                self.hint = Some(leader);
+            } if self.leader_hint != Some(leader) => {
+                self.leader_hint = Some(leader);
             }
-            SyncReply::NotLeader { .. } | SyncReply::Unconfirmed => self.move_on().await,
+            SyncReply::NotLeader { .. } | SyncReply::Unconfirmed => self.retry_next_host().await,
         }
     }
 
-    /// Hands an update to the owner and waits until it is in force.
+    /// Sends an update to the receiver and waits until it is in force.
     async fn apply(&mut self, update: Box<Update>) {
         let version = update.version;
         if self.have.is_some_and(|have| version.is_behind(&have)) {
-            log::warn!(event = "stale_update", version:% = version; "discarded an update that goes back");
-            self.move_on().await;
+            log::warn!(event = "stale_update", version:% = version; "discarded an update older than the version in force");
+            self.retry_next_host().await;
             return;
         }
         let (tx, rx) = oneshot::channel();
@@ -212,11 +215,11 @@
         }
     }
 
-    /// Turns to the next host after a pause.
-    async fn move_on(&mut self) {
-        self.hint = None;
-        self.next += 1;
-        let pause = rand::rng().random_range(0.0..1.0);
-        actix_rt::time::sleep(self.cfg.max_retry_delay.mul_f64(pause)).await;
+    /// Selects the next host and waits for a random delay.
+    async fn retry_next_host(&mut self) {
+        self.leader_hint = None;
+        self.next_host += 1;
+        let fraction = rand::rng().random_range(0.0..1.0);
+        actix_rt::time::sleep(self.cfg.max_retry_delay.mul_f64(fraction)).await;
     }
 }
--- a/crates/client/tests/exchange.rs
+++ b/crates/client/tests/exchange.rs
@@ -1,4 +1,4 @@
-//! Exchanges with a control host that fails or goes back.
+//! Tests of requests to a control host that fails or sends older versions.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -13,15 +13,16 @@
 use types::{Revision, Role, Term, Version};
 use wire::{SyncReply, Update};
 
-/// What a stand-in does with one request.
+/// How the fake host handles one request.
 enum Answer {
     /// Closes the connection.
     Close,
-    /// Answers with this status and body.
+    /// Responds with this status and body.
     Reply(&'static str, Vec<u8>),
 }
 
-/// A host that takes one request on each connection and then ends.
+/// Starts a fake host that handles one request per connection and exits after the
+/// last of `answers`.
 fn host(answers: Vec<Answer>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -43,10 +44,10 @@
     address
 }
 
-/// Guards against a request that is called not sent although the host may have
-/// carried it out.
+/// Guards against a request that is reported as not sent although the host may have
+/// executed it.
 #[actix_rt::test]
-async fn failures_tell_whether_the_host_may_have_the_request() {
+async fn the_error_category_says_whether_the_request_may_have_been_sent() {
     let ok = wire::encode(&7u32).unwrap();
     let cases = [
         (host(Vec::new()), Category::NotSent),
@@ -60,7 +61,8 @@
             Category::InvalidReply,
         ),
     ];
-    // The thread of the first host has to end, so that its port is closed.
+    // Wait until the thread of the first host has exited, so that its port is
+    // closed.
     actix_rt::time::sleep(Duration::from_millis(100)).await;
     let http = HttpClient::default();
     let deadline = Instant::now() + Duration::from_secs(5);
@@ -96,9 +98,10 @@
     Answer::Reply("200 OK", wire::encode(&reply).unwrap())
 }
 
-/// Guards against a node that goes back in either order of its version.
+/// Guards against a node that applies an update whose revision or membership is
+/// older than its own.
 #[actix_rt::test]
-async fn a_node_never_goes_back() {
+async fn a_node_discards_older_versions() {
     let first = version(5, 2, 3);
     let last = version(6, 3, 1);
     let control = host(vec![
