--- a/crates/caller/src/error.rs
+++ b/crates/caller/src/error.rs
@@ -1,16 +1,16 @@
-//! The error of this crate.
+//! Errors of connections and requests.
 
 use std::io;
 
 /// A [`std::result::Result`] with this crate's [`Error`].
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// A request brought no whole answer.
+/// A connection failed, or a request got no complete response.
 #[derive(Debug, thiserror::Error)]
 #[error("{0}")]
 pub struct Error(Box<ErrorKind>);
 
-/// What a failure means for the request.
+/// Whether the request that failed may have been run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Category {
     /// The request was certainly not run.
@@ -25,22 +25,22 @@
     Socket(io::Error),
     #[error("invalid TLS settings: {0}")]
     Tls(#[from] rustls::Error),
-    #[error("the TLS settings do not fit QUIC: {0}")]
+    #[error("TLS settings not usable with QUIC: {0}")]
     Quic(#[from] quinn::crypto::rustls::NoInitialCipherSuite),
     #[error("cannot connect: {0}")]
     Connect(#[from] quinn::ConnectError),
-    #[error("the connection was not established: {0}")]
+    #[error("QUIC handshake failed: {0}")]
     Handshake(quinn::ConnectionError),
-    #[error("the connection broke: {0}")]
+    #[error("HTTP/3 connection failed: {0}")]
     Connection(#[from] h3::error::ConnectionError),
-    #[error("the request was rejected and not run")]
+    #[error("the server rejected the request; it was not run")]
     Rejected,
-    #[error("the request broke off: {0}")]
+    #[error("the request stream failed: {0}")]
     Stream(#[from] h3::error::StreamError),
 }
 
 impl Error {
-    /// What the failure means for the request.
+    /// Whether the request may have been run.
     #[must_use]
     pub fn category(&self) -> Category {
         match *self.0 {
--- a/crates/caller/src/lib.rs
+++ b/crates/caller/src/lib.rs
@@ -1,8 +1,8 @@
-//! An HTTP/3 client for looking at a service.
+//! An HTTP/3 client for testing and inspecting a service.
 //!
-//! `limpetctl call` and the tests use it. [`Caller`] holds one connection,
-//! [`Caller::send`] starts a request on it, and [`Response`] reads the answer as
-//! it comes.
+//! It is used by `limpetctl call` and by tests. [`Caller`] holds one connection,
+//! [`Caller::send`] starts a request on it, and [`Response`] reads the
+//! response as it arrives.
 
 pub mod connection;
 pub mod error;
--- a/crates/caller/src/process/mod.rs
+++ b/crates/caller/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! The UDP socket of a caller and whom it trusts.
+//! The UDP socket of a caller and its TLS settings.
 
 use std::{
     net::{Ipv4Addr, Ipv6Addr, SocketAddr},
@@ -16,21 +16,23 @@
 
 use crate::{Result, error::ErrorKind};
 
-/// Application protocol of HTTP/3 in TLS.
-const ALPN: &[u8] = b"h3";
+/// ALPN_H3 protocol id of HTTP/3.
+const ALPN_H3: &[u8] = b"h3";
 
-/// Time after which a silent server is given up.
-const IDLE_MILLIS: u32 = 30_000;
+/// Idle timeout of a connection, in milliseconds.
+const IDLE_TIMEOUT_MILLIS: u32 = 30_000;
 
-/// Time between packets that keep a quiet feed open on its way.
-const KEEP_ALIVE: Duration = Duration::from_secs(5);
+/// Interval of keep-alive packets, which keep an idle stream open across
+/// middleboxes.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Which certificates are accepted.
+/// Which server certificates are accepted.
 #[derive(Debug, Clone)]
 pub enum ServerTrust {
-    /// Those issued by one of these.
+    /// Certificates issued by one of these CAs.
     Roots(Vec<CertificateDer<'static>>),
-    /// Any. The connection is encrypted, but the server is not authenticated.
+    /// Any certificate. The connection is encrypted, but the server is not
+    /// authenticated.
     Any,
 }
 
@@ -41,11 +43,11 @@
 }
 
 impl Endpoint {
-    /// Opens a socket to reach `server`.
+    /// Opens a socket of the address family of `server`.
     ///
     /// # Errors
     ///
-    /// The socket cannot be opened, or a root certificate cannot be read.
+    /// The socket cannot be opened, or a root certificate is invalid.
     pub fn open(server: SocketAddr, trust: ServerTrust) -> Result<Self> {
         let local: SocketAddr = if server.is_ipv4() {
             (Ipv4Addr::UNSPECIFIED, 0).into()
@@ -75,17 +77,19 @@
             .with_custom_certificate_verifier(Arc::new(AnyCertificate(provider)))
             .with_no_client_auth(),
     };
-    tls.alpn_protocols = vec![ALPN.to_vec()];
+    tls.alpn_protocols = vec![ALPN_H3.to_vec()];
     let mut config = ClientConfig::new(Arc::new(QuicClientConfig::try_from(tls)?));
     let mut transport = TransportConfig::default();
     transport
-        .max_idle_timeout(Some(IdleTimeout::from(VarInt::from_u32(IDLE_MILLIS))))
-        .keep_alive_interval(Some(KEEP_ALIVE));
+        .max_idle_timeout(Some(IdleTimeout::from(VarInt::from_u32(
+            IDLE_TIMEOUT_MILLIS,
+        ))))
+        .keep_alive_interval(Some(KEEP_ALIVE_INTERVAL));
     config.transport_config(Arc::new(transport));
     Ok(config)
 }
 
-/// Accepts every certificate.
+/// A verifier that accepts every certificate.
 #[derive(Debug)]
 struct AnyCertificate(Arc<CryptoProvider>);
 
--- a/crates/caller/src/request/mod.rs
+++ b/crates/caller/src/request/mod.rs
@@ -1,4 +1,4 @@
-//! One request of a caller.
+//! A request and its response.
 
 use bytes::{Buf, Bytes, BytesMut};
 use h3::{
@@ -10,10 +10,11 @@
 
 use crate::{Result, error::ErrorKind};
 
-/// What the system says of a request without an answer of an upstream.
+/// Whether a request was run, according to the header fields that the system adds
+/// to a response of its own.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// An upstream has answered.
+    /// The response is from an upstream.
     Answered,
     /// The request was not run.
     NotRun,
@@ -21,7 +22,7 @@
     Unknown,
 }
 
-/// A request whose answer has not come.
+/// A request whose response headers have not arrived.
 pub struct PendingRequest {
     stream: RequestStream<h3_quinn::BidiStream<Bytes>, Bytes>,
 }
@@ -31,11 +32,11 @@
         PendingRequest { stream }
     }
 
-    /// Sends a part of the body.
+    /// Sends a chunk of the body.
     ///
     /// # Errors
     ///
-    /// The server takes no more of the body, or the request broke off.
+    /// The server has stopped reading the body, or the stream failed.
     pub async fn send_chunk(&mut self, chunk: Bytes) -> Result<()> {
         Ok(self
             .stream
@@ -48,33 +49,36 @@
     ///
     /// # Errors
     ///
-    /// The server takes no more of the body, or the request broke off.
+    /// The server has stopped reading the body, or the stream failed.
     pub async fn finish(&mut self) -> Result<()> {
         Ok(self.stream.finish().await.map_err(stream_error_kind)?)
     }
 
-    /// Waits for the head of the answer.
+    /// Waits for the response headers.
     ///
     /// # Errors
     ///
-    /// The request was rejected, or broke off; the category says which.
+    /// The request was rejected, or its stream failed; [`Error::category`] tells
+    /// which.
+    ///
+    /// [`Error::category`]: crate::Error::category
     pub async fn response(self) -> Result<Response> {
         Response::receive(self.stream).await
     }
 
     /// Cancels the request.
     pub fn cancel(mut self) {
-        // Dropping the stream stops the answer; h3-quinn panics when it is told
-        // to while a read is pending.
+        // Dropping the stream stops the response; h3-quinn panics if it is asked
+        // to do so while a read is pending.
         self.stream.stop_stream(Code::H3_REQUEST_CANCELLED);
     }
 }
 
-/// An answer whose head has come.
+/// A response whose headers have arrived.
 pub struct Response {
-    /// Status of the answer.
+    /// Status code.
     pub status: StatusCode,
-    /// Header fields of the answer.
+    /// Header fields.
     pub headers: HeaderMap,
     stream: RequestStream<h3_quinn::BidiStream<Bytes>, Bytes>,
 }
@@ -95,7 +99,7 @@
         })
     }
 
-    /// What the system says of the request.
+    /// Whether the request was run.
     #[must_use]
     pub fn outcome(&self) -> RequestOutcome {
         let field = self.headers.get(ClaimHeader::OUTCOME);
@@ -106,21 +110,21 @@
         }
     }
 
-    /// The next part of the body; `None` at its end.
+    /// Receives the next chunk of the body; `None` at its end.
     ///
     /// # Errors
     ///
-    /// The answer broke off.
+    /// The stream failed before the end of the response.
     pub async fn next_chunk(&mut self) -> Result<Option<Bytes>> {
         let chunk = self.stream.recv_data().await.map_err(stream_error_kind)?;
         Ok(chunk.map(|mut buf| buf.copy_to_bytes(buf.remaining())))
     }
 
-    /// The rest of the body.
+    /// Receives the rest of the body.
     ///
     /// # Errors
     ///
-    /// The answer broke off.
+    /// The stream failed before the end of the response.
     pub async fn read_body(&mut self) -> Result<Bytes> {
         let mut body = BytesMut::new();
         while let Some(chunk) = self.next_chunk().await? {
@@ -131,18 +135,19 @@
 
     /// Cancels the request.
     pub fn cancel(mut self) {
-        // Dropping the stream stops the answer; h3-quinn panics when it is told
-        // to while a read is pending.
+        // Dropping the stream stops the response; h3-quinn panics if it is asked
+        // to do so while a read is pending.
         self.stream.stop_stream(Code::H3_REQUEST_CANCELLED);
     }
 }
 
+/// Classifies a stream error by whether the request may have been run.
 pub(crate) fn stream_error_kind(error: StreamError) -> ErrorKind {
     match error {
         StreamError::RemoteTerminate { code, .. } if code == Code::H3_REQUEST_REJECTED => {
             ErrorKind::Rejected
         }
-        // The server goes away; the request was not sent.
+        // The server is shutting the connection down; the request was not sent.
         StreamError::RemoteClosing { .. } => ErrorKind::Rejected,
         error => ErrorKind::Stream(error),
     }
