--- a/crates/balancer/src/process/datapath.rs
+++ b/crates/balancer/src/process/datapath.rs
@@ -42,10 +42,10 @@
 
 /// Channels between the data path and the sync task.
 #[derive(Debug)]
-pub struct Links {
-    /// New versions.
+pub struct SyncChannels {
+    /// New versions from the control group.
     pub steps: mpsc::Receiver<SyncEvent>,
-    /// What the control group is told of this balancer.
+    /// Report of this balancer to the control group.
     pub report: watch::Sender<NodeAnnouncement>,
 }
 
@@ -67,8 +67,8 @@
     buf: Vec<u8>,
 }
 
-/// What woke the task.
-enum Wake {
+/// Reason for which the task woke up.
+enum WakeReason {
     Step(Option<SyncEvent>),
     Datagrams,
     Stop,
@@ -111,16 +111,16 @@
                 _ = stop.wait_for(|stop| *stop), if is_running => WakeReason::Stop,
                 _ = ticks.tick() => WakeReason::Tick,
             };
-            match wake {
-                Wake::Step(Some(SyncEvent::Update(update, done))) => {
+            match reason {
+                WakeReason::Step(Some(SyncEvent::Update(update, done))) => {
                     self.apply(*update);
                     let _ = done.send(());
                 }
-                Wake::Step(Some(SyncEvent::Loads(_) | SyncEvent::Confirmed(_)))
-                | Wake::Datagrams => {}
-                Wake::Stop => self.leave(),
-                Wake::Tick => self.ingress.retry(),
-                Wake::Step(None) => return,
+                WakeReason::Step(Some(SyncEvent::Loads(_) | SyncEvent::Confirmed(_)))
+                | WakeReason::Datagrams => {}
+                WakeReason::Stop => self.start_shutdown(),
+                WakeReason::Tick => self.ingress.retry_bind(),
+                WakeReason::Step(None) => return,
             }
             if self
                 .shutdown_deadline
@@ -136,8 +136,8 @@
     fn start_shutdown(&mut self) {
         self.shutdown_deadline = Some(Instant::now() + self.shutdown_grace_period);
         self.metrics.serving.set(0);
-        self.links.report.send_replace(NodeAnnouncement::default());
-        log::info!(event = "balancer_leaving", linger:? = self.linger; "leaving; still forwarding");
+        self.sync.report.send_replace(NodeAnnouncement::default());
+        log::info!(event = "balancer_leaving", linger:? = self.shutdown_grace_period; "balancer is leaving; forwarding continues for the grace period");
     }
 
     /// Whether agents and fabric may send new flows through this balancer.
--- a/crates/balancer/src/process/mod.rs
+++ b/crates/balancer/src/process/mod.rs
@@ -48,7 +48,7 @@
         .map_err(|e| Error::Bind(cfg.return_listen, e))?;
     log::info!(event = "balancer_started", return_address:% = return_address; "balancer started");
 
-    let balancer = Some(Balancer { return_address });
+    let balancer = Some(BalancerAnnouncement { return_address });
     let (report_tx, report_rx) = watch::channel(NodeAnnouncement {
         balancer,
         upstream: None,
--- a/crates/balancer/tests/datapath.rs
+++ b/crates/balancer/tests/datapath.rs
@@ -8,7 +8,7 @@
 };
 
 use actix_rt::{task::JoinHandle, time::timeout};
-use balancer::{Datapath, DirectIngress, FabricIngress, Ingress, Links, Metrics, bind};
+use balancer::{Datapath, DirectIngress, FabricIngress, Ingress, Metrics, SyncChannels, bind};
 use client::{NodeAnnouncement, SyncEvent};
 use common::{cid, keys, long, short, snapshot, state};
 use prometheus::Registry;
--- a/crates/balancer/tests/log.rs
+++ b/crates/balancer/tests/log.rs
@@ -7,7 +7,7 @@
     time::{Duration, Instant},
 };
 
-use balancer::{Datapath, FabricIngress, Links, Metrics, bind};
+use balancer::{Datapath, FabricIngress, Metrics, SyncChannels, bind};
 use client::NodeAnnouncement;
 use log::{LevelFilter, Log, Metadata, Record};
 use prometheus::Registry;
--- a/crates/bench/src/bin/control.rs
+++ b/crates/bench/src/bin/control.rs
@@ -257,9 +257,9 @@
 struct Node {
     role: Role,
     http: HttpClient,
-    applied: Applied,
+    applied: AppliedRevisions,
     tasks: [JoinHandle<()>; 2],
-    /// Kept, so that the task does not wait for the end of the reports.
+    /// Keeps the channel of reports open, which the sync task reads.
     report: watch::Sender<NodeAnnouncement>,
 }
 
@@ -275,7 +275,7 @@
             cfg.subset = ServiceSubset::Named([upstream.service.clone()].into());
         }
         let http = HttpClient::default();
-        let applied: Applied = Rc::default();
+        let applied: AppliedRevisions = Rc::default();
         let (report, reports) = watch::channel(report);
         let (tx, mut rx) = mpsc::channel(4);
         let sync = actix_rt::spawn(SyncTask::new(cfg, http.clone(), reports, tx).run());
@@ -620,7 +620,7 @@
     let _nodes = start_user_nodes(&group.control);
     sleep(Duration::from_secs(4)).await;
     let leader = group.control[group.leader()];
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     let http = HttpClient::default();
     let sync = async |have| -> SyncReply {
         let req = sync_request("lb-9".parse().unwrap(), have);
--- a/crates/bench/src/bin/datagrams.rs
+++ b/crates/bench/src/bin/datagrams.rs
@@ -18,7 +18,7 @@
     time::{Duration, Instant},
 };
 
-use balancer::{Datapath, FabricIngress, Links, Metrics, bind};
+use balancer::{Datapath, FabricIngress, Metrics, SyncChannels, bind};
 use client::{NodeAnnouncement, SyncEvent};
 use comfy_table::{Table, presets::ASCII_MARKDOWN};
 use prometheus::{IntCounter, Registry};
@@ -367,10 +367,12 @@
         actix_rt::System::new().block_on(async move {
             let ingress = FabricIngress::open(any_loopback_port()).expect("fabric socket");
             let address = ingress.local_addr().expect("address");
-            started_tx.send((address, this_task())).expect("main waits");
-            let agents = bind(any()).expect("agent socket");
+            started_tx
+                .send((address, this_thread_dir()))
+                .expect("main waits");
+            let agents = bind(any_loopback_port()).expect("agent socket");
             let (report, _) = watch::channel(NodeAnnouncement::default());
-            let links = Links {
+            let links = SyncChannels {
                 steps: step_rx,
                 report,
             };
--- a/crates/bench/src/bin/requests.rs
+++ b/crates/bench/src/bin/requests.rs
@@ -113,12 +113,13 @@
     let mut costs = Vec::new();
     for round in 0..ROUNDS {
         let mut caller = site.connect().await;
-        let local = sequence(&mut caller).await;
-        // Holds the only slot of the agent, so that the others are handed off.
-        let mut held = get(&mut caller, "/feed").await;
-        held.next_chunk().await.expect("line");
-        let handed_off = sequence(&mut caller).await;
-        held.cancel();
+        let local = time_requests(&mut caller).await;
+        // Takes the only slot of the agent, so that the requests after it are
+        // handed off.
+        let mut feed = get(&mut caller, "/feed").await;
+        feed.next_chunk().await.expect("line");
+        let handed_off = time_requests(&mut caller).await;
+        feed.cancel();
         sleep(Duration::from_millis(200)).await;
         let cost = handed_off.value_at_quantile(0.5) - local.value_at_quantile(0.5);
         println!(
@@ -311,8 +312,8 @@
     }
 }
 
-/// Creates the service and waits until each upstream has its share.
-async fn configure(control: SocketAddr, service: SocketAddr, carry: Slots) {
+/// Creates the service and waits until each upstream has a share above zero.
+async fn create_service(control: SocketAddr, service: SocketAddr, carry: Slots) {
     let operator = OperatorClient::new(HttpClient::default(), vec![control]);
     let create = Change::CreateService {
         name: name("vouchers"),
@@ -353,9 +354,10 @@
     }
 }
 
-/// Upstreams that get new flows.
-async fn shared(operator: &OperatorClient) -> usize {
-    let deadline = Instant::now() + PATIENCE;
+/// Number of upstreams with a share above zero, that is, those that get new
+/// flows.
+async fn upstreams_with_share(operator: &OperatorClient) -> usize {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     match operator.query("/v1/query", &Query::Status, deadline).await {
         Ok(QueryReply::Status(status)) => {
             let upstreams = status.services.iter().flat_map(|s| &s.upstreams);
--- a/crates/bench/src/soak/load.rs
+++ b/crates/bench/src/soak/load.rs
@@ -147,7 +147,7 @@
         .await;
         let mut answer = match sent {
             Ok(Ok(answer)) if answer.outcome() == RequestOutcome::Answered => answer,
-            Ok(Ok(answer)) => return self.note_refusal(&answer, None).await,
+            Ok(Ok(answer)) => return self.record_refusal(&answer, None).await,
             Ok(Err(e)) if e.category() == Category::NotRun => {
                 return self.record(Observation::NotRun(None)).await;
             }
@@ -155,7 +155,7 @@
         };
         let (mut text, mut last) = (Vec::new(), Instant::now());
         let end = loop {
-            match timeout(PATIENCE, answer.next_chunk()).await {
+            match timeout(REQUEST_TIMEOUT, answer.next_chunk()).await {
                 Ok(Ok(Some(part))) => {
                     last = Instant::now();
                     text.extend_from_slice(&part);
@@ -293,10 +293,10 @@
             let body = answer.read_body().await?;
             Ok((answer.outcome(), body))
         };
-        match timeout(PATIENCE, exchange).await {
-            Ok(Ok((RequestOutcome::Answered, body))) => End::Whole(body),
-            Ok(Ok((RequestOutcome::NotRun, _))) => End::NotRun,
-            Ok(Ok((RequestOutcome::Unknown, _))) => End::Unknown,
+        match timeout(REQUEST_TIMEOUT, exchange).await {
+            Ok(Ok((RequestOutcome::Answered, body))) => RequestResult::Complete(body),
+            Ok(Ok((RequestOutcome::NotRun, _))) => RequestResult::NotRun,
+            Ok(Ok((RequestOutcome::Unknown, _))) => RequestResult::Unknown,
             Ok(Err(e)) => match caller::Error::category(&e) {
                 Category::NotRun => RequestResult::NotRun,
                 Category::Unknown => {
@@ -332,10 +332,10 @@
         }
     }
 
-    async fn note_refusal(&self, answer: &Response, claim: Option<Bytes>) {
+    async fn record_refusal(&self, answer: &Response, claim: Option<Bytes>) {
         match answer.outcome() {
-            RequestOutcome::NotRun => self.note(Note::NotRun(claim)).await,
-            _ => self.note(Note::Unknown).await,
+            RequestOutcome::NotRun => self.record(Observation::NotRun(claim)).await,
+            _ => self.record(Observation::Unknown).await,
         }
     }
 }
--- a/crates/bench/src/soak/operations.rs
+++ b/crates/bench/src/soak/operations.rs
@@ -49,15 +49,16 @@
 /// Makes changes and keeps the accepted ones for the check at the end.
 pub struct Operations {
     operator: OperatorClient,
-    outcome: Outcome,
+    outcomes: ChangeOutcomes,
     accepted: BTreeMap<ChangeId, Revision>,
     /// Last accepted target and its revision.
     last_target: Option<(Revision, Slots)>,
 }
 
 impl Operations {
-    /// Creates the service. `false` if it does not get upstreams in time.
-    pub async fn prepare(
+    /// Creates the service and waits until its upstreams have a share. `None` if
+    /// that takes longer than [`CHANGE_TIMEOUT`].
+    pub async fn create_service(
         operator: OperatorClient,
         service: std::net::SocketAddr,
     ) -> Option<Operations> {
@@ -230,9 +231,10 @@
     SERVICE.parse().expect("a valid name")
 }
 
-/// Upstreams that get new flows.
-async fn shared(operator: &OperatorClient) -> usize {
-    let deadline = Instant::now() + PATIENCE;
+/// Number of upstreams with a share above zero, that is, those that get new
+/// flows.
+async fn upstreams_with_share(operator: &OperatorClient) -> usize {
+    let deadline = Instant::now() + CHANGE_TIMEOUT;
     match operator.query("/v1/query", &Query::Status, deadline).await {
         Ok(QueryReply::Status(status)) => {
             let upstreams = status.services.iter().flat_map(|s| &s.upstreams);
--- a/crates/client/src/request/mod.rs
+++ b/crates/client/src/request/mod.rs
@@ -111,7 +111,11 @@
     /// These changes have no id, so one whose reply is lost is not retried:
     /// a retry could be refused although the first attempt took effect. The
     /// caller queries the membership instead.
-    pub async fn change_group(&self, req: &GroupCall, deadline: Instant) -> GroupChangeOutcome {
+    pub async fn change_group(
+        &self,
+        req: &GroupChangeRequest,
+        deadline: Instant,
+    ) -> GroupChangeOutcome {
         let mut hint = None;
         loop {
             let mut round = HostRound::new(hint.take(), &self.control_hosts);
--- a/crates/client/src/version/sync.rs
+++ b/crates/client/src/version/sync.rs
@@ -31,7 +31,7 @@
     /// The control hosts; never empty.
     pub control_hosts: Vec<SocketAddr>,
     /// Services whose configuration and members the node receives.
-    pub subset: Subset,
+    pub subset: ServiceSubset,
     /// How long the leader may hold a request while there is no update.
     pub hold: Duration,
     /// Timeout of a request, after which the next host is tried. Must be longer
@@ -56,7 +56,7 @@
             role,
             data_centre,
             control_hosts,
-            subset: Subset::All,
+            subset: ServiceSubset::All,
             hold: Duration::from_secs(1),
             reply_timeout: Duration::from_secs(2),
             max_retry_delay: Duration::from_millis(300),
@@ -80,7 +80,7 @@
     /// A newer version. The receiver acknowledges it once it is in force.
     Update(Box<Update>, oneshot::Sender<()>),
     /// Current loads of the peers.
-    Loads(BTreeMap<UpstreamId, Loads>),
+    Loads(BTreeMap<UpstreamId, ClassLoads>),
     /// The version in force was current at this instant: the start of a request
     /// whose reply a majority has confirmed.
     Confirmed(Instant),
--- a/crates/control/src/process/group.rs
+++ b/crates/control/src/process/group.rs
@@ -55,7 +55,7 @@
     /// A query from an operator.
     Query(Query, oneshot::Sender<QueryReply>),
     /// A membership change of the control group from an operator.
-    ChangeGroup(GroupCall, oneshot::Sender<GroupReply>),
+    ChangeGroup(GroupChangeRequest, oneshot::Sender<GroupReply>),
     /// A sync request from a node.
     Sync(Box<SyncRequest>, oneshot::Sender<SyncReply>),
 }
@@ -76,7 +76,7 @@
     audit_notes: Vec<ChangeRequest>,
     /// Index of the last log entry that a snapshot covers.
     snapshot_index: Revision,
-    disk: store::Handle,
+    disk: store::StoreHandle,
     peers: Peers,
     metrics: Metrics,
     commands: mpsc::Receiver<GroupCommand>,
@@ -204,8 +204,8 @@
         }
     }
 
-    fn handle_write_report(&mut self, report: Report) -> Result<()> {
-        self.metrics.syncs.set(gauge_value(report.syncs));
+    fn handle_write_report(&mut self, report: WriteReport) -> Result<()> {
+        self.metrics.syncs.set(gauge_value(report.sync_count));
         self.metrics.disk_failed.set(i64::from(!report.synced));
         self.step(if report.synced {
             Input::WriteSynced(report.id)
@@ -404,7 +404,7 @@
 
     /// Queues a record of a membership change for the audit trail. The record is
     /// lost if the leader has removed itself, because it can no longer propose.
-    fn queue_audit_note(&mut self, call: GroupCall, refused: Option<GroupRefusal>) {
+    fn queue_audit_note(&mut self, call: GroupChangeRequest, refused: Option<GroupRefusal>) {
         self.audit_notes.push(ChangeRequest {
             id: ChangeId::generate(),
             author: call.author,
@@ -512,7 +512,7 @@
     /// Takes a snapshot of the configuration and truncates the log once
     /// `compact_after_entries` entries have been applied since the last one.
     fn compact(&mut self, commit: Revision) -> Result<()> {
-        let through = self.state.applied().min(commit);
+        let through = self.state.last_applied().min(commit);
         if through.0 < self.snapshot_index.0 + self.cfg.compact_after_entries {
             return Ok(());
         }
--- a/crates/control/src/process/http.rs
+++ b/crates/control/src/process/http.rs
@@ -42,7 +42,7 @@
             .app_data(tx.clone())
             .app_data(authorizer.clone())
             .wrap(from_fn(auth::authorize_request))
-            .app_data(web::PayloadConfig::new(wire::MAX_MESSAGE))
+            .app_data(web::PayloadConfig::new(wire::MAX_MESSAGE_LEN))
             .route(CONSENSUS_PATH, web::post().to(consensus))
             .route(HELLO_PATH, web::post().to(hello))
             .route("/v1/change", web::post().to(change))
@@ -109,7 +109,7 @@
 }
 
 async fn group(tx: GroupTx, http: HttpRequest, body: Bytes) -> HttpResponse {
-    let Ok(req) = wire::decode::<GroupCall>(&body) else {
+    let Ok(req) = wire::decode::<GroupChangeRequest>(&body) else {
         return HttpResponse::BadRequest().finish();
     };
     if let Some(refusal) = auth::deny_unless_author(&http, &req.author) {
--- a/crates/control/src/process/leadership.rs
+++ b/crates/control/src/process/leadership.rs
@@ -46,7 +46,7 @@
 
     /// Copies the configuration changes after `registry_revision` into the
     /// registry.
-    pub fn apply_configuration(&mut self, state: &State) {
+    pub fn apply_configuration(&mut self, state: &ConfigState) {
         if self.registry_revision == state.revision() && self.registry_revision != Revision(0) {
             return;
         }
@@ -92,7 +92,7 @@
     }
 
     /// Removes and returns the sync requests that are to be answered now.
-    pub fn take_due(&mut self, now: Instant, state: &State) -> Vec<WaitingSync> {
+    pub fn take_due(&mut self, now: Instant, state: &ConfigState) -> Vec<WaitingSync> {
         let view = LeaderView {
             state,
             registry: &self.registry,
--- a/crates/control/src/process/run.rs
+++ b/crates/control/src/process/run.rs
@@ -39,7 +39,7 @@
 /// registered, the storage thread has exited, or a snapshot or a log entry
 /// cannot be decoded.
 pub async fn run(cfg: Settings, registry: &Registry, stop: watch::Receiver<bool>) -> Result<()> {
-    let dir = Dir::new(&cfg.data_dir)?;
+    let dir = DataDir::new(&cfg.data_dir)?;
     run_with_disk(dir, cfg, registry, stop).await
 }
 
--- a/crates/control/src/request/mod.rs
+++ b/crates/control/src/request/mod.rs
@@ -21,7 +21,7 @@
     /// reply.
     Internal,
     /// A membership change of the control group.
-    Group(GroupCall, oneshot::Sender<GroupReply>),
+    Group(GroupChangeRequest, oneshot::Sender<GroupReply>),
     /// A query from an operator.
     Query(Query, oneshot::Sender<QueryReply>),
     /// Sync requests of nodes that are answered together after one confirmed
--- a/crates/control/src/version/mod.rs
+++ b/crates/control/src/version/mod.rs
@@ -11,7 +11,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct LeaderView<'a> {
     /// The configuration as of the last applied log entry.
-    pub state: &'a State,
+    pub state: &'a ConfigState,
     /// The leader's registry of upstreams and balancers.
     pub registry: &'a Registry,
 }
@@ -146,8 +146,8 @@
 
     /// Loads of the upstreams of the services that the subset names. A node that
     /// wants all services is a balancer, which only forwards and needs no loads.
-    fn loads(&self, req: &SyncRequest) -> BTreeMap<UpstreamId, Loads> {
-        let Subset::Named(names) = &req.subset else {
+    fn loads(&self, req: &SyncRequest) -> BTreeMap<UpstreamId, ClassLoads> {
+        let ServiceSubset::Named(names) = &req.subset else {
             return BTreeMap::new();
         };
         names
--- a/crates/control/tests/host.rs
+++ b/crates/control/tests/host.rs
@@ -19,7 +19,7 @@
 use client::{HttpClient, OperatorClient};
 use common::{balancer, create, request, set_target};
 use control::{Settings, run_with_disk};
-use store::{Dir, Disk};
+use store::{DataDir, Disk};
 use tempfile::TempDir;
 use tokio::sync::watch;
 use types::{Answer, ChangeRequest, Revision, Version};
@@ -32,7 +32,7 @@
 
 /// A data folder whose writes fail while `full` is set.
 struct FaultyDisk {
-    dir: Dir,
+    dir: DataDir,
     full: Arc<AtomicBool>,
 }
 
@@ -96,7 +96,7 @@
         };
         let full = Arc::new(AtomicBool::new(false));
         let disk = FaultyDisk {
-            dir: Dir::new(folder).unwrap(),
+            dir: DataDir::new(folder).unwrap(),
             full: full.clone(),
         };
         let (stop, stopped) = watch::channel(false);
--- a/crates/limpetctl/src/request/call.rs
+++ b/crates/limpetctl/src/request/call.rs
@@ -78,8 +78,8 @@
     sleep(CLOSE_DELAY).await;
 }
 
-/// The certificates to trust; a file that cannot be used ends the process.
-fn trust(args: &CallArgs) -> ServerTrust {
+/// Reads the certificates to trust; exits with status 2 if the file is invalid.
+fn read_trust(args: &CallArgs) -> ServerTrust {
     let Some(path) = &args.ca else {
         return ServerTrust::Any;
     };
@@ -181,9 +181,9 @@
     u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Streams an answer to the standard output. Its end has no deadline, as a
-/// feed may stay open.
-async fn receive(mut answer: Response, verbose: bool) -> Result<Exit> {
+/// Streams an answer to the standard output. The deadline does not apply to its
+/// body, as a feed may stay open.
+async fn stream_answer(mut answer: Response, verbose: bool) -> Result<Exit> {
     if verbose {
         print_stderr(format_args!("HTTP/3 {}", answer.status));
         for (name, value) in &answer.headers {
@@ -202,21 +202,21 @@
                 print_stderr(format_args!("limpetctl: the answer broke off: {e}"));
                 return Ok(match answer.outcome() {
                     RequestOutcome::Answered => Exit::Failed,
-                    _ => judge(&answer),
+                    _ => report_outcome(&answer),
                 });
             }
         }
     }
 }
 
-fn judge(answer: &Response) -> Exit {
+fn report_outcome(answer: &Response) -> Exit {
     match answer.outcome() {
         RequestOutcome::NotRun => {
-            message("limpetctl: not run; it is safe to try again");
+            print_stderr("limpetctl: not run; it is safe to try again");
             Exit::Refused
         }
         RequestOutcome::Unknown => {
-            message("limpetctl: outcome unknown: the service may have run the request");
+            print_stderr("limpetctl: outcome unknown: the service may have run the request");
             Exit::Unknown
         }
         RequestOutcome::Answered
@@ -225,7 +225,7 @@
             Exit::Done
         }
         RequestOutcome::Answered => {
-            message(format_args!(
+            print_stderr(format_args!(
                 "limpetctl: answered with status {}",
                 answer.status
             ));
--- a/crates/limpetctl/src/request/control.rs
+++ b/crates/limpetctl/src/request/control.rs
@@ -78,14 +78,14 @@
     }
 }
 
-impl Course {
-    /// Notes the outcome of an attempt; `true` if the change is in force.
-    fn note(&mut self, outcome: GroupChangeOutcome) -> Result<bool, Stop> {
+impl Progress {
+    /// Records the outcome of an attempt; `true` if the change is in force.
+    fn record(&mut self, outcome: GroupChangeOutcome) -> Result<bool, StopReason> {
         match outcome {
             GroupChangeOutcome::Done => return Ok(true),
-            GroupChangeOutcome::Unknown => self.sent = true,
-            GroupChangeOutcome::Unavailable => self.stop = Stop::Unavailable,
-            GroupChangeOutcome::Refused(refusal) if self.sent || passes(refusal) => {
+            GroupChangeOutcome::Unknown => self.answer_lost = true,
+            GroupChangeOutcome::Unavailable => self.stop = StopReason::Unavailable,
+            GroupChangeOutcome::Refused(refusal) if self.answer_lost || is_transient(refusal) => {
                 self.stop = refusal.into();
             }
             GroupChangeOutcome::Refused(refusal) => return Err(refusal.into()),
--- a/crates/limpetctl/src/request/mod.rs
+++ b/crates/limpetctl/src/request/mod.rs
@@ -34,7 +34,7 @@
 
 /// Settings and connections of a command.
 struct Context<'a> {
-    global: &'a Global,
+    global: &'a GlobalFlags,
     http: HttpClient,
     operator: OperatorClient,
     out: Output,
--- a/crates/limpetd/src/process/local.rs
+++ b/crates/limpetd/src/process/local.rs
@@ -48,11 +48,12 @@
     let balancer = balancer::run(balancer_settings(&args), registry, site_stop);
     let agent = async {
         let operator = OperatorClient::new(HttpClient::default(), vec![args.control]);
-        configure(&operator, args.listen).await?;
-        actix_rt::spawn(announce_ready(operator, args.listen));
-        let identity = ServiceCertificate::self_signed(vec![SERVICE.into(), "localhost".into()])?;
-        agent::run(agent_settings(&args, upstream), identity, registry, stop).await?;
-        parts_stop_tx.send_replace(true);
+        create_service(&operator, args.listen).await?;
+        actix_rt::spawn(log_when_ready(operator, args.listen));
+        let certificate =
+            ServiceCertificate::self_signed(vec![SERVICE_NAME.into(), "localhost".into()])?;
+        agent::run(agent_settings(&args, upstream), certificate, registry, stop).await?;
+        site_stop_tx.send_replace(true);
         Ok::<(), Error>(())
     };
     let control = async { Ok(control.await?) };
@@ -103,17 +104,18 @@
     text.parse().expect("constant names are valid")
 }
 
-/// Logs when the service gets its first flows.
-async fn announce_ready(operator: OperatorClient, address: SocketAddr) {
+/// Waits until the service can take flows, then logs its address.
+async fn log_when_ready(operator: OperatorClient, address: SocketAddr) {
     while !is_ready(&operator).await {
         sleep(READY_POLL_INTERVAL).await;
     }
     log::info!(event = "ready", service:% = address; "local service is ready; try: limpetctl call https://{address}/ --insecure");
 }
 
-/// Whether an upstream has a share of new flows.
+/// Whether the service has an upstream with a share above zero, that is, one
+/// that gets new flows.
 async fn is_ready(operator: &OperatorClient) -> bool {
-    let deadline = Instant::now() + CONTROL_ANSWER;
+    let deadline = Instant::now() + CONTROL_TIMEOUT;
     let reply = operator.query("/v1/query", &Query::Status, deadline).await;
     match reply {
         Ok(QueryReply::Status(status)) => {
@@ -124,9 +126,10 @@
     }
 }
 
-/// Creates the embedded service, unless an earlier run did.
-async fn configure(operator: &OperatorClient, address: SocketAddr) -> Result<()> {
-    let created = change(
+/// Creates the local service and its target, unless the service is already in
+/// the data folder from an earlier run.
+async fn create_service(operator: &OperatorClient, address: SocketAddr) -> Result<()> {
+    let created = send_change(
         operator,
         Revision(0),
         Change::CreateService {
@@ -158,7 +161,7 @@
     }
 }
 
-async fn change(operator: &OperatorClient, base: Revision, change: Change) -> Result<Answer> {
+async fn send_change(operator: &OperatorClient, base: Revision, change: Change) -> Result<Answer> {
     let req = ChangeRequest {
         id: ChangeId::generate(),
         author: parse_constant("limpetd"),
--- a/crates/limpetd/src/process/tls.rs
+++ b/crates/limpetd/src/process/tls.rs
@@ -44,24 +44,25 @@
 }
 
 impl TlsArgs {
-    /// Reads the files of a control host, if they are set.
-    pub fn control(&self) -> Result<Option<Credentials>> {
-        self.read(CertificateIdentity::CONTROL_DNS_NAME, |identity| {
+    /// Reads the credentials of a control host. `None` if no files are set.
+    pub fn control_credentials(&self) -> Result<Option<Credentials>> {
+        self.read_credentials(CertificateIdentity::CONTROL_DNS_NAME, |identity| {
             identity.is_control_host
         })
     }
 
-    /// Reads the files of a balancer or an agent, if they are set.
-    pub fn node(&self) -> Result<Option<Credentials>> {
-        self.read(CertificateIdentity::NODE_DNS_NAME, |identity| {
+    /// Reads the credentials of a balancer or an agent. `None` if no files are
+    /// set.
+    pub fn node_credentials(&self) -> Result<Option<Credentials>> {
+        self.read_credentials(CertificateIdentity::NODE_DNS_NAME, |identity| {
             identity.is_node
         })
     }
 
     fn read_credentials(
         &self,
-        expected: &'static str,
-        has: impl FnOnce(&CertificateIdentity) -> bool,
+        required_name: &'static str,
+        has_required_name: impl FnOnce(&CertificateIdentity) -> bool,
     ) -> Result<Option<Credentials>> {
         let (Some(ca), Some(certificate), Some(key)) = (&self.ca, &self.certificate, &self.key)
         else {
@@ -73,7 +74,7 @@
             key: key.clone(),
         };
         let credentials = Credentials::read(&files)?;
-        if has(credentials.identity()) {
+        if has_required_name(credentials.identity()) {
             return Ok(Some(credentials));
         }
         Err(Error::CertificateName(files.certificate, required_name))
--- a/crates/limpetd/tests/balancer.rs
+++ b/crates/limpetd/tests/balancer.rs
@@ -16,7 +16,9 @@
     time::{sleep, timeout},
 };
 use caller::{Caller, Endpoint, ServerTrust};
-use harness::{PATIENCE, Plan, Process, SERVICE, Site, address, feed_lines, request, wait_for};
+use harness::{
+    Process, SERVICE, Site, SitePlan, WAIT_TIMEOUT, address, feed_lines, request, wait_for,
+};
 use nix::sys::signal::Signal;
 use standin::{FabricHandle, Upstream};
 use types::{Change, ClassName, Connections, Revision, Slots, Target};
@@ -143,9 +145,9 @@
         RequestLoop { done, requests }
     }
 
-    fn on(site: &Site) -> Self {
+    fn start_on(site: &Site) -> Self {
         let endpoint = Endpoint::open(site.fabric.service, ServerTrust::Any).unwrap();
-        Steady::start(&endpoint, site.fabric.service, "served by upstream-")
+        RequestLoop::start(&endpoint, site.fabric.service, "served by upstream-")
     }
 
     async fn expect_all_answered(self) {
@@ -271,11 +273,12 @@
         (vouchers, "served by upstream-0"),
         (badges, "served by badge-0"),
     ];
-    // The same socket asks both services, so that only the service tells
-    // their datagrams apart.
+    // Requests to both services share one socket, so that their datagrams
+    // differ only in the service address.
     let endpoint = Endpoint::open(vouchers, ServerTrust::Any).unwrap();
-    let steady = cases
-        .map(|(service, expected)| [(); 2].map(|()| Steady::start(&endpoint, service, expected)));
+    let request_loops = cases.map(|(service, expected)| {
+        [(); 2].map(|()| RequestLoop::start(&endpoint, service, expected))
+    });
     sleep(Duration::from_secs(4)).await;
     for requests in request_loops.into_iter().flatten() {
         requests.expect_all_answered().await;
--- a/crates/limpetd/tests/control.rs
+++ b/crates/limpetd/tests/control.rs
@@ -13,8 +13,10 @@
 
 use actix_rt::time::sleep;
 use client::{HttpClient, NodeAnnouncement, OperatorClient, SyncEvent, SyncSettings, SyncTask};
-use config::Summary;
-use harness::{PATIENCE, Plan, SERVICE, Site, accepted, control_address, wait_for};
+use config::ChangeSummary;
+use harness::{
+    SERVICE, Site, SitePlan, WAIT_TIMEOUT, accepted_revision, control_address, wait_for,
+};
 use nix::sys::signal::Signal;
 use tokio::sync::{mpsc, watch};
 use types::{
@@ -184,8 +186,9 @@
     }
 }
 
-/// Sends each change once and to one host, until it does not answer.
-async fn stream(
+/// Sends changes to one host, each of them once, until the host gives no final
+/// answer.
+async fn send_until_no_answer(
     http: HttpClient,
     host: SocketAddr,
     name: u32,
@@ -219,8 +222,8 @@
     change_until_accepted(&site, drain("app-1", true)).await;
     let first = leader(&site).await;
     let host = control_address(site.plan, first);
-    let streams: Vec<_> = (0..8)
-        .map(|name| actix_rt::spawn(stream(HttpClient::default(), host, name)))
+    let tasks: Vec<_> = (0..8)
+        .map(|name| actix_rt::spawn(send_until_no_answer(HttpClient::default(), host, name)))
         .collect();
     sleep(Duration::from_millis(200)).await;
     site.control[usize::from(first)].kill();
@@ -321,14 +324,14 @@
     let before = change_until_accepted(&site, drain("app-1", true)).await;
     let node = Subscriber::start(site.plan, "lb-1");
     node.wait_for_revision(before).await;
-    let frozen = leader(&site).await;
-    let host = control_address(site.plan, frozen);
+    let paused = leader(&site).await;
+    let host = control_address(site.plan, paused);
     let http = HttpClient::default();
     let others = (0..3).map(|n| control_address(site.plan, n));
     let others = others.filter(|other| *other != host).collect();
     let others = OperatorClient::new(http.clone(), others);
-    let frozen = &site.control[usize::from(frozen)];
-    frozen.signal(Signal::SIGSTOP);
+    let paused = &site.control[usize::from(paused)];
+    paused.signal(Signal::SIGSTOP);
 
     // These requests wait in the socket until the leader is resumed.
     let (req, have) = (request("ivo", Revision(0), drain("app-2", true)), None);
@@ -451,7 +454,7 @@
 /// caught up.
 async fn change_group(site: &Site, change: GroupRequest) {
     let http = HttpClient::default();
-    let call = GroupCall {
+    let call = GroupChangeRequest {
         author: "operator".parse().unwrap(),
         change,
     };
@@ -591,7 +594,7 @@
     let host = control_address(site.plan, leader(&site).await);
     let sync = sync_request("lb-3", Some(have));
     let reply: SyncReply = HttpClient::default()
-        .post(host, "/v1/sync", &sync, soon(5000))
+        .post(host, "/v1/sync", &sync, deadline_in_millis(5000))
         .await
         .unwrap();
     let SyncReply::Update(update) = reply else {
--- a/crates/limpetd/tests/drain.rs
+++ b/crates/limpetd/tests/drain.rs
@@ -32,7 +32,7 @@
     (caller, number.parse().expect("number"))
 }
 
-async fn feed(caller: &mut Caller, path: &str) -> Response {
+async fn start_feed(caller: &mut Caller, path: &str) -> Response {
     caller.send(request("GET", path, "")).await.expect("feed")
 }
 
@@ -69,7 +69,7 @@
     let mut site = Site::start_serving(plan(55, 8)).await;
     let (mut caller, own) = connect(&site).await;
     let other = 1 - own;
-    let mut open_feed = feed(&mut caller, "/feed?ms=50&lines=100").await;
+    let mut open_feed = start_feed(&mut caller, "/feed?ms=50&lines=100").await;
     open_feed.next_chunk().await.unwrap();
     let upload = request("POST", "/upload", "").map(drop);
     let mut upload = caller.start(upload).await.unwrap();
@@ -94,7 +94,11 @@
         }
         let claim = request("POST", &format!("/claim/open-{requests_sent}"), "");
         match caller.send(claim).await {
-            Ok(answer) => assert_eq!(answer.outcome(), RequestOutcome::Answered, "{loops}"),
+            Ok(answer) => assert_eq!(
+                answer.outcome(),
+                RequestOutcome::Answered,
+                "{requests_sent}"
+            ),
             Err(e) => break e,
         }
         requests_sent += 1;
@@ -131,9 +135,12 @@
     let mut uploaded = upload.response().await.unwrap();
     assert_eq!(uploaded.read_body().await.unwrap(), "200000\n");
     assert_eq!(claim.response().await.unwrap().status, 200);
-    assert!(site.agents[own].ended().is_none(), "a feed is still open");
+    assert!(
+        site.agents[own].exit_success().is_none(),
+        "a feed is still open"
+    );
     assert_eq!(open_feed.read_body().await.unwrap(), feed_lines(1, 100));
-    assert!(ended(&mut site.agents[own]).await);
+    assert!(wait_for_exit(&mut site.agents[own]).await);
 }
 
 /// P1. An operator sets and clears the drain mark of an upstream: guards against
@@ -143,7 +150,7 @@
 async fn operator_drains_and_undrains_an_upstream() {
     let mut site = Site::start_serving(plan(56, 8)).await;
     let (mut caller, own) = connect(&site).await;
-    let mut open_feed = feed(&mut caller, "/feed?ms=100&lines=100").await;
+    let mut open_feed = start_feed(&mut caller, "/feed?ms=100&lines=100").await;
     open_feed.next_chunk().await.unwrap();
     let host: types::HostName = format!("agent-{own}").parse().unwrap();
     let set_drain_mark = async |site: &Site, base, drain| {
@@ -182,16 +189,17 @@
     })
     .await;
     let (mut caller, own) = connect(&site).await;
-    let mut local = feed(&mut caller, "/feed").await;
-    let mut handed_off = feed(&mut caller, "/feed").await;
+    let mut local = start_feed(&mut caller, "/feed").await;
+    let mut handed_off = start_feed(&mut caller, "/feed").await;
     local.next_chunk().await.unwrap();
     handed_off.next_chunk().await.unwrap();
-    // First the one that runs the handed-off feed, which alone keeps it.
+    // Stops the agent that runs the handed-off feed first: that feed is its only
+    // request.
     for (n, feed) in [(1 - own, &mut handed_off), (own, &mut local)] {
         site.agents[n].signal(Signal::SIGTERM);
         let stopped_at = Instant::now();
         assert!(feed.read_body().await.is_err());
-        assert!(ended(&mut site.agents[n]).await);
+        assert!(wait_for_exit(&mut site.agents[n]).await);
         let stayed = stopped_at.elapsed();
         let bounds = Duration::from_millis(1900)..Duration::from_secs(4);
         assert!(bounds.contains(&stayed), "{stayed:?}");
@@ -203,12 +211,12 @@
 async fn handed_off_feed_completes_during_drain() {
     let mut site = Site::start_serving(plan(58, 1)).await;
     let (mut caller, own) = connect(&site).await;
-    let local = feed(&mut caller, "/feed").await;
-    let mut handed_off = feed(&mut caller, "/feed?ms=50&lines=60").await;
+    let local = start_feed(&mut caller, "/feed").await;
+    let mut handed_off = start_feed(&mut caller, "/feed?ms=50&lines=60").await;
     handed_off.next_chunk().await.unwrap();
     site.agents[1 - own].signal(Signal::SIGTERM);
     assert_eq!(handed_off.read_body().await.unwrap(), feed_lines(1, 60));
-    assert!(ended(&mut site.agents[1 - own]).await);
+    assert!(wait_for_exit(&mut site.agents[1 - own]).await);
     local.cancel();
 }
 
@@ -230,7 +238,7 @@
     for agent in &site.agents {
         agent.signal(Signal::SIGTERM);
     }
-    site.fabric.set_loss(0.3).await;
+    site.fabric.set_loss_rate(0.3).await;
     for body in join_all(feeds.iter_mut().map(Response::read_body)).await {
         assert_eq!(body.unwrap(), feed_lines(0, 2));
     }
@@ -246,7 +254,7 @@
 async fn feed_survives_balancer_restarts_and_a_paused_agent() {
     let mut site = Site::start_serving(plan(60, 4)).await;
     let (mut caller, own) = connect(&site).await;
-    let mut open_feed = feed(&mut caller, "/feed?ms=50&lines=300").await;
+    let mut open_feed = start_feed(&mut caller, "/feed?ms=50&lines=300").await;
     open_feed.next_chunk().await.unwrap();
     let changes = async {
         for n in 0..2u8 {
--- a/crates/limpetd/tests/harness/certificates.rs
+++ b/crates/limpetd/tests/harness/certificates.rs
@@ -36,14 +36,14 @@
         self.dir.join("ca.pem")
     }
 
-    /// Issues a certificate for a DNS name and an address.
+    /// Issues a certificate for a DNS name and, if given, an IP address.
     pub fn issue(&self, name: &str, address: Option<IpAddr>) -> CredentialFiles {
-        self.write(name, address, |_| ())
+        self.issue_with(name, address, |_| ())
     }
 
     /// Issues a certificate that has expired.
     pub fn issue_expired(&self, name: &str) -> CredentialFiles {
-        self.write(name, None, |params| {
+        self.issue_with(name, None, |params| {
             params.not_after = date_time_ymd(2020, 1, 1);
         })
     }
@@ -52,7 +52,7 @@
         &self,
         name: &str,
         address: Option<IpAddr>,
-        change: impl FnOnce(&mut CertificateParams),
+        adjust: impl FnOnce(&mut CertificateParams),
     ) -> CredentialFiles {
         let names: Vec<String> = [name.to_owned()]
             .into_iter()
@@ -78,13 +78,13 @@
     }
 }
 
-/// The credentials in the files.
-pub fn credentials(files: &CredentialFiles) -> Credentials {
+/// Reads the credentials from the files.
+pub fn read_credentials(files: &CredentialFiles) -> Credentials {
     Credentials::read(files).expect("credentials")
 }
 
-/// The flags that name the files.
-pub fn flags(files: &CredentialFiles) -> [String; 3] {
+/// The `--tls-*` flags for the files.
+pub fn tls_flags(files: &CredentialFiles) -> [String; 3] {
     [
         format!("--tls-ca={}", files.ca.display()),
         format!("--tls-certificate={}", files.certificate.display()),
--- a/crates/limpetd/tests/harness/mod.rs
+++ b/crates/limpetd/tests/harness/mod.rs
@@ -19,7 +19,7 @@
 use auth::CertificateIdentity;
 use bytes::Bytes;
 use caller::{Caller, Endpoint, Response, ServerTrust};
-use certificates::{Authority, credentials, flags};
+use certificates::{CertificateAuthority, read_credentials, tls_flags};
 use client::{HttpClient, OperatorClient};
 use http::Request;
 use nix::{
@@ -129,9 +129,9 @@
     pub upstreams: Vec<UpstreamHandle>,
     pub fabric: FabricHandle,
     pub operator: OperatorClient,
-    /// The CA of a site with mutual TLS.
-    pub authority: Option<Authority>,
-    starts: u32,
+    /// Issues the certificates; `None` without mutual TLS.
+    pub authority: Option<CertificateAuthority>,
+    process_starts: u32,
 }
 
 /// On a failed test, keeps the logs and prints which processes had exited.
@@ -189,7 +189,7 @@
                 HttpClient::new(operator.as_ref()),
                 control_addresses(plan),
             ),
-            starts: 0,
+            process_starts: 0,
         };
         for n in 0..plan.control {
             let process = site.start_control(n);
@@ -246,7 +246,7 @@
             CertificateIdentity::CONTROL_DNS_NAME,
             control_address(self.plan, n),
         ));
-        Process::start(&args, &self.log(&format!("control-{n}")))
+        Process::start(&args, &self.next_log_path(&format!("control-{n}")))
     }
 
     pub fn node_args(&self, host: &str, n: u8) -> [String; 3] {
@@ -278,7 +278,7 @@
         let return_address = address(self.plan.range, 11 + n, 7100);
         args.push(format!("--return-listen={return_address}"));
         args.extend(self.tls_args(CertificateIdentity::NODE_DNS_NAME, return_address));
-        Process::start(&args, &self.log(&format!("balancer-{n}")))
+        Process::start(&args, &self.next_log_path(&format!("balancer-{n}")))
     }
 
     pub fn start_agent(&mut self, n: u8) -> Process {
@@ -385,7 +385,7 @@
         Caller::connect(&endpoint, self.fabric.service, "localhost").await
     }
 
-    /// Sends a request on a connection of its own.
+    /// Sends a request on a new connection.
     pub async fn call(&self, method: &str, path: &str, body: &str) -> caller::Result<Response> {
         let mut caller = self.try_connect().await?;
         caller.send(request(method, path, body)).await
--- a/crates/limpetd/tests/keys.rs
+++ b/crates/limpetd/tests/keys.rs
@@ -7,7 +7,7 @@
 use actix_rt::time::sleep;
 use bytes::Bytes;
 use caller::{Caller, Response};
-use harness::{Plan, Site, request, wait_for};
+use harness::{Site, SitePlan, request, wait_for};
 use http::Request;
 use types::ChangeId;
 
--- a/crates/limpetd/tests/requests.rs
+++ b/crates/limpetd/tests/requests.rs
@@ -44,8 +44,9 @@
     Request::from_parts(parts, body)
 }
 
-/// A connection whose agent has no slot left, so that its further requests are
-/// handed off. Needs a site whose upstreams carry one request each.
+/// Opens a connection and starts a feed that takes the only slot of its agent, so
+/// that further requests on the connection are handed off. Needs a site with one
+/// slot for each upstream.
 async fn busy_connection(site: &Site) -> (Caller, caller::Response) {
     let mut caller = site.connect().await;
     let mut feed = caller
@@ -80,9 +81,10 @@
     count
 }
 
-/// Runs claims until they are used up; tells what each caller was told.
-async fn claim_all(site: &Site, lane: u32, claims: u32) -> BTreeMap<String, RequestOutcome> {
-    let mut told = BTreeMap::new();
+/// Sends `claims` claims one after another and returns the outcome that the
+/// caller got for each id. `lane` keeps the ids of parallel calls apart.
+async fn send_claims(site: &Site, lane: u32, claims: u32) -> BTreeMap<String, RequestOutcome> {
+    let mut outcomes = BTreeMap::new();
     for n in 0..claims {
         let id = format!("{lane}-{n}");
         let claim = async {
@@ -133,7 +135,7 @@
         };
         (outcomes, ())
     };
-    let told: BTreeMap<String, RequestOutcome> = told.into_iter().flatten().collect();
+    let outcomes: BTreeMap<String, RequestOutcome> = outcomes.into_iter().flatten().collect();
 
     let mut runs: BTreeMap<String, u64> = BTreeMap::new();
     for upstream in &site.upstreams {
@@ -147,15 +149,19 @@
     for (id, outcome) in &outcomes {
         match outcome {
             RequestOutcome::Answered => assert_eq!(run(id), 1, "{id} was answered"),
-            RequestOutcome::NotRun => assert_eq!(run(id), 0, "{id} was called not run"),
+            RequestOutcome::NotRun => assert_eq!(run(id), 0, "{id} was reported as not run"),
             RequestOutcome::Unknown => assert!(run(id) <= 1, "{id} ran {} times", run(id)),
         }
     }
-    let answered = told
+    let answered = outcomes
         .values()
         .filter(|o| **o == RequestOutcome::Answered)
         .count();
-    assert!(answered >= told.len() / 2, "{answered} of {}", told.len());
+    assert!(
+        answered >= outcomes.len() / 2,
+        "only {answered} of {} claims were answered",
+        outcomes.len()
+    );
 }
 
 /// P3. Guards against a truncated answer that looks complete to the caller, from
@@ -216,7 +222,7 @@
 
         let mut feed = caller.send(request("GET", "/feed", "")).await.unwrap();
         feed.next_chunk().await.unwrap();
-        at_work(running).await;
+        wait_for_running(running).await;
         feed.cancel();
         wait_for_running(running - 1).await;
 
@@ -226,7 +232,7 @@
             .send_chunk(Bytes::from_static(&[7; 4096]))
             .await
             .unwrap();
-        at_work(running).await;
+        wait_for_running(running).await;
         upload.cancel();
         wait_for_running(running - 1).await;
 
@@ -337,7 +343,10 @@
 
     let large = request("POST", "/upload", "").map(|_| Bytes::from(vec![7; UPLOAD_BYTES]));
     let mut answer = caller.send(large).await.unwrap();
-    assert_eq!(answer.read_body().await.unwrap(), format!("{UPLOAD}\n"));
+    assert_eq!(
+        answer.read_body().await.unwrap(),
+        format!("{UPLOAD_BYTES}\n")
+    );
 
     let early = request("POST", "/early", "").map(|_| Bytes::from(vec![7; UPLOAD_BYTES]));
     let answer = caller.send(early).await.unwrap();
@@ -345,8 +354,8 @@
     // The upstream closes the connection while the body is still being sent,
     // which may discard its answer.
     assert!(
-        told == (413, RequestOutcome::Answered) || told == (502, RequestOutcome::Unknown),
-        "{told:?}"
+        result == (413, RequestOutcome::Answered) || result == (502, RequestOutcome::Unknown),
+        "{result:?}"
     );
 
     let mut outside = request("GET", "/head", "");
@@ -613,9 +622,9 @@
         ..plan(52, 1, 4)
     })
     .await;
-    let sink = tokio::net::UdpSocket::bind("127.0.0.1:0").await.unwrap();
-    let away = sink.local_addr().unwrap();
-    let endpoint = Endpoint::open(away, ServerTrust::Any).unwrap();
+    let silent_socket = tokio::net::UdpSocket::bind("127.0.0.1:0").await.unwrap();
+    let silent_address = silent_socket.local_addr().unwrap();
+    let endpoint = Endpoint::open(silent_address, ServerTrust::Any).unwrap();
     let agent = harness::data_address(site.plan, 0);
     let mut buf = vec![0; 2048];
     let mut connecting = JoinSet::new();
--- a/crates/limpetd/tests/tls.rs
+++ b/crates/limpetd/tests/tls.rs
@@ -92,10 +92,10 @@
     // client's.
     foreign.ca = ca.ca();
     let expired = ca.issue_expired("operator.operator.limpetplank.internal");
-    let outsiders = [
-        ("no certificate", bare(ca)),
-        ("another CA", credentials(&foreign).client_config()),
-        ("expired", credentials(&expired).client_config()),
+    let unauthenticated_clients = [
+        ("no certificate", client_without_certificate(ca)),
+        ("another CA", read_credentials(&foreign).client_config()),
+        ("expired", read_credentials(&expired).client_config()),
     ];
     let authenticated_clients = [
         ("no role", "app1.example", &[][..]),
@@ -111,11 +111,11 @@
             &["/v1/hello", "/v1/change", "/v1/query", "/v1/group"],
         ),
     ]
-    .map(|(role, name, own)| {
+    .map(|(role, name, allowed_paths)| {
         (
             role,
-            credentials(&ca.issue(name, None)).client_config(),
-            own,
+            read_credentials(&ca.issue(name, None)).client_config(),
+            allowed_paths,
         )
     });
 
@@ -161,7 +161,8 @@
     let site = Site::start_serving(plan(83)).await;
     let before = observable_state(&site).await;
     let ca = site.authority.as_ref().unwrap();
-    let alice = credentials(&ca.issue("alice.operator.limpetplank.internal", None)).client_config();
+    let alice =
+        read_credentials(&ca.issue("alice.operator.limpetplank.internal", None)).client_config();
     let control = control_address(site.plan, 0);
     let send = async |author: &str| {
         let body = wire::encode(&unauthorized_request(author)).unwrap();
@@ -185,8 +186,9 @@
     let ca = CertificateAuthority::new(dir.path(), "site");
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let own = credentials(&ca.issue(CertificateIdentity::CONTROL_DNS_NAME, Some(address.ip())));
-    let other = Authority::new(dir.path(), "other");
+    let own =
+        read_credentials(&ca.issue(CertificateIdentity::CONTROL_DNS_NAME, Some(address.ip())));
+    let other = CertificateAuthority::new(dir.path(), "other");
     let foreign = other.issue(CertificateIdentity::CONTROL_DNS_NAME, Some(address.ip()));
     let elsewhere = ca.issue(
         CertificateIdentity::CONTROL_DNS_NAME,
@@ -198,7 +200,7 @@
         ("another address", read_credentials(&elsewhere), false),
     ];
     let http = client::HttpClient::new(Some(&own));
-    for (which, server, believed) in cases {
+    for (which, server, accepted) in cases {
         let serve = async {
             let (stream, _) = listener.accept().await.unwrap();
             let acceptor = TlsAcceptor::from(Arc::new(server.server_config()));
@@ -217,7 +219,7 @@
             "{which}: whether the server received the request"
         );
         let category = posted.unwrap_err().category();
-        let expected = if believed {
+        let expected = if accepted {
             Category::MaybeSent
         } else {
             Category::NotSent
@@ -237,7 +239,7 @@
         };
         let stream = TcpStream::connect(address).await.unwrap();
         let (_, secured) = tokio::join!(serve, own.connect_tls(address, stream));
-        assert_eq!(secured.is_ok(), believed, "{which}");
+        assert_eq!(secured.is_ok(), accepted, "{which}");
     }
 }
 
@@ -249,7 +251,8 @@
     let ca = CertificateAuthority::new(dir.path(), "site");
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let own = credentials(&ca.issue(CertificateIdentity::CONTROL_DNS_NAME, Some(address.ip())));
+    let own =
+        read_credentials(&ca.issue(CertificateIdentity::CONTROL_DNS_NAME, Some(address.ip())));
     let mut config = (*own.client_config()).clone();
     config.resumption = Resumption::default();
     let connector = TlsConnector::from(Arc::new(config));
@@ -280,7 +283,7 @@
 #[actix_rt::test]
 async fn wrong_tls_files_are_reported_before_any_socket_opens() {
     let dir = tempfile::tempdir().unwrap();
-    let ca = Authority::new(dir.path(), "site");
+    let ca = CertificateAuthority::new(dir.path(), "site");
     let good = ca.issue(CertificateIdentity::CONTROL_DNS_NAME, None);
     let node = ca.issue(CertificateIdentity::NODE_DNS_NAME, None);
     let missing = dir.path().join("missing.pem");
