--- a/crates/auth/src/connection/mod.rs
+++ b/crates/auth/src/connection/mod.rs
@@ -1,5 +1,5 @@
-//! What lives as long as a connection.
+//! The identity of a peer, with the lifetime of its connection.
 
-mod names;
+mod identity;
 
-pub use names::Names;
+pub use identity::CertificateIdentity;
--- a/crates/auth/src/process/mod.rs
+++ b/crates/auth/src/process/mod.rs
@@ -1,5 +1,5 @@
-//! What lives as long as the process.
+//! Credentials, with the lifetime of the process.
 
 mod credentials;
 
-pub use credentials::{Credentials, Files};
+pub use credentials::{CredentialFiles, Credentials};
--- a/crates/auth/src/request/rule.rs
+++ b/crates/auth/src/request/rule.rs
@@ -1,70 +1,76 @@
-//! Who may ask for what.
+//! The rules that decide which identity may send which request.
 
 use types::OperatorName;
 
-use crate::Names;
+use crate::CertificateIdentity;
 
-/// A port of the system's own processes.
+/// The HTTP servers of the system's own processes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Port {
-    /// The port of a control host.
+pub enum ServerKind {
+    /// The server of a control host.
     Control,
-    /// The port on which an agent takes requests of its peers. Requests that
-    /// are handed off have any path.
+    /// The server on which an agent accepts requests from its peers. Handed-off
+    /// requests may have any path.
     Peer,
 }
 
-/// Why a request is refused.
+/// Why a request is denied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Refusal {
-    /// The connection has no verified certificate.
+pub enum DenyReason {
+    /// The connection has no verified client certificate.
     NoCertificate,
-    /// The holder of the certificate may not ask for this path.
+    /// The identity is not allowed to use this path.
     Role,
-    /// Nobody may ask for this path.
+    /// No identity is allowed to use this path.
     Path,
-    /// The change names another author than the certificate.
+    /// The author of the change is not an operator in the certificate.
     Author,
 }
 
-impl Refusal {
-    /// The reason as metrics name it.
+impl DenyReason {
+    /// Value of the `reason` metric label and log field.
     #[must_use]
     pub fn label(self) -> &'static str {
         match self {
-            Refusal::NoCertificate => "no_certificate",
-            Refusal::Role => "role",
-            Refusal::Path => "path",
-            Refusal::Author => "author",
+            DenyReason::NoCertificate => "no_certificate",
+            DenyReason::Role => "role",
+            DenyReason::Path => "path",
+            DenyReason::Author => "author",
         }
     }
 }
 
-/// Decides whether the holder of a certificate may ask for `path`.
+/// Checks whether `identity` may send requests to `path`.
 ///
 /// # Errors
 ///
-/// It may not.
-pub fn allow(port: Port, path: &str, names: &Names) -> Result<(), Refusal> {
-    let operator = !names.operators.is_empty();
-    let allowed = match (port, path) {
-        (Port::Peer, _) | (Port::Control, "/v1/sync") => names.node,
-        (Port::Control, "/v1/consensus") => names.control,
+/// [`DenyReason::Role`] or [`DenyReason::Path`] if it may not.
+pub fn authorize_path(
+    server: ServerKind,
+    path: &str,
+    identity: &CertificateIdentity,
+) -> Result<(), DenyReason> {
+    let is_operator = !identity.operators.is_empty();
+    let allowed = match (server, path) {
+        (ServerKind::Peer, _) | (ServerKind::Control, "/v1/sync") => identity.is_node,
+        (ServerKind::Control, "/v1/consensus") => identity.is_control_host,
         // `limpetctl control add` asks a blank host for its id.
-        (Port::Control, "/v1/hello") => names.control || operator,
-        (Port::Control, "/v1/change" | "/v1/query" | "/v1/group") => operator,
-        (Port::Control, _) => return Err(Refusal::Path),
+        (ServerKind::Control, "/v1/hello") => identity.is_control_host || is_operator,
+        (ServerKind::Control, "/v1/change" | "/v1/query" | "/v1/group") => is_operator,
+        (ServerKind::Control, _) => return Err(DenyReason::Path),
     };
-    allowed.then_some(()).ok_or(Refusal::Role)
+    allowed.then_some(()).ok_or(DenyReason::Role)
 }
 
-/// Decides whether the holder of a certificate may make changes in the name
-/// of `author`.
+/// Checks whether `identity` may make changes as `author`.
 ///
 /// # Errors
 ///
-/// It may not.
-pub fn may_author(author: &OperatorName, names: &Names) -> Result<(), Refusal> {
-    let own = names.operators.contains(author);
-    own.then_some(()).ok_or(Refusal::Author)
+/// [`DenyReason::Author`] if it may not.
+pub fn authorize_author(
+    author: &OperatorName,
+    identity: &CertificateIdentity,
+) -> Result<(), DenyReason> {
+    let allowed = identity.operators.contains(author);
+    allowed.then_some(()).ok_or(DenyReason::Author)
 }
--- a/crates/balancer/src/process/datapath.rs
+++ b/crates/balancer/src/process/datapath.rs
@@ -8,7 +8,7 @@
     time::{Duration, Instant},
 };
 
-use client::{NodeReport, Step};
+use client::{NodeAnnouncement, SyncEvent};
 use tokio::{
     io::ReadBuf,
     net::UdpSocket,
@@ -44,9 +44,9 @@
 #[derive(Debug)]
 pub struct SyncChannels {
     /// New versions from the control group.
-    pub steps: mpsc::Receiver<Step>,
+    pub steps: mpsc::Receiver<SyncEvent>,
     /// Report of this balancer to the control group.
-    pub report: watch::Sender<NodeReport>,
+    pub report: watch::Sender<NodeAnnouncement>,
 }
 
 /// Task that owns the sockets and forwards datagrams in both directions.
@@ -69,7 +69,7 @@
 
 /// Reason for which the task woke up.
 enum WakeReason {
-    Step(Option<Step>),
+    Step(Option<SyncEvent>),
     Datagrams,
     Stop,
     Tick,
@@ -112,11 +112,11 @@
                 _ = ticks.tick() => WakeReason::Tick,
             };
             match reason {
-                WakeReason::Step(Some(Step::Update(update, done))) => {
+                WakeReason::Step(Some(SyncEvent::Update(update, done))) => {
                     self.apply(*update);
                     let _ = done.send(());
                 }
-                WakeReason::Step(Some(Step::ClassLoads(_) | Step::Confirmed(_)))
+                WakeReason::Step(Some(SyncEvent::Loads(_) | SyncEvent::Confirmed(_)))
                 | WakeReason::Datagrams => {}
                 WakeReason::Stop => self.start_shutdown(),
                 WakeReason::Tick => self.ingress.retry_bind(),
@@ -136,7 +136,7 @@
     fn start_shutdown(&mut self) {
         self.shutdown_deadline = Some(Instant::now() + self.shutdown_grace_period);
         self.metrics.serving.set(0);
-        self.sync.report.send_replace(NodeReport::default());
+        self.sync.report.send_replace(NodeAnnouncement::default());
         log::info!(event = "balancer_leaving", linger:? = self.shutdown_grace_period; "balancer is leaving; forwarding continues for the grace period");
     }
 
--- a/crates/bench/src/bin/control.rs
+++ b/crates/bench/src/bin/control.rs
@@ -13,9 +13,9 @@
 };
 
 use actix_rt::{System, task::JoinHandle, time::sleep};
-use client::{Http, NodeReport, Operator, Step, SyncSettings, SyncTask};
+use client::{HttpClient, NodeAnnouncement, OperatorClient, SyncEvent, SyncSettings, SyncTask};
 use comfy_table::{Table, presets::ASCII_MARKDOWN};
-use control::process::Nodes;
+use control::process::LiveNodes;
 use hdrhistogram::Histogram;
 use member::Registry;
 use tempfile::TempDir;
@@ -202,11 +202,11 @@
         }
         let announce_time = started.elapsed();
         let requests: Vec<_> = (0..count).map(|n| sync_request(host(n), None)).collect();
-        let mut nodes = Nodes::default();
+        let mut nodes = LiveNodes::default();
         let started = Instant::now();
         for _ in 0..rounds {
             for request in &requests {
-                nodes.note(now, request);
+                nodes.record_sync(now, request);
             }
         }
         let note_time = started.elapsed();
@@ -256,15 +256,15 @@
 /// A node that runs as two tasks.
 struct Node {
     role: Role,
-    http: Http,
+    http: HttpClient,
     applied: AppliedRevisions,
     tasks: [JoinHandle<()>; 2],
     /// Keeps the channel of reports open, which the sync task reads.
-    report: watch::Sender<NodeReport>,
+    report: watch::Sender<NodeAnnouncement>,
 }
 
 impl Node {
-    fn start(control: &[SocketAddr], host: &str, role: Role, report: NodeReport) -> Node {
+    fn start(control: &[SocketAddr], host: &str, role: Role, report: NodeAnnouncement) -> Node {
         let mut cfg = SyncSettings::new(
             host.parse().unwrap(),
             role,
@@ -274,7 +274,7 @@
         if let Some(upstream) = &report.upstream {
             cfg.subset = ServiceSubset::Named([upstream.service.clone()].into());
         }
-        let http = Http::default();
+        let http = HttpClient::default();
         let applied: AppliedRevisions = Rc::default();
         let (report, reports) = watch::channel(report);
         let (tx, mut rx) = mpsc::channel(4);
@@ -282,7 +282,7 @@
         let record = applied.clone();
         let apply = actix_rt::spawn(async move {
             while let Some(step) = rx.recv().await {
-                if let Step::Update(update, done) = step {
+                if let SyncEvent::Update(update, done) = step {
                     let entry = (update.version.revision, Instant::now());
                     record.borrow_mut().push(entry);
                     let _ = done.send(());
@@ -317,7 +317,7 @@
 struct Group {
     control: Vec<SocketAddr>,
     hosts: Vec<Host>,
-    operator: Operator,
+    operator: OperatorClient,
     base: Revision,
     carry: u32,
     _dir: TempDir,
@@ -331,13 +331,13 @@
             Host::start(control::Settings {
                 listen: *listen,
                 data_dir: dir.path().join(n.to_string()),
-                group: control.iter().copied().collect(),
+                initial_group: control.iter().copied().collect(),
                 ..control::Settings::default()
             })
         });
         let mut group = Group {
             hosts: hosts.collect(),
-            operator: Operator::new(Http::default(), control.clone()),
+            operator: OperatorClient::new(HttpClient::default(), control.clone()),
             control,
             base: Revision(0),
             carry: 0,
@@ -446,7 +446,12 @@
         let nodes: Vec<Node> = (0..count)
             .map(|n| {
                 let host = format!("lb-{n}");
-                Node::start(&group.control, &host, Role::Balancer, NodeReport::default())
+                Node::start(
+                    &group.control,
+                    &host,
+                    Role::Balancer,
+                    NodeAnnouncement::default(),
+                )
             })
             .collect();
         wait_until_applied(&nodes, group.base).await;
@@ -500,7 +505,7 @@
     let body = wire::encode(&req).unwrap();
     let sent = thread::spawn(move || head_length(&mut listener.accept().unwrap().0));
     let deadline = Instant::now() + Duration::from_millis(300);
-    let _: client::Result<SyncReply> = Http::default()
+    let _: client::Result<SyncReply> = HttpClient::default()
         .post(address, "/v1/sync", &req, deadline)
         .await;
     let mut stream = TcpStream::connect(leader).unwrap();
@@ -526,7 +531,7 @@
 fn start_user_nodes(control: &[SocketAddr]) -> Vec<Node> {
     let agents = (0..10).map(|n| {
         let service = SERVICES[usize::from(n >= 7)];
-        let report = NodeReport {
+        let report = NodeAnnouncement {
             upstream: Some(announcement(n, service)),
             balancer: None,
         };
@@ -534,7 +539,7 @@
     });
     let balancers = (0..4u8).map(|n| {
         let return_address = ([127, 79, 1, n], 7100).into();
-        let report = NodeReport {
+        let report = NodeAnnouncement {
             upstream: None,
             balancer: Some(BalancerAnnouncement { return_address }),
         };
@@ -589,8 +594,8 @@
                     let now = node.http.traffic();
                     count += 1;
                     sums[0] += now.requests - before.requests;
-                    sums[1] += now.sent - before.sent;
-                    sums[2] += now.received - before.received;
+                    sums[1] += now.sent_bytes - before.sent_bytes;
+                    sums[2] += now.received_bytes - before.received_bytes;
                 }
             }
             let [requests, sent, received] = sums;
@@ -616,7 +621,7 @@
     sleep(Duration::from_secs(4)).await;
     let leader = group.control[group.leader()];
     let deadline = Instant::now() + WAIT_TIMEOUT;
-    let http = Http::default();
+    let http = HttpClient::default();
     let sync = async |have| -> SyncReply {
         let req = sync_request("lb-9".parse().unwrap(), have);
         http.post(leader, "/v1/sync", &req, deadline).await.unwrap()
@@ -641,7 +646,7 @@
             panic!("expected an update, got {reply:?}");
         };
         assert!(update.version.revision >= group.base);
-        let bytes = http.traffic().received - before.received;
+        let bytes = http.traffic().received_bytes - before.received_bytes;
         table.add_row([
             name.into(),
             "1".into(),
--- a/crates/bench/src/bin/datagrams.rs
+++ b/crates/bench/src/bin/datagrams.rs
@@ -19,7 +19,7 @@
 };
 
 use balancer::{Datapath, FabricIngress, Metrics, SyncChannels, bind};
-use client::{NodeReport, Step};
+use client::{NodeAnnouncement, SyncEvent};
 use comfy_table::{Table, presets::ASCII_MARKDOWN};
 use prometheus::{IntCounter, Registry};
 use tokio::{
@@ -371,7 +371,7 @@
                 .send((address, this_thread_dir()))
                 .expect("main waits");
             let agents = bind(any_loopback_port()).expect("agent socket");
-            let (report, _) = watch::channel(NodeReport::default());
+            let (report, _) = watch::channel(NodeAnnouncement::default());
             let links = SyncChannels {
                 steps: step_rx,
                 report,
@@ -390,7 +390,7 @@
         let before = rss_kib();
         let begun = Instant::now();
         let (tx, rx) = oneshot::channel();
-        assert!(steps.blocking_send(Step::Update(update, tx)).is_ok());
+        assert!(steps.blocking_send(SyncEvent::Update(update, tx)).is_ok());
         rx.blocking_recv().expect("in force");
         let elapsed = begun.elapsed();
         if table_kib == 0 {
--- a/crates/bench/src/bin/requests.rs
+++ b/crates/bench/src/bin/requests.rs
@@ -19,8 +19,8 @@
     process::{AnyKnown, BalancerPolicy, ReachableOnly, run_with_policy},
 };
 use bytes::Bytes;
-use caller::{Caller, Endpoint, Trust};
-use client::{Http, Operator};
+use caller::{Caller, Endpoint, ServerTrust};
+use client::{HttpClient, OperatorClient};
 use futures_util::future::join_all;
 use hdrhistogram::Histogram;
 use http::Request;
@@ -117,7 +117,7 @@
         // Takes the only slot of the agent, so that the requests after it are
         // handed off.
         let mut feed = get(&mut caller, "/feed").await;
-        feed.part().await.expect("line");
+        feed.next_chunk().await.expect("line");
         let handed_off = time_requests(&mut caller).await;
         feed.cancel();
         sleep(Duration::from_millis(200)).await;
@@ -169,11 +169,11 @@
     let began = Instant::now();
     let mut answer = get(caller, "/").await;
     assert_eq!(answer.status, 200);
-    answer.body().await.expect("whole answer");
+    answer.read_body().await.expect("whole answer");
     u64::try_from(began.elapsed().as_micros()).unwrap_or(u64::MAX)
 }
 
-async fn get(caller: &mut Caller, path: &str) -> caller::Answer {
+async fn get(caller: &mut Caller, path: &str) -> caller::Response {
     let request = Request::get(format!("https://localhost{path}"));
     let request = request.body(Bytes::new()).expect("request");
     caller.send(request).await.expect("answer")
@@ -211,7 +211,7 @@
         let cfg = control::Settings {
             listen: control,
             data_dir: dir.path().into(),
-            group: [control].into(),
+            initial_group: [control].into(),
             ..control::Settings::default()
         };
         let (stop_tx, stop) = watch::channel(false);
@@ -298,7 +298,7 @@
 
     async fn connect(&self) -> Caller {
         let service = self.fabric.service;
-        let endpoint = Endpoint::open(service, Trust::Any).expect("socket");
+        let endpoint = Endpoint::open(service, ServerTrust::Any).expect("socket");
         let caller = Caller::connect(&endpoint, service, "localhost").await;
         caller.expect("connection")
     }
@@ -314,7 +314,7 @@
 
 /// Creates the service and waits until each upstream has a share above zero.
 async fn create_service(control: SocketAddr, service: SocketAddr, carry: Slots) {
-    let operator = Operator::new(Http::default(), vec![control]);
+    let operator = OperatorClient::new(HttpClient::default(), vec![control]);
     let create = Change::CreateService {
         name: name("vouchers"),
         address: service,
@@ -341,7 +341,7 @@
     }
 }
 
-async fn change(operator: &Operator, base: Revision, change: Change) -> Revision {
+async fn change(operator: &OperatorClient, base: Revision, change: Change) -> Revision {
     let req = ChangeRequest {
         id: ChangeId::generate(),
         author: name("bench"),
@@ -356,7 +356,7 @@
 
 /// Number of upstreams with a share above zero, that is, those that get new
 /// flows.
-async fn upstreams_with_share(operator: &Operator) -> usize {
+async fn upstreams_with_share(operator: &OperatorClient) -> usize {
     let deadline = Instant::now() + WAIT_TIMEOUT;
     match operator.query("/v1/query", &Query::Status, deadline).await {
         Ok(QueryReply::Status(status)) => {
--- a/crates/bench/src/soak/operations.rs
+++ b/crates/bench/src/soak/operations.rs
@@ -6,7 +6,7 @@
 };
 
 use actix_rt::time::sleep;
-use client::Operator;
+use client::OperatorClient;
 use tokio::sync::watch;
 use types::{
     Answer, Change, ChangeId, ChangeRequest, CidKey, ClassName, Connections, Revision, Service,
@@ -48,7 +48,7 @@
 
 /// Makes changes and keeps the accepted ones for the check at the end.
 pub struct Operations {
-    operator: Operator,
+    operator: OperatorClient,
     outcomes: ChangeOutcomes,
     accepted: BTreeMap<ChangeId, Revision>,
     /// Last accepted target and its revision.
@@ -59,7 +59,7 @@
     /// Creates the service and waits until its upstreams have a share. `None` if
     /// that takes longer than [`CHANGE_TIMEOUT`].
     pub async fn create_service(
-        operator: Operator,
+        operator: OperatorClient,
         service: std::net::SocketAddr,
     ) -> Option<Operations> {
         let mut operations = Operations {
@@ -233,7 +233,7 @@
 
 /// Number of upstreams with a share above zero, that is, those that get new
 /// flows.
-async fn upstreams_with_share(operator: &Operator) -> usize {
+async fn upstreams_with_share(operator: &OperatorClient) -> usize {
     let deadline = Instant::now() + CHANGE_TIMEOUT;
     match operator.query("/v1/query", &Query::Status, deadline).await {
         Ok(QueryReply::Status(status)) => {
--- a/crates/client/src/version/mod.rs
+++ b/crates/client/src/version/mod.rs
@@ -1,5 +1,5 @@
-//! Keeping a node on the newest version.
+//! Keeps a node on the newest version.
 
 mod sync;
 
-pub use sync::{NodeReport, Step, SyncSettings, SyncTask};
+pub use sync::{NodeAnnouncement, SyncEvent, SyncSettings, SyncTask};
--- a/crates/control/src/process/http.rs
+++ b/crates/control/src/process/http.rs
@@ -1,11 +1,11 @@
-//! The HTTP server.
+//! The HTTP server of a control host.
 
 use std::net::TcpListener;
 
 use actix_web::{
     App, HttpRequest, HttpResponse, HttpServer, dev::Server, middleware::from_fn, web,
 };
-use auth::Gate;
+use auth::Authorizer;
 use bytes::Bytes;
 use consensus::Message;
 use serde::{Serialize, de::DeserializeOwned};
@@ -19,28 +19,29 @@
 use super::{CONSENSUS_PATH, GroupCommand, HELLO_PATH, Settings};
 use crate::{Error, Result};
 
-/// Threads that read and write messages; the decisions are in one task.
-const WORKERS: usize = 2;
+/// Threads that decode requests and encode replies. The state is owned by the
+/// group task.
+const HTTP_WORKERS: usize = 2;
 
-type Tx = web::Data<mpsc::Sender<GroupCommand>>;
+type GroupTx = web::Data<mpsc::Sender<GroupCommand>>;
 
 /// Starts the server on `listener`.
 ///
 /// # Errors
 ///
-/// The listener cannot be used.
+/// [`Error::Bind`] if the listener cannot be used.
 pub fn serve(
     cfg: &Settings,
     listener: TcpListener,
     tx: mpsc::Sender<GroupCommand>,
-    gate: Gate,
+    authorizer: Authorizer,
 ) -> Result<Server> {
     let tx = web::Data::new(tx);
     let factory = move || {
         App::new()
             .app_data(tx.clone())
-            .app_data(gate.clone())
-            .wrap(from_fn(auth::enforce))
+            .app_data(authorizer.clone())
+            .wrap(from_fn(auth::authorize_request))
             .app_data(web::PayloadConfig::new(wire::MAX_MESSAGE_LEN))
             .route(CONSENSUS_PATH, web::post().to(consensus))
             .route(HELLO_PATH, web::post().to(hello))
@@ -50,20 +51,20 @@
             .route("/v1/sync", web::post().to(sync))
     };
     let server = HttpServer::new(factory)
-        .workers(WORKERS)
-        .on_connect(Gate::note)
+        .workers(HTTP_WORKERS)
+        .on_connect(Authorizer::record_identity)
         .disable_signals()
         .shutdown_timeout(1)
-        // A node that closed its connection waits no more.
+        // A closed connection cancels the held sync request of its node.
         .h1_allow_half_closed(false);
     let server = match &cfg.credentials {
-        Some(credentials) => server.listen_rustls_0_23(listener, credentials.server()),
+        Some(credentials) => server.listen_rustls_0_23(listener, credentials.server_config()),
         None => server.listen(listener),
     };
     Ok(server.map_err(|e| Error::Bind(cfg.listen, e))?.run())
 }
 
-async fn consensus(tx: Tx, body: Bytes) -> HttpResponse {
+async fn consensus(tx: GroupTx, body: Bytes) -> HttpResponse {
     let Ok(messages) = wire::decode::<Vec<Message>>(&body) else {
         return HttpResponse::BadRequest().finish();
     };
@@ -75,50 +76,51 @@
     reply(&())
 }
 
-async fn hello(tx: Tx, body: Bytes) -> HttpResponse {
-    ask(&tx, &body, |_: Hello, tx| GroupCommand::Hello(tx), None).await
+async fn hello(tx: GroupTx, body: Bytes) -> HttpResponse {
+    decode_and_forward(&tx, &body, |_: Hello, tx| GroupCommand::Hello(tx), None).await
 }
 
-async fn change(tx: Tx, http: HttpRequest, body: Bytes) -> HttpResponse {
+async fn change(tx: GroupTx, http: HttpRequest, body: Bytes) -> HttpResponse {
     let Ok(req) = wire::decode::<ChangeRequest>(&body) else {
         return HttpResponse::BadRequest().finish();
     };
-    // Only the leader itself notes changes of the group.
+    // Only the leader itself proposes records of membership changes.
     if matches!(req.change, Change::NoteGroup { .. }) {
         return HttpResponse::BadRequest().finish();
     }
-    // Before the change is proposed: the audit trail has only true authors.
-    if let Some(refusal) = auth::refuse_author(&http, &req.author) {
+    // Checked before the change is proposed, so that the audit trail contains
+    // only authenticated authors.
+    if let Some(refusal) = auth::deny_unless_author(&http, &req.author) {
         return refusal;
     }
-    let lost = Some(ChangeReply::Unknown);
-    pass(&tx, |tx| GroupCommand::Change(Box::new(req), tx), lost).await
+    let fallback = Some(ChangeReply::Unknown);
+    forward(&tx, |tx| GroupCommand::Change(Box::new(req), tx), fallback).await
 }
 
-async fn query(tx: Tx, body: Bytes) -> HttpResponse {
-    let lost = Some(QueryReply::NotLeader { leader: None });
-    ask(
+async fn query(tx: GroupTx, body: Bytes) -> HttpResponse {
+    let fallback = Some(QueryReply::NotLeader { leader: None });
+    decode_and_forward(
         &tx,
         &body,
         |req: Query, tx| GroupCommand::Query(req, tx),
-        lost,
+        fallback,
     )
     .await
 }
 
-async fn group(tx: Tx, http: HttpRequest, body: Bytes) -> HttpResponse {
+async fn group(tx: GroupTx, http: HttpRequest, body: Bytes) -> HttpResponse {
     let Ok(req) = wire::decode::<GroupChangeRequest>(&body) else {
         return HttpResponse::BadRequest().finish();
     };
-    if let Some(refusal) = auth::refuse_author(&http, &req.author) {
+    if let Some(refusal) = auth::deny_unless_author(&http, &req.author) {
         return refusal;
     }
-    let lost = Some(GroupReply::Unknown);
-    pass(&tx, |tx| GroupCommand::ChangeGroup(req, tx), lost).await
+    let fallback = Some(GroupReply::Unknown);
+    forward(&tx, |tx| GroupCommand::ChangeGroup(req, tx), fallback).await
 }
 
-async fn sync(tx: Tx, body: Bytes) -> HttpResponse {
-    ask(
+async fn sync(tx: GroupTx, body: Bytes) -> HttpResponse {
+    decode_and_forward(
         &tx,
         &body,
         |req: SyncRequest, tx| GroupCommand::Sync(Box::new(req), tx),
@@ -127,31 +129,32 @@
     .await
 }
 
-/// Reads a request and passes it to the group task.
-async fn ask<Req: DeserializeOwned, Reply: Serialize>(
+/// Decodes a request and forwards it to the group task. `fallback` as for
+/// [`forward`].
+async fn decode_and_forward<Req: DeserializeOwned, Reply: Serialize>(
     tx: &mpsc::Sender<GroupCommand>,
     body: &[u8],
     command: impl FnOnce(Req, oneshot::Sender<Reply>) -> GroupCommand,
-    lost: Option<Reply>,
+    fallback: Option<Reply>,
 ) -> HttpResponse {
     let Ok(req) = wire::decode::<Req>(body) else {
         return HttpResponse::BadRequest().finish();
     };
-    pass(tx, |reply_tx| command(req, reply_tx), lost).await
+    forward(tx, |reply_tx| command(req, reply_tx), fallback).await
 }
 
-/// Passes a request to the group task. `lost` is the reply if the task ends
-/// before it answers.
-async fn pass<Reply: Serialize>(
+/// Forwards a request to the group task and encodes the reply. `fallback` is the
+/// reply if the task ends before it answers; without one the status is 503.
+async fn forward<Reply: Serialize>(
     tx: &mpsc::Sender<GroupCommand>,
     command: impl FnOnce(oneshot::Sender<Reply>) -> GroupCommand,
-    lost: Option<Reply>,
+    fallback: Option<Reply>,
 ) -> HttpResponse {
     let (reply_tx, reply_rx) = oneshot::channel();
     if tx.send(command(reply_tx)).await.is_err() {
         return HttpResponse::ServiceUnavailable().finish();
     }
-    match (reply_rx.await, lost) {
+    match (reply_rx.await, fallback) {
         (Ok(message), _) | (Err(_), Some(message)) => reply(&message),
         (Err(_), None) => HttpResponse::ServiceUnavailable().finish(),
     }
--- a/crates/control/src/request/mod.rs
+++ b/crates/control/src/request/mod.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for the group.
+//! Requests that wait for a commit or a confirmed read.
 
 use std::time::Instant;
 
@@ -14,40 +14,43 @@
 
 /// A request that waits for a commit or a confirmed read.
 #[derive(Debug)]
-pub enum Pending {
-    /// An operator's change.
+pub enum PendingRequest {
+    /// A configuration change from an operator.
     Change(oneshot::Sender<ChangeReply>),
-    /// A change that the leader itself proposed.
-    Own,
-    /// A change of the group.
+    /// A configuration change proposed by the leader itself; nobody waits for a
+    /// reply.
+    Internal,
+    /// A membership change of the control group.
     Group(GroupChangeRequest, oneshot::Sender<GroupReply>),
-    /// An operator's query.
+    /// A query from an operator.
     Query(Query, oneshot::Sender<QueryReply>),
-    /// Requests of nodes to be brought up to date.
-    Syncs(Vec<Waiter>),
+    /// Sync requests of nodes that are answered together after one confirmed
+    /// read.
+    Syncs(Vec<WaitingSync>),
 }
 
-/// A node that waits for something newer.
+/// A sync request that is held open until there is an update for the node or
+/// its hold ends.
 #[derive(Debug)]
-pub struct Waiter {
-    /// What the node asked.
+pub struct WaitingSync {
+    /// The request.
     pub req: SyncRequest,
-    /// Where the reply goes.
+    /// Receives the reply.
     pub tx: oneshot::Sender<SyncReply>,
-    /// When it is answered in any case.
-    pub until: Instant,
+    /// Deadline by which the request is answered even without an update.
+    pub hold_deadline: Instant,
 }
 
-/// An operator's change in the log.
+/// A configuration change as it is stored in the log.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Command {
-    /// The leader's clock when it proposed the change.
+    /// Wall-clock time of the leader when it proposed the change.
     pub at: types::UnixMillis,
-    /// The change.
+    /// The requested change.
     pub req: ChangeRequest,
 }
 
-/// The change of the group that a request asks for.
+/// Converts a membership request into the input of the consensus.
 #[must_use]
 pub fn group_change(req: GroupRequest) -> GroupChange {
     match req {
@@ -57,28 +60,28 @@
     }
 }
 
-impl Pending {
-    /// Answers a request that was rejected and will have no effect.
+impl PendingRequest {
+    /// Replies that the request was rejected and has no effect.
     pub fn reject(self, reason: Rejection) {
         let leader = match reason {
             Rejection::NotLeader { leader } => leader.map(|(_, address)| address),
             _ => None,
         };
         let not_leader = matches!(reason, Rejection::NotLeader { .. });
-        // Whoever asked may be gone.
+        // The requester may have disconnected.
         match self {
-            Pending::Own => {}
-            Pending::Change(tx) => drop(tx.send(if not_leader {
+            PendingRequest::Internal => {}
+            PendingRequest::Change(tx) => drop(tx.send(if not_leader {
                 ChangeReply::NotLeader { leader }
             } else {
                 ChangeReply::Unavailable
             })),
-            Pending::Group(_, tx) => drop(tx.send(match refusal(reason) {
+            PendingRequest::Group(_, tx) => drop(tx.send(match group_refusal(reason) {
                 Some(refusal) => GroupReply::Refused(refusal),
                 None => GroupReply::NotLeader { leader },
             })),
-            Pending::Query(_, tx) => drop(tx.send(QueryReply::NotLeader { leader })),
-            Pending::Syncs(waiters) => {
+            PendingRequest::Query(_, tx) => drop(tx.send(QueryReply::NotLeader { leader })),
+            PendingRequest::Syncs(waiters) => {
                 for waiter in waiters {
                     let _ = waiter.tx.send(if not_leader {
                         SyncReply::NotLeader { leader }
@@ -90,17 +93,19 @@
         }
     }
 
-    /// Answers a request whose outcome is unknown.
-    pub fn lose(self) {
+    /// Replies that the outcome of the request is unknown.
+    pub fn reply_unknown(self) {
         match self {
-            Pending::Change(tx) => drop(tx.send(ChangeReply::Unknown)),
-            Pending::Group(_, tx) => drop(tx.send(GroupReply::Unknown)),
+            PendingRequest::Change(tx) => drop(tx.send(ChangeReply::Unknown)),
+            PendingRequest::Group(_, tx) => drop(tx.send(GroupReply::Unknown)),
             other => other.reject(Rejection::NotLeader { leader: None }),
         }
     }
 }
 
-pub(crate) fn refusal(reason: Rejection) -> Option<GroupRefusal> {
+/// Maps a rejection by the consensus to the refusal that is sent to the
+/// operator. `None` if another host has to be asked.
+pub(crate) fn group_refusal(reason: Rejection) -> Option<GroupRefusal> {
     match reason {
         Rejection::NotLeader { .. } => None,
         Rejection::DiskFailed => Some(GroupRefusal::DiskFailed),
--- a/crates/limpetctl/src/request/control.rs
+++ b/crates/limpetctl/src/request/control.rs
@@ -6,7 +6,7 @@
 };
 
 use actix_rt::time::sleep;
-use client::GroupOutcome;
+use client::GroupChangeOutcome;
 use serde::Serialize;
 use types::MemberId;
 use wire::request::{
@@ -80,15 +80,15 @@
 
 impl Progress {
     /// Records the outcome of an attempt; `true` if the change is in force.
-    fn record(&mut self, outcome: GroupOutcome) -> Result<bool, StopReason> {
+    fn record(&mut self, outcome: GroupChangeOutcome) -> Result<bool, StopReason> {
         match outcome {
-            GroupOutcome::Done => return Ok(true),
-            GroupOutcome::Unknown => self.answer_lost = true,
-            GroupOutcome::Unavailable => self.stop = StopReason::Unavailable,
-            GroupOutcome::Refused(refusal) if self.answer_lost || is_transient(refusal) => {
+            GroupChangeOutcome::Done => return Ok(true),
+            GroupChangeOutcome::Unknown => self.answer_lost = true,
+            GroupChangeOutcome::Unavailable => self.stop = StopReason::Unavailable,
+            GroupChangeOutcome::Refused(refusal) if self.answer_lost || is_transient(refusal) => {
                 self.stop = refusal.into();
             }
-            GroupOutcome::Refused(refusal) => return Err(refusal.into()),
+            GroupChangeOutcome::Refused(refusal) => return Err(refusal.into()),
         }
         Ok(false)
     }
--- a/crates/limpetd/src/process/local.rs
+++ b/crates/limpetd/src/process/local.rs
@@ -7,7 +7,7 @@
 
 use actix_rt::time::sleep;
 use agent::ServiceCertificate;
-use client::{Http, Operator};
+use client::{HttpClient, OperatorClient};
 use prometheus::Registry;
 use standin::Upstream;
 use tokio::sync::watch;
@@ -47,7 +47,7 @@
     let control = control::run(control_settings(&args), registry, site_stop.clone());
     let balancer = balancer::run(balancer_settings(&args), registry, site_stop);
     let agent = async {
-        let operator = Operator::new(Http::default(), vec![args.control]);
+        let operator = OperatorClient::new(HttpClient::default(), vec![args.control]);
         create_service(&operator, args.listen).await?;
         actix_rt::spawn(log_when_ready(operator, args.listen));
         let certificate =
@@ -66,7 +66,7 @@
     control::Settings {
         listen: args.control,
         data_dir: args.data_dir.clone(),
-        group: [args.control].into(),
+        initial_group: [args.control].into(),
         ..control::Settings::default()
     }
 }
@@ -105,7 +105,7 @@
 }
 
 /// Waits until the service can take flows, then logs its address.
-async fn log_when_ready(operator: Operator, address: SocketAddr) {
+async fn log_when_ready(operator: OperatorClient, address: SocketAddr) {
     while !is_ready(&operator).await {
         sleep(READY_POLL_INTERVAL).await;
     }
@@ -114,7 +114,7 @@
 
 /// Whether the service has an upstream with a share above zero, that is, one
 /// that gets new flows.
-async fn is_ready(operator: &Operator) -> bool {
+async fn is_ready(operator: &OperatorClient) -> bool {
     let deadline = Instant::now() + CONTROL_TIMEOUT;
     let reply = operator.query("/v1/query", &Query::Status, deadline).await;
     match reply {
@@ -128,7 +128,7 @@
 
 /// Creates the local service and its target, unless the service is already in
 /// the data folder from an earlier run.
-async fn create_service(operator: &Operator, address: SocketAddr) -> Result<()> {
+async fn create_service(operator: &OperatorClient, address: SocketAddr) -> Result<()> {
     let created = send_change(
         operator,
         Revision(0),
@@ -161,7 +161,7 @@
     }
 }
 
-async fn send_change(operator: &Operator, base: Revision, change: Change) -> Result<Answer> {
+async fn send_change(operator: &OperatorClient, base: Revision, change: Change) -> Result<Answer> {
     let req = ChangeRequest {
         id: ChangeId::generate(),
         author: parse_constant("limpetd"),
--- a/crates/limpetd/tests/balancer.rs
+++ b/crates/limpetd/tests/balancer.rs
@@ -15,7 +15,7 @@
     task::JoinHandle,
     time::{sleep, timeout},
 };
-use caller::{Caller, Endpoint, Trust};
+use caller::{Caller, Endpoint, ServerTrust};
 use harness::{
     Process, SERVICE, Site, SitePlan, WAIT_TIMEOUT, address, feed_lines, request, wait_for,
 };
@@ -77,7 +77,7 @@
         feeds.push(actix_rt::spawn(async move {
             // Dropping the caller would close the connection.
             let _caller = caller;
-            match feed.body().await {
+            match feed.read_body().await {
                 Ok(body) => String::from_utf8_lossy(&body).into_owned(),
                 Err(e) => e.to_string(),
             }
@@ -123,7 +123,7 @@
         .await
         .map_err(text)?;
     let mut answer = caller.send(request("GET", "/", "")).await.map_err(text)?;
-    let body = answer.body().await.map_err(text)?;
+    let body = answer.read_body().await.map_err(text)?;
     let body = String::from_utf8_lossy(&body);
     if answer.status == 200 && body.starts_with(expected) {
         Ok(())
@@ -146,7 +146,7 @@
     }
 
     fn start_on(site: &Site) -> Self {
-        let endpoint = Endpoint::open(site.fabric.service, Trust::Any).unwrap();
+        let endpoint = Endpoint::open(site.fabric.service, ServerTrust::Any).unwrap();
         RequestLoop::start(&endpoint, site.fabric.service, "served by upstream-")
     }
 
@@ -275,7 +275,7 @@
     ];
     // Requests to both services share one socket, so that their datagrams
     // differ only in the service address.
-    let endpoint = Endpoint::open(vouchers, Trust::Any).unwrap();
+    let endpoint = Endpoint::open(vouchers, ServerTrust::Any).unwrap();
     let request_loops = cases.map(|(service, expected)| {
         [(); 2].map(|()| RequestLoop::start(&endpoint, service, expected))
     });
--- a/crates/limpetd/tests/harness/certificates.rs
+++ b/crates/limpetd/tests/harness/certificates.rs
@@ -6,7 +6,7 @@
     path::{Path, PathBuf},
 };
 
-use auth::{Credentials, Files};
+use auth::{CredentialFiles, Credentials};
 use rcgen::{
     BasicConstraints, CertificateParams, CertifiedIssuer, ExtendedKeyUsagePurpose, IsCa, KeyPair,
     KeyUsagePurpose, date_time_ymd,
@@ -37,12 +37,12 @@
     }
 
     /// Issues a certificate for a DNS name and, if given, an IP address.
-    pub fn issue(&self, name: &str, address: Option<IpAddr>) -> Files {
+    pub fn issue(&self, name: &str, address: Option<IpAddr>) -> CredentialFiles {
         self.issue_with(name, address, |_| ())
     }
 
     /// Issues a certificate that has expired.
-    pub fn issue_expired(&self, name: &str) -> Files {
+    pub fn issue_expired(&self, name: &str) -> CredentialFiles {
         self.issue_with(name, None, |params| {
             params.not_after = date_time_ymd(2020, 1, 1);
         })
@@ -53,7 +53,7 @@
         name: &str,
         address: Option<IpAddr>,
         adjust: impl FnOnce(&mut CertificateParams),
-    ) -> Files {
+    ) -> CredentialFiles {
         let names: Vec<String> = [name.to_owned()]
             .into_iter()
             .chain(address.map(|a| a.to_string()))
@@ -67,7 +67,7 @@
         adjust(&mut params);
         let key = KeyPair::generate().expect("key");
         let certificate = params.signed_by(&key, &self.issuer).expect("certificate");
-        let files = Files {
+        let files = CredentialFiles {
             ca: self.ca(),
             certificate: self.dir.join(format!("{file_stem}.pem")),
             key: self.dir.join(format!("{file_stem}.key")),
@@ -79,12 +79,12 @@
 }
 
 /// Reads the credentials from the files.
-pub fn read_credentials(files: &Files) -> Credentials {
+pub fn read_credentials(files: &CredentialFiles) -> Credentials {
     Credentials::read(files).expect("credentials")
 }
 
 /// The `--tls-*` flags for the files.
-pub fn tls_flags(files: &Files) -> [String; 3] {
+pub fn tls_flags(files: &CredentialFiles) -> [String; 3] {
     [
         format!("--tls-ca={}", files.ca.display()),
         format!("--tls-certificate={}", files.certificate.display()),
--- a/crates/limpetd/tests/harness/mod.rs
+++ b/crates/limpetd/tests/harness/mod.rs
@@ -16,11 +16,11 @@
     time::{Duration, Instant},
 };
 
-use auth::Names;
+use auth::CertificateIdentity;
 use bytes::Bytes;
-use caller::{Answer, Caller, Endpoint, Trust};
+use caller::{Caller, Endpoint, Response, ServerTrust};
 use certificates::{CertificateAuthority, read_credentials, tls_flags};
-use client::{Http, Operator};
+use client::{HttpClient, OperatorClient};
 use http::Request;
 use nix::{
     sys::signal::{Signal, kill},
@@ -128,7 +128,7 @@
     pub agents: Vec<Process>,
     pub upstreams: Vec<UpstreamHandle>,
     pub fabric: FabricHandle,
-    pub operator: Operator,
+    pub operator: OperatorClient,
     /// Issues the certificates; `None` without mutual TLS.
     pub authority: Option<CertificateAuthority>,
     process_starts: u32,
@@ -185,7 +185,10 @@
             agents: Vec::new(),
             upstreams: Vec::new(),
             fabric: handle,
-            operator: Operator::new(Http::new(operator.as_ref()), control_addresses(plan)),
+            operator: OperatorClient::new(
+                HttpClient::new(operator.as_ref()),
+                control_addresses(plan),
+            ),
             process_starts: 0,
         };
         for n in 0..plan.control {
@@ -239,7 +242,10 @@
             format!("--group={}", group.join(",")),
             format!("--metrics-listen={}", address(self.plan.range, 1 + n, 7300)),
         ];
-        args.extend(self.tls_args(Names::CONTROL, control_address(self.plan, n)));
+        args.extend(self.tls_args(
+            CertificateIdentity::CONTROL_DNS_NAME,
+            control_address(self.plan, n),
+        ));
         Process::start(&args, &self.next_log_path(&format!("control-{n}")))
     }
 
@@ -271,7 +277,7 @@
         args.push(format!("--fabric-listen={}", fabric_address(self.plan, n)));
         let return_address = address(self.plan.range, 11 + n, 7100);
         args.push(format!("--return-listen={return_address}"));
-        args.extend(self.tls_args(Names::NODE, return_address));
+        args.extend(self.tls_args(CertificateIdentity::NODE_DNS_NAME, return_address));
         Process::start(&args, &self.next_log_path(&format!("balancer-{n}")))
     }
 
@@ -290,7 +296,10 @@
             address(self.plan.range, 51 + n, 7201)
         ));
         args.push(format!("--stay-at-most={}", self.plan.stay_at_most));
-        args.extend(self.tls_args(Names::NODE, peer_address(self.plan, n)));
+        args.extend(self.tls_args(
+            CertificateIdentity::NODE_DNS_NAME,
+            peer_address(self.plan, n),
+        ));
         if let Some(path) = self.plan.load_path {
             args.push(format!("--load-path={path}"));
         }
@@ -372,12 +381,12 @@
     }
 
     pub async fn try_connect(&self) -> caller::Result<Caller> {
-        let endpoint = Endpoint::open(self.fabric.service, Trust::Any)?;
+        let endpoint = Endpoint::open(self.fabric.service, ServerTrust::Any)?;
         Caller::connect(&endpoint, self.fabric.service, "localhost").await
     }
 
     /// Sends a request on a new connection.
-    pub async fn call(&self, method: &str, path: &str, body: &str) -> caller::Result<Answer> {
+    pub async fn call(&self, method: &str, path: &str, body: &str) -> caller::Result<Response> {
         let mut caller = self.try_connect().await?;
         caller.send(request(method, path, body)).await
     }
@@ -428,7 +437,7 @@
 /// Sends a GET and returns the body of the answer; panics if it is cut short.
 pub async fn get_text(caller: &mut Caller, path: &str) -> String {
     let mut answer = caller.send(request("GET", path, "")).await.expect("answer");
-    let body = answer.body().await.expect("whole answer");
+    let body = answer.read_body().await.expect("whole answer");
     String::from_utf8_lossy(&body).into_owned()
 }
 
--- a/crates/limpetd/tests/tls.rs
+++ b/crates/limpetd/tests/tls.rs
@@ -11,7 +11,7 @@
 };
 
 use actix_rt::time::timeout;
-use auth::Names;
+use auth::CertificateIdentity;
 use client::Category;
 use harness::{
     SERVICE, Site, SitePlan, WAIT_TIMEOUT,
@@ -57,7 +57,7 @@
     let mut caller = site.connect().await;
     let own = get_text(&mut caller, "/").await;
     let mut feed = caller.send(request("GET", "/feed", "")).await.unwrap();
-    assert!(feed.part().await.unwrap().is_some());
+    assert!(feed.next_chunk().await.unwrap().is_some());
     // The agent of this connection has no slot left.
     let handed_off = get_text(&mut caller, "/").await;
     assert!(own.starts_with("served by upstream-"), "{own}");
@@ -94,13 +94,17 @@
     let expired = ca.issue_expired("operator.operator.limpetplank.internal");
     let unauthenticated_clients = [
         ("no certificate", client_without_certificate(ca)),
-        ("another CA", read_credentials(&foreign).client()),
-        ("expired", read_credentials(&expired).client()),
+        ("another CA", read_credentials(&foreign).client_config()),
+        ("expired", read_credentials(&expired).client_config()),
     ];
     let authenticated_clients = [
         ("no role", "app1.example", &[][..]),
-        ("control", Names::CONTROL, &["/v1/consensus", "/v1/hello"]),
-        ("node", Names::NODE, &["/v1/sync"]),
+        (
+            "control",
+            CertificateIdentity::CONTROL_DNS_NAME,
+            &["/v1/consensus", "/v1/hello"],
+        ),
+        ("node", CertificateIdentity::NODE_DNS_NAME, &["/v1/sync"]),
         (
             "operator",
             "alice.operator.limpetplank.internal",
@@ -110,7 +114,7 @@
     .map(|(role, name, allowed_paths)| {
         (
             role,
-            read_credentials(&ca.issue(name, None)).client(),
+            read_credentials(&ca.issue(name, None)).client_config(),
             allowed_paths,
         )
     });
@@ -157,7 +161,8 @@
     let site = Site::start_serving(plan(83)).await;
     let before = observable_state(&site).await;
     let ca = site.authority.as_ref().unwrap();
-    let alice = read_credentials(&ca.issue("alice.operator.limpetplank.internal", None)).client();
+    let alice =
+        read_credentials(&ca.issue("alice.operator.limpetplank.internal", None)).client_config();
     let control = control_address(site.plan, 0);
     let send = async |author: &str| {
         let body = wire::encode(&unauthorized_request(author)).unwrap();
@@ -181,20 +186,24 @@
     let ca = CertificateAuthority::new(dir.path(), "site");
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let own = read_credentials(&ca.issue(Names::CONTROL, Some(address.ip())));
+    let own =
+        read_credentials(&ca.issue(CertificateIdentity::CONTROL_DNS_NAME, Some(address.ip())));
     let other = CertificateAuthority::new(dir.path(), "other");
-    let foreign = other.issue(Names::CONTROL, Some(address.ip()));
-    let elsewhere = ca.issue(Names::CONTROL, Some(harness::address(84, 1, 1).ip()));
+    let foreign = other.issue(CertificateIdentity::CONTROL_DNS_NAME, Some(address.ip()));
+    let elsewhere = ca.issue(
+        CertificateIdentity::CONTROL_DNS_NAME,
+        Some(harness::address(84, 1, 1).ip()),
+    );
     let cases = [
         ("own", own.clone(), true),
         ("another CA", read_credentials(&foreign), false),
         ("another address", read_credentials(&elsewhere), false),
     ];
-    let http = client::Http::new(Some(&own));
+    let http = client::HttpClient::new(Some(&own));
     for (which, server, accepted) in cases {
         let serve = async {
             let (stream, _) = listener.accept().await.unwrap();
-            let acceptor = TlsAcceptor::from(Arc::new(server.server()));
+            let acceptor = TlsAcceptor::from(Arc::new(server.server_config()));
             let mut stream = acceptor.accept(stream).await?;
             let mut buf = [0; 4096];
             let len = stream.read(&mut buf).await?;
@@ -211,7 +220,7 @@
         );
         let category = posted.unwrap_err().category();
         let expected = if accepted {
-            Category::Lost
+            Category::MaybeSent
         } else {
             Category::NotSent
         };
@@ -225,11 +234,11 @@
     ] {
         let serve = async {
             let (stream, _) = listener.accept().await.unwrap();
-            let acceptor = TlsAcceptor::from(Arc::new(server.server()));
+            let acceptor = TlsAcceptor::from(Arc::new(server.server_config()));
             acceptor.accept(stream).await.map(drop)
         };
         let stream = TcpStream::connect(address).await.unwrap();
-        let (_, secured) = tokio::join!(serve, own.secure(address, stream));
+        let (_, secured) = tokio::join!(serve, own.connect_tls(address, stream));
         assert_eq!(secured.is_ok(), accepted, "{which}");
     }
 }
@@ -242,14 +251,15 @@
     let ca = CertificateAuthority::new(dir.path(), "site");
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let own = read_credentials(&ca.issue(Names::CONTROL, Some(address.ip())));
-    let mut config = (*own.client()).clone();
+    let own =
+        read_credentials(&ca.issue(CertificateIdentity::CONTROL_DNS_NAME, Some(address.ip())));
+    let mut config = (*own.client_config()).clone();
     config.resumption = Resumption::default();
     let connector = TlsConnector::from(Arc::new(config));
     for _ in 0..3 {
         let serve = async {
             let (stream, _) = listener.accept().await?;
-            let acceptor = TlsAcceptor::from(Arc::new(own.server()));
+            let acceptor = TlsAcceptor::from(Arc::new(own.server_config()));
             let mut stream = acceptor.accept(stream).await?;
             stream.write_all(b"x").await?;
             stream.shutdown().await
@@ -274,15 +284,15 @@
 async fn wrong_tls_files_are_reported_before_any_socket_opens() {
     let dir = tempfile::tempdir().unwrap();
     let ca = CertificateAuthority::new(dir.path(), "site");
-    let good = ca.issue(Names::CONTROL, None);
-    let node = ca.issue(Names::NODE, None);
+    let good = ca.issue(CertificateIdentity::CONTROL_DNS_NAME, None);
+    let node = ca.issue(CertificateIdentity::NODE_DNS_NAME, None);
     let missing = dir.path().join("missing.pem");
     let empty = dir.path().join("empty.pem");
     std::fs::write(&empty, "").unwrap();
     // The address is in use, so that binding it would fail with another message.
     let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let taken = taken.local_addr().unwrap();
-    let with = |change: &dyn Fn(&mut auth::Files)| {
+    let with = |change: &dyn Fn(&mut auth::CredentialFiles)| {
         let mut files = good.clone();
         change(&mut files);
         files
