--- a/crates/caller/src/process/mod.rs
+++ b/crates/caller/src/process/mod.rs
@@ -16,7 +16,7 @@
 
 use crate::{Result, error::ErrorKind};
 
-/// ALPN_H3 protocol id of HTTP/3.
+/// ALPN protocol id of HTTP/3.
 const ALPN_H3: &[u8] = b"h3";
 
 /// Idle timeout of a connection, in milliseconds.
--- a/crates/client/src/request/host_round.rs
+++ b/crates/client/src/request/host_round.rs
@@ -1,4 +1,4 @@
-//! The order in which the hosts hosts are tried.
+//! The order in which the control hosts are tried.
 
 use std::{
     collections::{BTreeSet, VecDeque},
@@ -6,7 +6,7 @@
     time::Instant,
 };
 
-/// One round over the hosts hosts, in which each is tried at most once.
+/// One round over the control hosts, in which each is tried at most once.
 ///
 /// A host that keeps redirecting to a failed leader therefore cannot prevent the
 /// others from being tried.
