--- a/crates/caller/src/error.rs
+++ b/crates/caller/src/error.rs
@@ -29,7 +29,7 @@
     Quic(#[from] quinn::crypto::rustls::NoInitialCipherSuite),
     #[error("cannot connect: {0}")]
     Connect(#[from] quinn::ConnectError),
-    #[error("QUIC handshake failed: {0}")]
+    #[error("the connection was not established: {0}")]
     Handshake(quinn::ConnectionError),
     #[error("HTTP/3 connection failed: {0}")]
     Connection(#[from] h3::error::ConnectionError),
