--- a/crates/caller/src/error.rs
+++ b/crates/caller/src/error.rs
@@ -25,17 +25,17 @@
     Socket(io::Error),
     #[error("invalid TLS settings: {0}")]
     Tls(#[from] rustls::Error),
-    #[error("TLS settings not usable with QUIC: {0}")]
+    #[error("the TLS settings do not fit QUIC: {0}")]
     Quic(#[from] quinn::crypto::rustls::NoInitialCipherSuite),
     #[error("cannot connect: {0}")]
     Connect(#[from] quinn::ConnectError),
     #[error("the connection was not established: {0}")]
     Handshake(quinn::ConnectionError),
-    #[error("HTTP/3 connection failed: {0}")]
+    #[error("the connection broke: {0}")]
     Connection(#[from] h3::error::ConnectionError),
-    #[error("the server rejected the request; it was not run")]
+    #[error("the request was rejected and not run")]
     Rejected,
-    #[error("the request stream failed: {0}")]
+    #[error("the request broke off: {0}")]
     Stream(#[from] h3::error::StreamError),
 }
 
--- a/crates/client/src/error.rs
+++ b/crates/client/src/error.rs
@@ -44,7 +44,7 @@
     Forbidden(SocketAddr),
     #[error("cannot encode the request to {0}: {1}")]
     Encode(SocketAddr, wire::Error),
-    #[error("no control host is leader with a majority")]
+    #[error("no control host is the leader of a majority")]
     NoLeader,
     #[error("cannot decode the response from {0}: {1}")]
     Decode(SocketAddr, wire::Error),
