--- a/crates/admit/src/version/mod.rs
+++ b/crates/admit/src/version/mod.rs
@@ -1,4 +1,4 @@
-//! What a version of the configuration or of the membership sets.
+//! State that a version of the configuration or of the membership sets.
 
 mod class;
 mod peers;
@@ -6,4 +6,4 @@
 
 pub(crate) use class::Class;
 pub(crate) use peers::Peers;
-pub use report::Report;
+pub use report::LoadReport;
--- a/crates/agent/src/connection/quic.rs
+++ b/crates/agent/src/connection/quic.rs
@@ -1,8 +1,9 @@
-//! The QUIC connection as h3 sees it.
+//! Implementation of h3's QUIC traits on top of quinn.
 //!
-//! h3-quinn has the same task, but hides when a caller stops an answer or has
-//! received all of it. The agent needs both: the first cancels the request at
-//! the upstream, and a connection may be closed only after the second.
+//! h3-quinn implements the same traits, but does not expose when a caller stops
+//! a response or has acknowledged all of it. The agent needs both: the first
+//! cancels the request at the upstream, and a connection may be closed only
+//! after the second.
 
 use std::{
     cell::RefCell,
@@ -28,24 +29,25 @@
     task::{JoinHandle, JoinSet},
 };
 
-type Bidi = (quinn::SendStream, quinn::RecvStream);
+type BidiStreams = (quinn::SendStream, quinn::RecvStream);
 
-/// A QUIC connection that reports how its streams end.
-pub struct Link {
-    opener: Opener,
-    bidi: mpsc::Receiver<Bidi>,
+/// A QUIC connection that tracks the completion of its response streams.
+pub struct H3Connection {
+    opener: StreamOpener,
+    bidi: mpsc::Receiver<BidiStreams>,
     uni: mpsc::Receiver<quinn::RecvStream>,
-    ends: StreamEnds,
+    completions: StreamCompletions,
     /// Tasks that accept streams.
     _tasks: JoinSet<()>,
 }
 
-impl Link {
-    /// Takes over the streams of a connection. Their ends go to `ends`.
+impl H3Connection {
+    /// Accepts the streams of `connection` and registers their completions in
+    /// `completions`.
     #[must_use]
-    pub fn new(connection: &quinn::Connection, ends: StreamEnds) -> Self {
+    pub fn new(connection: &quinn::Connection, completions: StreamCompletions) -> Self {
         let mut tasks = JoinSet::new();
-        // One stream waits in each channel; QUIC's own limits bound the others.
+        // Each channel queues one stream; QUIC's stream limits bound the others.
         let (bidi_tx, bidi) = mpsc::channel(1);
         let (uni_tx, uni) = mpsc::channel(1);
         let accepting = connection.clone();
@@ -64,11 +66,11 @@
                 }
             }
         });
-        Link {
-            opener: Opener::new(connection.clone()),
+        H3Connection {
+            opener: StreamOpener::new(connection.clone()),
             bidi,
             uni,
-            ends,
+            completions,
             _tasks: tasks,
         }
     }
@@ -79,9 +81,9 @@
     }
 }
 
-impl<B: Buf> quic::Connection<B> for Link {
+impl<B: Buf> quic::Connection<B> for H3Connection {
     type RecvStream = RecvStream;
-    type OpenStreams = Opener;
+    type OpenStreams = StreamOpener;
 
     fn poll_accept_recv(
         &mut self,
@@ -97,17 +99,17 @@
     ) -> Poll<Result<BidiStream<B>, ConnectionErrorIncoming>> {
         let (send, recv) = ready!(self.bidi.poll_recv(cx)).ok_or_else(|| self.close_reason())?;
         let send = SendStream::new(send);
-        self.ends.watch(&send);
+        self.completions.track(&send);
         let recv = RecvStream(recv);
         Poll::Ready(Ok(BidiStream { send, recv }))
     }
 
-    fn opener(&self) -> Opener {
-        Opener::new(self.opener.connection.clone())
+    fn opener(&self) -> StreamOpener {
+        StreamOpener::new(self.opener.connection.clone())
     }
 }
 
-impl<B: Buf> quic::OpenStreams<B> for Link {
+impl<B: Buf> quic::OpenStreams<B> for H3Connection {
     type BidiStream = BidiStream<B>;
     type SendStream = SendStream<B>;
 
@@ -130,26 +132,27 @@
     }
 }
 
-/// Opens the streams of the server.
-pub struct Opener {
+/// Opens unidirectional streams to the caller.
+pub struct StreamOpener {
     connection: quinn::Connection,
     opening: Option<JoinHandle<Result<quinn::SendStream, ConnectionError>>>,
 }
 
-impl Opener {
+impl StreamOpener {
     fn new(connection: quinn::Connection) -> Self {
-        Opener {
+        StreamOpener {
             connection,
             opening: None,
         }
     }
 }
 
-impl<B: Buf> quic::OpenStreams<B> for Opener {
+impl<B: Buf> quic::OpenStreams<B> for StreamOpener {
     type BidiStream = BidiStream<B>;
     type SendStream = SendStream<B>;
 
-    /// An HTTP/3 server opens no streams for requests (RFC 9114, section 6.1).
+    /// Always fails: an HTTP/3 server opens no request streams (RFC 9114,
+    /// section 6.1).
     fn poll_open_bidi(
         &mut self,
         _: &mut Context<'_>,
@@ -170,7 +173,7 @@
         self.opening = None;
         Poll::Ready(match opened {
             Ok(Ok(stream)) => Ok(SendStream::new(stream)),
-            Ok(Err(e)) => Err(lost(e)),
+            Ok(Err(e)) => Err(connection_lost(e)),
             Err(e) => Err(unknown(io::Error::other(e))),
         })
     }
@@ -236,11 +239,11 @@
     }
 }
 
-/// The direction towards the caller.
+/// Sending half of a stream, towards the caller.
 pub struct SendStream<B: Buf> {
     stream: quinn::SendStream,
-    writing: Option<WriteBuf<B>>,
-    /// Whether the stream has a clean end.
+    pending_write: Option<WriteBuf<B>>,
+    /// Whether the stream was finished without a reset.
     finished: bool,
 }
 
@@ -248,7 +251,7 @@
     fn new(stream: quinn::SendStream) -> Self {
         SendStream {
             stream,
-            writing: None,
+            pending_write: None,
             finished: false,
         }
     }
@@ -257,23 +260,23 @@
 impl<B: Buf> quic::SendStream<B> for SendStream<B> {
     fn poll_ready(&mut self, cx: &mut Context<'_>) -> Poll<Result<(), StreamErrorIncoming>> {
         while let Some(data) = self
-            .writing
+            .pending_write
             .as_mut()
             .filter(|data| Buf::has_remaining(*data))
         {
             let stream = Pin::new(&mut self.stream);
-            let written = ready!(stream.poll_write(cx, data.chunk())).map_err(not_written)?;
+            let written = ready!(stream.poll_write(cx, data.chunk())).map_err(write_error)?;
             data.advance(written);
         }
-        self.writing = None;
+        self.pending_write = None;
         Poll::Ready(Ok(()))
     }
 
     fn send_data<T: Into<WriteBuf<B>>>(&mut self, data: T) -> Result<(), StreamErrorIncoming> {
-        if self.writing.is_some() {
+        if self.pending_write.is_some() {
             return Err(unknown(io::ErrorKind::ResourceBusy.into()));
         }
-        self.writing = Some(data.into());
+        self.pending_write = Some(data.into());
         Ok(())
     }
 
@@ -285,7 +288,7 @@
     }
 
     fn reset(&mut self, code: u64) {
-        // Fails if the stream has ended already.
+        // Fails if the stream is already closed.
         let _ = self.stream.reset(var_int(code));
     }
 
@@ -294,8 +297,8 @@
     }
 }
 
-/// quinn ends a dropped stream cleanly, which would pass off a part of an
-/// answer as the whole.
+/// Resets an unfinished stream. quinn finishes a dropped stream, which would
+/// make a truncated response look complete.
 impl<B: Buf> Drop for SendStream<B> {
     fn drop(&mut self) {
         if !self.finished {
@@ -304,7 +307,7 @@
     }
 }
 
-/// The direction from the caller.
+/// Receiving half of a stream, from the caller.
 pub struct RecvStream(quinn::RecvStream);
 
 impl quic::RecvStream for RecvStream {
@@ -314,18 +317,18 @@
         &mut self,
         cx: &mut Context<'_>,
     ) -> Poll<Result<Option<Bytes>, StreamErrorIncoming>> {
-        // The future keeps no state between polls.
+        // `read_chunk` keeps no state between polls, so the future can be recreated.
         let chunk = ready!(pin!(self.0.read_chunk(usize::MAX, true)).poll(cx));
         Poll::Ready(match chunk {
             Ok(chunk) => Ok(chunk.map(|chunk| chunk.bytes)),
             Err(ReadError::Reset(code)) => Err(terminated(code)),
-            Err(ReadError::ConnectionLost(e)) => Err(lost(e)),
+            Err(ReadError::ConnectionLost(e)) => Err(connection_lost(e)),
             Err(e) => Err(unknown(io::Error::other(e))),
         })
     }
 
     fn stop_sending(&mut self, code: u64) {
-        // Fails if the stream has ended already.
+        // Fails if the stream is already closed.
         let _ = self.0.stop(var_int(code));
     }
 
@@ -334,59 +337,59 @@
     }
 }
 
-/// A caller that still sends when its answer is complete may stop without an
-/// error (RFC 9114, section 4.1).
+/// Stops the caller without an error if it still sends after the response is
+/// complete (RFC 9114, section 4.1).
 impl Drop for RecvStream {
     fn drop(&mut self) {
         self.stop_sending(Code::H3_NO_ERROR.value());
     }
 }
 
-/// How the answers of a connection end, by stream.
+/// Completions of the responses of a connection, by stream id.
 #[derive(Clone, Default)]
-pub struct StreamEnds {
+pub struct StreamCompletions {
     /// Shared by the connection and its requests, which run on one thread.
-    ends: Rc<RefCell<BTreeMap<u64, StreamEnd>>>,
+    completions: Rc<RefCell<BTreeMap<u64, StreamCompletion>>>,
 }
 
-impl StreamEnds {
-    fn watch<B: Buf>(&self, send: &SendStream<B>) {
+impl StreamCompletions {
+    fn track<B: Buf>(&self, send: &SendStream<B>) {
         let stopped = send.stream.stopped();
-        let end = StreamEnd(actix_rt::spawn(stopped));
-        let mut ends = self.ends.borrow_mut();
-        // Streams that h3 rejected are never taken.
-        ends.retain(|_, end| !end.0.is_finished());
-        ends.insert(send.send_id().into_inner(), end);
+        let completion = StreamCompletion(actix_rt::spawn(stopped));
+        let mut completions = self.completions.borrow_mut();
+        // Completions of streams that h3 rejected are never taken.
+        completions.retain(|_, completion| !completion.0.is_finished());
+        completions.insert(send.send_id().into_inner(), completion);
     }
 
-    /// Takes the end of a stream.
+    /// Removes and returns the completion of a stream.
     #[must_use]
-    pub fn take(&self, id: StreamId) -> Option<StreamEnd> {
-        self.ends.borrow_mut().remove(&id.into_inner())
+    pub fn take(&self, id: StreamId) -> Option<StreamCompletion> {
+        self.completions.borrow_mut().remove(&id.into_inner())
     }
 }
 
-/// Comes about when the caller stops an answer or has received all of it.
-pub struct StreamEnd(JoinHandle<Result<Option<VarInt>, StoppedError>>);
+/// Resolves when the caller stops a response or has acknowledged all of it.
+pub struct StreamCompletion(JoinHandle<Result<Option<VarInt>, StoppedError>>);
 
-impl StreamEnd {
-    /// Waits for the end.
+impl StreamCompletion {
+    /// Waits for the completion.
     pub async fn wait(&mut self) {
-        // How it ended makes no difference to those who wait.
+        // Callers of `wait` do not distinguish the two cases.
         let _ = (&mut self.0).await;
     }
 }
 
-impl Drop for StreamEnd {
+impl Drop for StreamCompletion {
     fn drop(&mut self) {
         self.0.abort();
     }
 }
 
-fn not_written(error: WriteError) -> StreamErrorIncoming {
+fn write_error(error: WriteError) -> StreamErrorIncoming {
     match error {
         WriteError::Stopped(code) => terminated(code),
-        WriteError::ConnectionLost(e) => lost(e),
+        WriteError::ConnectionLost(e) => connection_lost(e),
         e => unknown(io::Error::other(e)),
     }
 }
@@ -405,7 +408,7 @@
     }
 }
 
-fn lost(error: ConnectionError) -> StreamErrorIncoming {
+fn connection_lost(error: ConnectionError) -> StreamErrorIncoming {
     StreamErrorIncoming::ConnectionErrorIncoming {
         connection_error: connection_error(error),
     }
--- a/crates/agent/src/process/balancers.rs
+++ b/crates/agent/src/process/balancers.rs
@@ -1,4 +1,4 @@
-//! Which balancers answers are sent through.
+//! Choice of the balancers that carry responses to callers.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -7,180 +7,190 @@
     time::{Duration, Instant},
 };
 
-/// Time without a datagram after which a balancer is no longer used.
-const SILENCE: Duration = Duration::from_millis(300);
+/// Time without a datagram after which a balancer counts as unreachable.
+const UNREACHABLE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Time without a datagram after which a kept balancer is probed: two probes
-/// fit into [`SILENCE`], so that one may be lost.
-const PROBE_AFTER: Duration = Duration::from_millis(150);
+/// Time without a datagram after which a balancer that is kept reachable is
+/// probed. Two probes fit into [`UNREACHABLE_TIMEOUT`], so one may be lost.
+const KEEPALIVE_PROBE_DELAY: Duration = Duration::from_millis(150);
 
-/// Balancers that are kept heard by probes while answers are sent. The others
-/// are heard by traffic if there is enough of it. A probe and its answer take
-/// 88 bytes, so probes for all of a few balancers would already exceed the 2 KB
-/// a second that a node may spend on control.
-const KEPT: usize = 2;
+/// Number of balancers that are kept reachable by probes while packets are sent
+/// to callers. The others stay reachable only by traffic from them. A probe and
+/// its reply take 88 bytes, so probing even a few balancers at this rate would
+/// exceed the 2 KB/s that a node may spend on control traffic.
+const MIN_REACHABLE_BALANCERS: usize = 2;
 
-/// Time for which answers count as being sent after the last one.
-const ACTIVE: Duration = Duration::from_secs(1);
+/// Time after the last packet to a caller for which keepalive probes are sent.
+const ACTIVE_PERIOD: Duration = Duration::from_secs(1);
 
-/// Time between probes of a balancer that is not kept.
-const IDLE_PROBE: Duration = Duration::from_secs(2);
+/// Time between probes of a balancer that is not kept reachable.
+const IDLE_PROBE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Time for the answer to a probe, after which a balancer counts as lost.
-const PROBE_ANSWER: Duration = Duration::from_millis(200);
+/// Timeout for the reply to a probe, after which a balancer counts as lost.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Deadlines of one balancer.
+/// Timers of one balancer.
 #[derive(Debug, Clone, Copy)]
-struct Deadlines {
-    /// Not used from this instant on, unless it is heard again.
-    silent: Instant,
-    /// Not probed to be kept before this instant.
-    probe: Instant,
-    /// Probed at this instant even if it is not kept.
-    idle_probe: Instant,
-    /// Counts as lost from this instant on; none while no probe waits for its
-    /// answer.
-    lost: Option<Instant>,
+struct BalancerTimers {
+    /// Unreachable from this instant on, unless a datagram arrives before.
+    unreachable_at: Instant,
+    /// Earliest instant of the next keepalive probe.
+    next_probe: Instant,
+    /// Instant of the next probe if it is not kept reachable.
+    next_idle_probe: Instant,
+    /// Counts as lost from this instant on; `None` if no probe is unanswered.
+    lost_at: Option<Instant>,
 }
 
-impl Deadlines {
+impl BalancerTimers {
     fn is_lost(&self, now: Instant) -> bool {
-        self.lost.is_some_and(|at| at <= now)
+        self.lost_at.is_some_and(|at| at <= now)
     }
 
-    fn is_silent(&self, now: Instant) -> bool {
-        self.silent <= now
+    fn is_unreachable(&self, now: Instant) -> bool {
+        self.unreachable_at <= now
     }
 }
 
-/// Which of the known balancers may take an answer.
-pub trait Choice: Default {
-    /// Whether a balancer may be used that is silent from `silent` on,
-    /// unless it is heard again.
-    fn may_use(now: Instant, silent: Instant) -> bool;
+/// Decides which of the known balancers may carry a response to a caller.
+pub trait BalancerPolicy: Default {
+    /// Whether a balancer may be used that becomes unreachable at
+    /// `unreachable_at`, unless another datagram arrives from it.
+    fn is_usable(now: Instant, unreachable_at: Instant) -> bool;
 }
 
-/// Only balancers that were heard lately.
+/// Uses only balancers from which a datagram arrived recently.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Heard;
+pub struct ReachableOnly;
 
-impl Choice for Heard {
-    fn may_use(now: Instant, silent: Instant) -> bool {
-        now < silent
+impl BalancerPolicy for ReachableOnly {
+    fn is_usable(now: Instant, unreachable_at: Instant) -> bool {
+        now < unreachable_at
     }
 }
 
-/// All known balancers; the baseline of benchmarks.
+/// Uses all known balancers; the baseline of benchmarks.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Known;
+pub struct AnyKnown;
 
-impl Choice for Known {
-    fn may_use(_: Instant, _: Instant) -> bool {
+impl BalancerPolicy for AnyKnown {
+    fn is_usable(_: Instant, _: Instant) -> bool {
         true
     }
 }
 
-/// The balancers that the agent knows, and which of them it hears.
+/// The balancers of the version in force, and which of them are reachable.
 #[derive(Debug, Default)]
-pub struct Balancers<C: Choice = Heard> {
-    choice: PhantomData<C>,
-    known: BTreeMap<SocketAddr, Deadlines>,
-    /// Answers count as being sent until this instant.
+pub struct BalancerTracker<P: BalancerPolicy = ReachableOnly> {
+    policy: PhantomData<P>,
+    known: BTreeMap<SocketAddr, BalancerTimers>,
+    /// Keepalive probes are sent until this instant.
     active_until: Option<Instant>,
-    /// Counts the answers that were sent while no balancer was heard, to try
-    /// all in turn.
-    turn: usize,
+    /// Counts packets that were sent while no balancer was reachable, for a
+    /// round-robin over all.
+    fallback_index: usize,
 }
 
-impl<C: Choice> Balancers<C> {
-    /// Replaces the known balancers. A new one is used once it is heard.
-    pub fn set(&mut self, now: Instant, addresses: &BTreeSet<SocketAddr>) {
+impl<P: BalancerPolicy> BalancerTracker<P> {
+    /// Replaces the known balancers. A new one is reachable once a datagram
+    /// arrives from it.
+    pub fn set_known(&mut self, now: Instant, addresses: &BTreeSet<SocketAddr>) {
         self.known.retain(|address, _| addresses.contains(address));
-        let unheard = Deadlines {
-            silent: now,
-            probe: now,
-            idle_probe: now,
-            lost: None,
+        let timers = BalancerTimers {
+            unreachable_at: now,
+            next_probe: now,
+            next_idle_probe: now,
+            lost_at: None,
         };
         for &address in addresses {
-            self.known.entry(address).or_insert(unheard);
+            self.known.entry(address).or_insert(timers);
         }
     }
 
-    /// Notes a datagram of a balancer; one of another sender is ignored.
-    pub fn heard(&mut self, now: Instant, from: SocketAddr) {
-        if let Some(deadlines) = self.known.get_mut(&from) {
-            deadlines.silent = now + SILENCE;
-            deadlines.probe = now + PROBE_AFTER;
-            deadlines.idle_probe = now + IDLE_PROBE;
-            deadlines.lost = None;
+    /// Records a datagram from a balancer; ignores other senders.
+    pub fn note_datagram(&mut self, now: Instant, from: SocketAddr) {
+        if let Some(timers) = self.known.get_mut(&from) {
+            timers.unreachable_at = now + UNREACHABLE_TIMEOUT;
+            timers.next_probe = now + KEEPALIVE_PROBE_DELAY;
+            timers.next_idle_probe = now + IDLE_PROBE_INTERVAL;
+            timers.lost_at = None;
         }
     }
 
-    /// Chooses a balancer for an answer. `random` spreads the choice over the
-    /// balancers that are heard. If there is none, those that are not lost are
-    /// tried in turn, and else all.
+    /// Chooses a balancer for a packet to a caller. `random` spreads the choice
+    /// over the reachable balancers. If there is none, it takes those that are
+    /// not lost in round-robin order, or else all.
     pub fn choose(&mut self, now: Instant, random: usize) -> Option<SocketAddr> {
-        self.active_until = Some(now + ACTIVE);
-        let heard = self.nth(random, |d| C::may_use(now, d.silent));
-        if heard.is_some() {
-            return heard;
+        self.active_until = Some(now + ACTIVE_PERIOD);
+        let reachable = self.nth(random, |d| P::is_usable(now, d.unreachable_at));
+        if reachable.is_some() {
+            return reachable;
         }
-        self.turn += 1;
-        self.nth(self.turn, |d| !d.is_lost(now))
-            .or_else(|| self.nth(self.turn, |_| true))
+        self.fallback_index += 1;
+        self.nth(self.fallback_index, |d| !d.is_lost(now))
+            .or_else(|| self.nth(self.fallback_index, |_| true))
     }
 
-    /// The `n`th of the balancers that `usable` accepts, counted in a circle.
-    fn nth(&self, n: usize, usable: impl Fn(&Deadlines) -> bool) -> Option<SocketAddr> {
+    /// The `n`th of the balancers that `usable` accepts, modulo their number.
+    fn nth(&self, n: usize, usable: impl Fn(&BalancerTimers) -> bool) -> Option<SocketAddr> {
         let usable = || self.known.iter().filter(|(_, d)| usable(d));
         let count = usable().count();
         let (&address, _) = usable().nth(n.checked_rem(count)?)?;
         Some(address)
     }
 
-    /// Takes the balancers that are to be probed now.
+    /// Returns the balancers to probe now and restarts their timers.
     pub fn due_probes(&mut self, now: Instant) -> BTreeSet<SocketAddr> {
-        let idle = self.known.iter().filter(|(_, d)| d.idle_probe <= now);
-        let mut due: BTreeSet<_> = idle.map(|(&address, _)| address).collect();
+        let idle_due = self.known.iter().filter(|(_, d)| d.next_idle_probe <= now);
+        let mut due: BTreeSet<_> = idle_due.map(|(&address, _)| address).collect();
         if self.active_until.is_some_and(|until| now < until) {
-            due.extend(self.to_keep(now));
+            due.extend(self.keepalive_probes(now));
         }
         for address in &due {
-            if let Some(deadlines) = self.known.get_mut(address) {
-                deadlines.probe = now + PROBE_AFTER;
-                deadlines.idle_probe = now + IDLE_PROBE;
-                deadlines.lost.get_or_insert(now + PROBE_ANSWER);
+            if let Some(timers) = self.known.get_mut(address) {
+                timers.next_probe = now + KEEPALIVE_PROBE_DELAY;
+                timers.next_idle_probe = now + IDLE_PROBE_INTERVAL;
+                timers.lost_at.get_or_insert(now + PROBE_TIMEOUT);
             }
         }
         due
     }
 
-    /// Balancers to probe so that enough are kept heard: those that are still
-    /// heard before silent ones, and then those whose probe is longest ago.
-    fn to_keep(&self, now: Instant) -> Vec<SocketAddr> {
-        let kept = self.known.values().filter(|d| now < d.probe).count();
-        let mut others: Vec<_> = self
+    /// Balancers to probe so that [`MIN_REACHABLE_BALANCERS`] stay reachable:
+    /// reachable ones before unreachable ones, then by the time of the last
+    /// datagram or probe, oldest first.
+    fn keepalive_probes(&self, now: Instant) -> Vec<SocketAddr> {
+        let recent_count = self.known.values().filter(|d| now < d.next_probe).count();
+        let mut candidates: Vec<_> = self
             .known
             .iter()
-            .filter(|(_, d)| d.probe <= now)
-            .map(|(&address, d)| (d.is_silent(now), d.probe, address))
+            .filter(|(_, d)| d.next_probe <= now)
+            .map(|(&address, d)| (d.is_unreachable(now), d.next_probe, address))
             .collect();
-        others.sort_unstable();
-        let missing = KEPT.saturating_sub(kept);
-        let missing = others.into_iter().take(missing);
+        candidates.sort_unstable();
+        let missing = MIN_REACHABLE_BALANCERS.saturating_sub(recent_count);
+        let missing = candidates.into_iter().take(missing);
         missing.map(|(_, _, address)| address).collect()
     }
 
     /// When the next probe is due.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Instant> {
-        let idle = self.known.values().map(|d| d.idle_probe).min()?;
-        let mut kept: Vec<_> = self.known.values().map(|d| d.probe).collect();
-        kept.sort_unstable_by(|a, b| b.cmp(a));
-        // From then on fewer than the wanted number were heard or probed lately.
-        let keep = kept.get(KEPT - 1).or(kept.last()).copied();
-        let keep = keep.filter(|at| self.active_until.is_some_and(|until| *at < until));
-        Some(keep.map_or(idle, |keep| idle.min(keep)))
+        let earliest_idle_probe = self.known.values().map(|d| d.next_idle_probe).min()?;
+        let mut probe_times: Vec<_> = self.known.values().map(|d| d.next_probe).collect();
+        probe_times.sort_unstable_by(|a, b| b.cmp(a));
+        // From this instant on, fewer than the minimum have a recent datagram or
+        // probe.
+        let keepalive_probe_at = probe_times
+            .get(MIN_REACHABLE_BALANCERS - 1)
+            .or(probe_times.last())
+            .copied();
+        let keepalive_probe_at =
+            keepalive_probe_at.filter(|at| self.active_until.is_some_and(|until| *at < until));
+        Some(
+            keepalive_probe_at.map_or(earliest_idle_probe, |keepalive_probe_at| {
+                earliest_idle_probe.min(keepalive_probe_at)
+            }),
+        )
     }
 }
--- a/crates/agent/src/process/commands.rs
+++ b/crates/agent/src/process/commands.rs
@@ -1,107 +1,110 @@
-//! Commands to the task that owns the admission.
+//! Commands to the admission task.
 
 use std::collections::BTreeMap;
 
-use admit::{Attempt, Claim, Outcome, PeerAnswer, Reason, Report, RequestInfo, Verdict};
+use admit::{
+    Attempt, ClaimAnswer, LoadReport, PeerAnswer, RefusalReason, RequestInfo, RequestOutcome,
+    RetryDecision,
+};
 use tokio::sync::{mpsc, oneshot};
 use types::{
-    ClassName, Connections, Loads, RequestId, ReservationId, ServiceId, Target, UpstreamId,
+    ClassLoads, ClassName, Connections, RequestId, ReservationId, ServiceId, Target, UpstreamId,
     UpstreamState,
 };
 use wire::{OfferRequest, ReserveReply, ReserveRequest};
 
-use crate::{request::Failed, version::Peer};
+use crate::{request::AttemptError, version::Peer};
 
-/// What a request may do.
+/// Reply of admission to a request.
 #[derive(Debug)]
-pub enum Grant {
-    /// Send it to the upstream; a slot is taken.
+pub enum AdmissionReply {
+    /// Send it to the agent's own upstream; a slot is taken.
     Run,
-    /// Send it to a peer, which holds a slot.
-    Pass {
-        /// The peer's identity.
+    /// Hand it off to a peer, which has reserved a slot.
+    HandOff {
+        /// Id of the peer's upstream.
         upstream: UpstreamId,
         /// The peer.
         peer: Peer,
-        /// The slot that the peer holds.
+        /// Reservation of the slot.
         reservation: ReservationId,
     },
-    /// Refuse it as not run.
-    Refuse(Reason),
+    /// Refuse it; it was not run.
+    Refuse(RefusalReason),
 }
 
-/// What a version tells the task.
+/// Configuration of the admission task, from the version in force.
 #[derive(Debug)]
-pub struct AdmissionView {
-    /// Service whose requests are served; none while it is not configured.
+pub struct AdmissionConfig {
+    /// Service whose requests are served; `None` while it is not configured.
     pub service: Option<ServiceId>,
-    /// Target of each class of work.
+    /// Target of each request class.
     pub targets: BTreeMap<ClassName, Target>,
     /// The other upstreams of the service.
     pub peers: BTreeMap<UpstreamId, Peer>,
-    /// Whether the upstream leaves.
+    /// Whether the upstream is draining.
     pub leaving: bool,
 }
 
-/// What the agent announces.
+/// Status of the upstream, as the agent announces it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Summary {
+pub struct UpstreamStatus {
     /// State of the upstream.
     pub state: UpstreamState,
-    /// Load of each class of work.
-    pub loads: Loads,
-    /// Connections that are open.
+    /// Load of each request class.
+    pub loads: ClassLoads,
+    /// Number of open connections.
     pub connections: Connections,
 }
 
-/// A message to the task.
+/// A command to the admission task.
 #[derive(Debug)]
 pub enum AdmissionCommand {
-    /// A request arrived; the grant is its only answer.
-    Arrive(RequestInfo, oneshot::Sender<Grant>),
-    /// A request that ran here ended.
-    Finish(RequestId, Outcome),
-    /// A request that waited or ran here is gone.
+    /// A request arrived. The reply is sent once admission has decided.
+    Arrive(RequestInfo, oneshot::Sender<AdmissionReply>),
+    /// A request that ran at the agent's own upstream ended.
+    Finish(RequestId, RequestOutcome),
+    /// A request that was queued or running was cancelled.
     Cancel(RequestId),
-    /// An attempt failed; says what to do.
-    Judge(Attempt, oneshot::Sender<Verdict>),
-    /// A peer asks for a slot.
+    /// An attempt failed; the reply tells whether to retry.
+    CheckRetry(Attempt, oneshot::Sender<RetryDecision>),
+    /// A peer requests a reservation.
     Reserve(ReserveRequest, oneshot::Sender<ReserveReply>),
-    /// A peer sends a request against its reservation.
-    Claim(ReservationId, RequestId, oneshot::Sender<Claim>),
+    /// A peer sent a request that uses its reservation.
+    Claim(ReservationId, RequestId, oneshot::Sender<ClaimAnswer>),
     /// A peer no longer needs its reservation.
     Release(ReservationId),
-    /// A peer that had refused a slot offers one.
+    /// A peer offers a slot after it had refused one.
     Offer(OfferRequest),
-    /// Whether one more connection may be accepted; counts it if so.
+    /// Asks to accept one more connection. It is counted if the reply is `true`.
     OpenConnection(oneshot::Sender<bool>),
     /// A connection was closed.
     CloseConnection,
-    /// The upstream reports its load of a class.
-    Report(ClassName, Report),
-    /// A connection to the upstream was opened or could not be.
-    Connected(bool),
+    /// The upstream reported its load for a class.
+    LoadReport(ClassName, LoadReport),
+    /// Whether a connection to the upstream could be opened.
+    ConnectResult(bool),
     /// A new version is in force.
-    View(AdmissionView),
-    /// New loads of peers.
-    PeerLoads(BTreeMap<UpstreamId, Loads>),
-    /// A peer answered a question of this task.
+    Configure(AdmissionConfig),
+    /// The loads of peers changed.
+    PeerLoads(BTreeMap<UpstreamId, ClassLoads>),
+    /// A peer answered a reservation request of this task.
     PeerAnswered(RequestId, UpstreamId, ReservationId, PeerAnswer),
-    /// What to announce.
-    Summarise(oneshot::Sender<Summary>),
+    /// Asks for the status to announce.
+    GetStatus(oneshot::Sender<UpstreamStatus>),
 }
 
-/// Sends commands to the task.
+/// Sends commands to the admission task.
 ///
-/// The channel is unbounded, because giving a slot back must never fail or
-/// wait; each request and connection sends only a fixed number of commands.
+/// The channel is unbounded, because releasing a slot must never fail or block;
+/// each request and connection sends a fixed number of commands.
 #[derive(Debug, Clone)]
 pub struct AdmissionHandle {
     tx: mpsc::UnboundedSender<AdmissionCommand>,
 }
 
 impl AdmissionHandle {
-    /// Creates the handle and the task's end.
+    /// Creates a handle and the receiver of the task.
     #[must_use]
     pub fn channel() -> (Self, mpsc::UnboundedReceiver<AdmissionCommand>) {
         let (tx, rx) = mpsc::unbounded_channel();
@@ -113,19 +116,18 @@
         let _ = self.tx.send(command);
     }
 
-    /// Tells the task what an attempt shows of the upstream.
-    pub fn note_attempt<T>(&self, result: &std::result::Result<T, Failed>) {
+    /// Reports whether an attempt could connect to the upstream.
+    pub fn report_attempt<T>(&self, result: &std::result::Result<T, AttemptError>) {
         let connected = match result {
             Ok(_) => Some(true),
-            Err(failed) => failed.connected(),
+            Err(attempt_error) => attempt_error.upstream_connected(),
         };
         if let Some(ok) = connected {
-            self.send(AdmissionCommand::Connected(ok));
+            self.send(AdmissionCommand::ConnectResult(ok));
         }
     }
 
-    /// Sends a command and waits for its answer; `None` once the task has
-    /// ended.
+    /// Sends a command and waits for its reply; `None` once the task has ended.
     pub async fn ask<T>(
         &self,
         command: impl FnOnce(oneshot::Sender<T>) -> AdmissionCommand,
--- a/crates/agent/src/process/load.rs
+++ b/crates/agent/src/process/load.rs
@@ -1,4 +1,4 @@
-//! The task that reads what the upstream reports of itself.
+//! The task that polls the upstream's load report.
 
 use std::{
     collections::BTreeMap,
@@ -6,29 +6,29 @@
     time::{Duration, Instant},
 };
 
-use admit::Report;
+use admit::LoadReport;
 use serde::Deserialize;
 use tokio::time::{sleep_until, timeout_at};
 use types::{ClassName, Slots};
 
 use super::{AdmissionCommand, AdmissionHandle};
 
-/// Time between two readings. A report is dropped after
-/// [`admit::Settings::report_limit`], so that several may fail in between.
-const INTERVAL: Duration = Duration::from_millis(500);
+/// Time between two fetches. Admission drops a report after
+/// [`admit::Settings::report_lifetime`], so several fetches may fail in between.
+const FETCH_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Largest report in bytes.
-const MAX_REPORT: usize = 64 << 10;
+/// Limit of the size of a report.
+const MAX_REPORT_BYTES: usize = 64 << 10;
 
-/// Load of one class, as the upstream's endpoint reports it in JSON:
+/// Load of one class in the upstream's JSON report:
 /// `{"default": {"slots": 7, "in_flight": 3}}`.
 #[derive(Debug, Clone, Copy, Deserialize)]
-struct Reported {
+struct ReportedLoad {
     slots: Slots,
     in_flight: Slots,
 }
 
-/// Reads the load endpoint of the upstream.
+/// Polls the load report of the upstream.
 pub struct LoadTask {
     url: String,
     admission: AdmissionHandle,
@@ -36,7 +36,7 @@
 }
 
 impl LoadTask {
-    /// Creates the task for the endpoint at `path` of the upstream.
+    /// Creates the task for the load report at `path` of the upstream.
     #[must_use]
     pub fn new(upstream: SocketAddr, path: &str, admission: AdmissionHandle) -> Self {
         LoadTask {
@@ -52,29 +52,32 @@
     /// Runs until it is aborted.
     pub async fn run(self) {
         loop {
-            let next = Instant::now() + INTERVAL;
-            match timeout_at(next.into(), self.read()).await {
-                Ok(Some(report)) => self.pass_on(report),
-                // The admission drops a report that is not renewed.
-                Ok(None) | Err(_) => log::debug!(event = "load_report_failed"; "no load report"),
+            let fetch_at = Instant::now() + FETCH_INTERVAL;
+            match timeout_at(fetch_at.into(), self.fetch_report()).await {
+                Ok(Some(report)) => self.send_report(report),
+                // Admission drops a report that is not renewed in time.
+                Ok(None) | Err(_) => {
+                    log::debug!(event = "load_report_failed"; "could not fetch the upstream's load report");
+                }
             }
-            sleep_until(next.into()).await;
+            sleep_until(fetch_at.into()).await;
         }
     }
 
-    async fn read(&self) -> Option<BTreeMap<ClassName, Reported>> {
+    async fn fetch_report(&self) -> Option<BTreeMap<ClassName, ReportedLoad>> {
         let mut response = self.client.get(&self.url).send().await.ok()?;
         if !response.status().is_success() {
             return None;
         }
-        let body = response.body().limit(MAX_REPORT).await.ok()?;
+        let body = response.body().limit(MAX_REPORT_BYTES).await.ok()?;
         serde_json::from_slice(&body).ok()
     }
 
-    fn pass_on(&self, report: BTreeMap<ClassName, Reported>) {
-        for (class, Reported { slots, in_flight }) in report {
-            let report = Report { slots, in_flight };
-            self.admission.send(AdmissionCommand::Report(class, report));
+    fn send_report(&self, report: BTreeMap<ClassName, ReportedLoad>) {
+        for (class, ReportedLoad { slots, in_flight }) in report {
+            let report = LoadReport { slots, in_flight };
+            self.admission
+                .send(AdmissionCommand::LoadReport(class, report));
         }
     }
 }
--- a/crates/agent/src/process/node.rs
+++ b/crates/agent/src/process/node.rs
@@ -1,76 +1,77 @@
-//! The task that applies versions and announces the upstream.
+//! The node task, which applies versions and announces the upstream.
 
 use std::time::{Duration, Instant};
 
-use client::{NodeReport, Step};
+use client::{NodeAnnouncement, SyncEvent};
 use tokio::{
     sync::{mpsc, watch},
     time::sleep_until,
 };
-use types::{Announcement, Loads, ServiceState, UpstreamId, UpstreamState};
+use types::{ClassLoads, ServiceState, UpstreamAnnouncement, UpstreamId, UpstreamState};
 use wire::{CidCodec, ServiceTag, Update};
 
 use super::{
-    AdmissionCommand, AdmissionHandle, KeysCommand, KeysHandle, Settings,
-    commands::{AdmissionView, Summary},
-    datagram::{DatagramCommand, DatagramView},
+    AdmissionCommand, AdmissionHandle, IdempotencyCommand, IdempotencyHandle, Settings,
+    commands::{AdmissionConfig, UpstreamStatus},
+    datagram::{DatagramCommand, DatagramConfig},
 };
-use crate::{connection::CidSource, version::View};
+use crate::{connection::CidConfig, version::VersionView};
 
-/// Time between two looks at what is announced.
-const ANNOUNCE: Duration = Duration::from_millis(500);
+/// Longest time between updates of the announcement.
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What the node task needs of the others.
+/// Applies versions to the other tasks, and announces the upstream.
 pub struct NodeTask {
     /// Settings of the agent.
     pub cfg: Settings,
-    /// Announcement without state and loads.
-    pub announcement: Announcement,
-    /// Versions and loads of peers.
-    pub steps: mpsc::Receiver<Step>,
-    /// What the sync task sends.
-    pub report: watch::Sender<NodeReport>,
+    /// Announcement; state, loads and connections are filled in each time.
+    pub announcement: UpstreamAnnouncement,
+    /// Versions and peer loads from the sync task.
+    pub steps: mpsc::Receiver<SyncEvent>,
+    /// Report that the sync task sends to the control group.
+    pub report: watch::Sender<NodeAnnouncement>,
     /// The admission task.
     pub admission: AdmissionHandle,
-    /// The task that keeps results under idempotency keys.
-    pub keys: KeysHandle,
+    /// The task that stores responses by idempotency key.
+    pub idempotency: IdempotencyHandle,
     /// The datagram task.
     pub datagrams: mpsc::Sender<DatagramCommand>,
-    /// State of the service, for requests.
+    /// State of the service, read by request handlers.
     pub service: watch::Sender<Option<ServiceState>>,
-    /// Keys, for new connection ids.
-    pub cids: watch::Sender<Option<CidSource>>,
-    /// Whether the agent leaves, for connections.
+    /// Parameters of new connection ids.
+    pub cid_config: watch::Sender<Option<CidConfig>>,
+    /// Whether the agent is draining, read by connection tasks.
     pub leaving: watch::Sender<bool>,
-    /// Changes when the process is to stop.
+    /// Changes when the process is asked to stop.
     pub stop: watch::Receiver<bool>,
-    /// When a control leader first took an announcement of this run as ready;
-    /// none until then and while the upstream is down.
+    /// When a control leader first accepted an announcement of this run as ready,
+    /// which shows as a configured service. `None` until then and while the
+    /// upstream is down.
     pub ready_since: Option<Instant>,
 }
 
 impl NodeTask {
-    /// Runs until the agent ends.
+    /// Runs until the sync task ends.
     pub async fn run(mut self) {
-        let own = self.announcement.id;
-        let mut view = View::default();
+        let own_id = self.announcement.id;
+        let mut view = VersionView::default();
         let mut stopping = false;
         let mut announce_at = Instant::now();
         loop {
             tokio::select! {
                 step = self.steps.recv() => match step {
-                    Some(Step::Update(update, done)) => {
+                    Some(SyncEvent::Update(update, done)) => {
                         view.apply(&update, &self.cfg.service, &self.cfg.host);
-                        self.apply(own, &view, &update, stopping).await;
+                        self.apply(own_id, &view, &update, stopping).await;
                         self.admission.send(AdmissionCommand::PeerLoads(update.loads));
                         let _ = done.send(());
                     }
-                    Some(Step::Loads(loads)) => {
+                    Some(SyncEvent::Loads(loads)) => {
                         self.admission.send(AdmissionCommand::PeerLoads(loads));
                         continue;
                     }
-                    Some(Step::Confirmed(began)) => {
-                        self.keys.send(KeysCommand::Confirmed(began));
+                    Some(SyncEvent::Confirmed(started_at)) => {
+                        self.idempotency.send(IdempotencyCommand::VersionConfirmed(started_at));
                         continue;
                     }
                     None => return,
@@ -78,88 +79,91 @@
                 changed = self.stop.changed(), if !stopping => {
                     stopping = true;
                     if changed.is_ok() {
-                        log::info!(event = "leaving"; "agent leaves");
+                        log::info!(event = "leaving"; "agent is draining before it stops");
                     }
-                    self.set_leaving(own, &view, stopping).await;
+                    self.set_leaving(own_id, &view, stopping).await;
                 }
                 () = sleep_until(announce_at.into()) => {}
             }
-            announce_at = Instant::now() + ANNOUNCE;
+            announce_at = Instant::now() + ANNOUNCE_INTERVAL;
             self.announce(view.service.is_some()).await;
         }
     }
 
-    /// Brings a version into force in every task.
-    async fn apply(&self, own: UpstreamId, view: &View, update: &Update, stopping: bool) {
-        let keys = update.keys.as_ref().map(CidCodec::new);
+    /// Applies a version to all tasks.
+    async fn apply(&self, own_id: UpstreamId, view: &VersionView, update: &Update, stopping: bool) {
+        let cid_codec = update.keys.as_ref().map(CidCodec::new);
         let service = view.service.clone();
-        if let (Some(codec), Some(state)) = (keys.clone(), &service) {
+        if let (Some(codec), Some(state)) = (cid_codec.clone(), &service) {
             let tag = ServiceTag::from(state.service.id);
-            self.cids.send_replace(Some(CidSource { codec, tag }));
+            self.cid_config.send_replace(Some(CidConfig { codec, tag }));
         }
         self.service.send_replace(service.clone());
-        self.keys.send(KeysCommand::View(service.clone()));
-        let datagrams = DatagramView {
+        self.idempotency
+            .send(IdempotencyCommand::Configure(service.clone()));
+        let datagrams = DatagramConfig {
             service,
             balancers: view.balancers.clone(),
-            keys,
+            cid_codec,
         };
-        self.send(DatagramCommand::View(Box::new(datagrams))).await;
-        self.set_leaving(own, view, stopping).await;
+        self.send(DatagramCommand::Configure(Box::new(datagrams)))
+            .await;
+        self.set_leaving(own_id, view, stopping).await;
         log::info!(event = "version_applied", version:% = update.version; "version applied");
     }
 
-    async fn set_leaving(&self, own: UpstreamId, view: &View, stopping: bool) {
-        let leaving = stopping || view.drained;
-        self.send(DatagramCommand::Leaving(leaving)).await;
-        self.admission.send(AdmissionCommand::View(AdmissionView {
-            service: view.service.as_ref().map(|state| state.service.id),
-            targets: view.targets(&self.cfg.classes),
-            peers: view.peers(own),
-            leaving,
-        }));
-        self.leaving.send_if_modified(|known| {
-            let changed = *known != leaving;
-            *known = leaving;
+    async fn set_leaving(&self, own_id: UpstreamId, view: &VersionView, stopping: bool) {
+        let leaving = stopping || view.drain_requested;
+        self.send(DatagramCommand::SetLeaving(leaving)).await;
+        self.admission
+            .send(AdmissionCommand::Configure(AdmissionConfig {
+                service: view.service.as_ref().map(|state| state.service.id),
+                targets: view.targets(&self.cfg.served_classes),
+                peers: view.peers(own_id),
+                leaving,
+            }));
+        self.leaving.send_if_modified(|current| {
+            let changed = *current != leaving;
+            *current = leaving;
             changed
         });
     }
 
     async fn send(&self, command: DatagramCommand) {
-        // The datagram task ends only with the agent.
+        // The datagram task ends only when the agent stops.
         let _ = self.datagrams.send(command).await;
     }
 
-    /// Tells the sync task what to announce, if it differs from the last time.
+    /// Updates the announcement that the sync task sends.
     async fn announce(&mut self, configured: bool) {
-        let Some(summary) = self.admission.ask(AdmissionCommand::Summarise).await else {
+        let Some(status) = self.admission.ask(AdmissionCommand::GetStatus).await else {
             return;
         };
-        if summary.state == UpstreamState::Down {
+        if status.state == UpstreamState::Down {
             self.ready_since = None;
         } else if configured {
             self.ready_since.get_or_insert_with(Instant::now);
         }
-        let upstream = Some(self.announcement_of(summary));
+        let upstream = Some(self.announcement_with(status));
         self.report.send_if_modified(|report| {
-            let urgent = state_of(report) != upstream.as_ref().map(|u| u.state);
+            let state_changed = reported_state(report) != upstream.as_ref().map(|u| u.state);
             report.upstream = upstream;
-            // Loads go with the next regular sync; only a new state is worth
-            // an extra one.
-            urgent
+            // Only a change of state triggers an extra sync; new loads wait for
+            // the next regular one.
+            state_changed
         });
     }
 
-    fn announcement_of(&self, summary: Summary) -> Announcement {
-        let served = &self.cfg.classes;
-        let loads: Loads = summary
+    fn announcement_with(&self, status: UpstreamStatus) -> UpstreamAnnouncement {
+        let served_classes = &self.cfg.served_classes;
+        let loads: ClassLoads = status
             .loads
             .into_iter()
-            .filter(|(class, _)| served.is_empty() || served.contains(class))
+            .filter(|(class, _)| served_classes.is_empty() || served_classes.contains(class))
             .collect();
-        Announcement {
-            state: summary.state,
-            connections: summary.connections,
+        UpstreamAnnouncement {
+            state: status.state,
+            connections: status.connections,
             loads,
             ready_for: self.ready_since.map_or(Duration::ZERO, |at| at.elapsed()),
             ..self.announcement.clone()
@@ -167,6 +171,6 @@
     }
 }
 
-fn state_of(report: &NodeReport) -> Option<UpstreamState> {
+fn reported_state(report: &NodeAnnouncement) -> Option<UpstreamState> {
     report.upstream.as_ref().map(|upstream| upstream.state)
 }
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -1,30 +1,30 @@
-//! Services, updates and packets for the tests.
+//! Services, updates and packets for the tests of this crate.
 
-// Each test file uses a part of this module.
+// Each test binary uses only some of these helpers.
 #![allow(dead_code)]
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
 use types::{
-    CidKey, KeyGeneration, KeySet, Member, Revision, Service, ServiceId, ServiceState, Share,
-    UpstreamId, UpstreamState, Version,
+    CidKey, KeyGeneration, KeySet, Revision, Service, ServiceId, ServiceState, Share, UpstreamId,
+    UpstreamMember, UpstreamState, Version,
 };
 use wire::{CidCodec, ConnectionId, ServiceTag, Update};
 
 /// QUIC version 1.
 const VERSION_1: [u8; 4] = [0, 0, 0, 1];
 
-/// A service whose members are given as id, data address and share.
+/// A service with members given as upstream id, data address and share.
 pub fn state(id: u32, address: SocketAddr, members: &[(u64, SocketAddr, u32)]) -> ServiceState {
     let member = |&(upstream, data, share): &(u64, SocketAddr, u32)| {
-        let member = Member {
+        let member = UpstreamMember {
             host: "h1".parse().unwrap(),
             data_centre: "dc1".parse().unwrap(),
-            data,
-            peer: data,
+            data_address: data,
+            peer_address: data,
             state: UpstreamState::Ready,
             share: Share(share),
-            former_share: Share(share),
+            previous_share: Share(share),
         };
         (UpstreamId(upstream), member)
     };
@@ -42,7 +42,7 @@
     }
 }
 
-/// Key number `n`; its generation is two bits of it.
+/// Key number `n`, of generation `n` modulo the number of generations.
 pub fn key(n: u8) -> CidKey {
     CidKey {
         generation: KeyGeneration(n % KeyGeneration::COUNT),
@@ -60,17 +60,17 @@
 pub fn snapshot(keys: Option<KeySet>, services: Vec<ServiceState>) -> Update {
     Update {
         version: Version::default(),
-        snapshot: true,
+        is_snapshot: true,
         keys,
         services,
-        removed: Vec::new(),
+        removed_services: Vec::new(),
         balancers: BTreeMap::new(),
-        drains: std::collections::BTreeSet::new(),
+        draining_hosts: std::collections::BTreeSet::new(),
         loads: BTreeMap::new(),
     }
 }
 
-/// The connection id that key number `n` makes.
+/// A connection id encoded with key number `n`.
 pub fn cid(n: u8, upstream: u64, service: u32) -> Vec<u8> {
     let id = ConnectionId {
         upstream: UpstreamId(upstream),
--- a/crates/caller/src/error.rs
+++ b/crates/caller/src/error.rs
@@ -1,16 +1,16 @@
-//! The error of this crate.
+//! Errors of connections and requests.
 
 use std::io;
 
 /// A [`std::result::Result`] with this crate's [`Error`].
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// A request brought no whole answer.
+/// A connection failed, or a request got no complete response.
 #[derive(Debug, thiserror::Error)]
 #[error("{0}")]
 pub struct Error(Box<ErrorKind>);
 
-/// What a failure means for the request.
+/// Whether the request that failed may have been run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Category {
     /// The request was certainly not run.
@@ -40,7 +40,7 @@
 }
 
 impl Error {
-    /// What the failure means for the request.
+    /// Whether the request may have been run.
     #[must_use]
     pub fn category(&self) -> Category {
         match *self.0 {
--- a/crates/caller/src/lib.rs
+++ b/crates/caller/src/lib.rs
@@ -1,8 +1,8 @@
-//! An HTTP/3 client for looking at a service.
+//! An HTTP/3 client for testing and inspecting a service.
 //!
-//! `limpetctl call` and the tests use it. [`Caller`] holds one connection,
-//! [`Caller::send`] starts a request on it, and [`Answer`] reads the answer as
-//! it comes.
+//! It is used by `limpetctl call` and by tests. [`Caller`] holds one connection,
+//! [`Caller::send`] starts a request on it, and [`Response`] reads the
+//! response as it arrives.
 
 pub mod connection;
 pub mod error;
@@ -11,5 +11,5 @@
 
 pub use connection::Caller;
 pub use error::{Category, Error, Result};
-pub use process::{Endpoint, Trust};
-pub use request::{Answer, Outcome, Pending};
+pub use process::{Endpoint, ServerTrust};
+pub use request::{PendingRequest, RequestOutcome, Response};
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -2,11 +2,12 @@
 //!
 //! Balancers and agents run a [`SyncTask`], which keeps a node on the newest
 //! version that a majority of the control group has confirmed and renews the
-//! node's lease. Operators' tools use [`Operator`], which finds the leader and
-//! keeps apart what was certainly not done and what may have been done.
+//! node's lease. Operators' tools use [`OperatorClient`], which finds the leader and
+//! distinguishes requests that certainly had no effect from those that may have
+//! had one.
 //!
-//! All of it goes through [`Http`], one request and one reply, both
-//! `MessagePack`.
+//! Both send their requests through [`HttpClient`]. Requests and replies are
+//! encoded as `MessagePack`.
 
 pub mod error;
 pub mod process;
@@ -14,6 +15,6 @@
 pub mod version;
 
 pub use error::{Category, Error, Result};
-pub use process::{Http, Traffic};
-pub use request::{GroupOutcome, Operator, Redirect};
-pub use version::{NodeReport, Step, SyncSettings, SyncTask};
+pub use process::{HttpClient, HttpTraffic};
+pub use request::{GroupChangeOutcome, OperatorClient, Redirect};
+pub use version::{NodeAnnouncement, SyncEvent, SyncSettings, SyncTask};
--- a/crates/client/src/request/redirect.rs
+++ b/crates/client/src/request/redirect.rs
@@ -1,20 +1,21 @@
-//! Replies that may point to the leader.
+//! Replies that may redirect to the leader.
 
 use std::net::SocketAddr;
 
 use wire::request::{GroupReply, QueryReply};
 
-/// A reply that may point to the leader.
+/// A reply that may redirect to the leader.
 pub trait Redirect {
-    /// Whether the host declined to answer, so that another should be asked.
-    fn declined(&self) -> bool;
+    /// Whether the host declined to answer, so that the request should go to
+    /// another one.
+    fn is_declined(&self) -> bool;
 
-    /// The leader that the host named.
+    /// The leader according to the host, if it named one.
     fn leader(&self) -> Option<SocketAddr>;
 }
 
 impl Redirect for QueryReply {
-    fn declined(&self) -> bool {
+    fn is_declined(&self) -> bool {
         matches!(self, QueryReply::NotLeader { .. } | QueryReply::Unsettled)
     }
 
@@ -27,7 +28,7 @@
 }
 
 impl Redirect for GroupReply {
-    fn declined(&self) -> bool {
+    fn is_declined(&self) -> bool {
         matches!(self, GroupReply::NotLeader { .. })
     }
 
--- a/crates/client/tests/exchange.rs
+++ b/crates/client/tests/exchange.rs
@@ -1,4 +1,4 @@
-//! Exchanges with a control host that fails or goes back.
+//! Tests of requests to a control host that fails or sends older versions.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -8,20 +8,21 @@
     time::{Duration, Instant},
 };
 
-use client::{Category, Http, NodeReport, Step, SyncSettings, SyncTask};
+use client::{Category, HttpClient, NodeAnnouncement, SyncEvent, SyncSettings, SyncTask};
 use tokio::sync::{mpsc, watch};
 use types::{Revision, Role, Term, Version};
 use wire::{SyncReply, Update};
 
-/// What a stand-in does with one request.
+/// How the fake host handles one request.
 enum Answer {
     /// Closes the connection.
     Close,
-    /// Answers with this status and body.
+    /// Responds with this status and body.
     Reply(&'static str, Vec<u8>),
 }
 
-/// A host that takes one request on each connection and then ends.
+/// Starts a fake host that handles one request per connection and exits after the
+/// last of `answers`.
 fn host(answers: Vec<Answer>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -43,26 +44,27 @@
     address
 }
 
-/// Guards against a request that is called not sent although the host may have
-/// carried it out.
+/// Guards against a request that is reported as not sent although the host may have
+/// executed it.
 #[actix_rt::test]
-async fn failures_tell_whether_the_host_may_have_the_request() {
+async fn the_error_category_says_whether_the_request_may_have_been_sent() {
     let ok = wire::encode(&7u32).unwrap();
     let cases = [
         (host(Vec::new()), Category::NotSent),
-        (host(vec![Answer::Close]), Category::Lost),
+        (host(vec![Answer::Close]), Category::MaybeSent),
         (
             host(vec![Answer::Reply("503 Unavailable", Vec::new())]),
-            Category::Invalid,
+            Category::InvalidReply,
         ),
         (
             host(vec![Answer::Reply("200 OK", b"text".to_vec())]),
-            Category::Invalid,
+            Category::InvalidReply,
         ),
     ];
-    // The thread of the first host has to end, so that its port is closed.
+    // Wait until the thread of the first host has exited, so that its port is
+    // closed.
     actix_rt::time::sleep(Duration::from_millis(100)).await;
-    let http = Http::default();
+    let http = HttpClient::default();
     let deadline = Instant::now() + Duration::from_secs(5);
     for (n, (host, category)) in cases.into_iter().enumerate() {
         let reply: client::Result<u32> = http.post(host, "/", &1u32, deadline).await;
@@ -84,21 +86,22 @@
 fn update(version: Version) -> Answer {
     let update = Update {
         version,
-        snapshot: false,
+        is_snapshot: false,
         keys: None,
         services: Vec::new(),
-        removed: Vec::new(),
+        removed_services: Vec::new(),
         balancers: BTreeMap::new(),
-        drains: BTreeSet::new(),
+        draining_hosts: BTreeSet::new(),
         loads: BTreeMap::new(),
     };
     let reply = SyncReply::Update(Box::new(update));
     Answer::Reply("200 OK", wire::encode(&reply).unwrap())
 }
 
-/// Guards against a node that goes back in either order of its version.
+/// Guards against a node that applies an update whose revision or membership is
+/// older than its own.
 #[actix_rt::test]
-async fn a_node_never_goes_back() {
+async fn a_node_discards_older_versions() {
     let first = version(5, 2, 3);
     let last = version(6, 3, 1);
     let control = host(vec![
@@ -110,7 +113,7 @@
         update(last),
     ]);
     let cfg = SyncSettings {
-        max_pause: Duration::from_millis(20),
+        max_retry_delay: Duration::from_millis(20),
         ..SyncSettings::new(
             "lb-1".parse().unwrap(),
             Role::Balancer,
@@ -118,13 +121,13 @@
             vec![control],
         )
     };
-    let (_report, reports) = watch::channel(NodeReport::default());
+    let (_report, reports) = watch::channel(NodeAnnouncement::default());
     let (tx, mut rx) = mpsc::channel(1);
-    let task = actix_rt::spawn(SyncTask::new(cfg, Http::default(), reports, tx).run());
+    let task = actix_rt::spawn(SyncTask::new(cfg, HttpClient::default(), reports, tx).run());
     let mut applied = Vec::new();
     while applied.last() != Some(&last) {
         let step = tokio::time::timeout(Duration::from_secs(5), rx.recv());
-        if let Some(Step::Update(update, done)) = step.await.expect("a step in time") {
+        if let Some(SyncEvent::Update(update, done)) = step.await.expect("a step in time") {
             applied.push(update.version);
             let _ = done.send(());
         }
--- a/crates/config/src/request/audit.rs
+++ b/crates/config/src/request/audit.rs
@@ -1,38 +1,38 @@
-//! The audit trail.
+//! Records of the audit trail.
 
 use std::{fmt, net::SocketAddr};
 
 use serde::{Deserialize, Serialize};
 use types::{
     Answer, Change, ChangeId, ChangeRequest, ClassName, GroupRequest, HostName, KeyGeneration,
-    OperatorName, Revision, ServiceName, SetNumber, Target, UnixMillis,
+    OperatorName, Revision, RoutingSetNumber, ServiceName, Target, UnixMillis,
 };
 
-/// Number of audit records that are kept.
-pub const AUDIT_KEPT: usize = 10_000;
+/// Number of audit records that are retained.
+pub const MAX_AUDIT_RECORDS: usize = 10_000;
 
-/// One line of the audit trail.
+/// One record of the audit trail.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Record {
+pub struct AuditRecord {
     /// Index of the log entry that carried the change.
     pub index: Revision,
-    /// Time of the log when the change was run.
+    /// Log time at which the change was applied.
     pub at: UnixMillis,
-    /// Who asked.
+    /// Operator who requested the change.
     pub author: OperatorName,
-    /// Identity of the change.
+    /// Change id, which is the idempotency key of the change.
     pub id: ChangeId,
-    /// Revision that the operator saw.
+    /// Revision of the object on which the operator based the change.
     pub base: Revision,
-    /// What was asked.
-    pub change: Summary,
-    /// What the operator was answered.
+    /// The requested change.
+    pub change: ChangeSummary,
+    /// Answer to the operator.
     pub answer: Answer,
-    /// Whether the answer is that of an earlier record with the same id.
+    /// Whether this is a retry, answered as the earlier record with the same id.
     pub resend: bool,
 }
 
-impl Record {
+impl AuditRecord {
     pub(crate) fn new(
         index: Revision,
         at: UnixMillis,
@@ -40,89 +40,88 @@
         answer: Answer,
         resend: bool,
     ) -> Self {
-        Record {
+        AuditRecord {
             index,
             at,
             author: req.author.clone(),
             id: req.id,
             base: req.base,
-            change: Summary::from(&req.change),
+            change: ChangeSummary::from(&req.change),
             answer,
             resend,
         }
     }
 }
 
-/// A change without the secrets that it carries.
+/// Description of a change without key secrets.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Summary {
-    /// A service was to be created.
+pub enum ChangeSummary {
+    /// Create a service at an address.
     CreateService(ServiceName, SocketAddr),
-    /// A service was to be deleted.
+    /// Delete a service.
     DeleteService(ServiceName),
-    /// A target was to be set.
+    /// Set the target of a class.
     SetTarget(ServiceName, ClassName, Target),
-    /// A target was to be removed.
+    /// Delete the target of a class.
     DeleteTarget(ServiceName, ClassName),
-    /// An upstream's host was to be marked as leaving (or not any more).
+    /// Set (true) or clear (false) the drain mark of a host.
     SetDrain(HostName, bool),
-    /// A key of this generation was to be added.
+    /// Add a key of this generation.
     AddKey(KeyGeneration),
-    /// The other key was to become the current one.
+    /// Make the pending key the current one.
     ActivateKey,
-    /// The routing set was to be replaced by one with this number and this
-    /// many rules.
-    ReplaceRoutes(SetNumber, u64),
-    /// The control group was to be changed.
+    /// Replace the routing set; number and rule count of the new set.
+    ReplaceRoutes(RoutingSetNumber, u64),
+    /// Change the membership of the control group.
     Group(GroupRequest),
 }
 
-impl fmt::Display for Summary {
+impl fmt::Display for ChangeSummary {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Summary::CreateService(name, address) => {
+            ChangeSummary::CreateService(name, address) => {
                 write!(f, "create service {name} at {address}")
             }
-            Summary::DeleteService(name) => write!(f, "delete service {name}"),
-            Summary::SetTarget(service, class, target) => write!(
+            ChangeSummary::DeleteService(name) => write!(f, "delete service {name}"),
+            ChangeSummary::SetTarget(service, class, target) => write!(
                 f,
                 "set target of {service} {class}: carry {}, connections {}, leave within {:?}, \
                  path prefix {}",
                 target.carry, target.connections, target.leave_within, target.path_prefix
             ),
-            Summary::DeleteTarget(service, class) => {
+            ChangeSummary::DeleteTarget(service, class) => {
                 write!(f, "delete target of {service} {class}")
             }
-            Summary::SetDrain(host, true) => write!(f, "drain upstream of {host}"),
-            Summary::SetDrain(host, false) => write!(f, "stop draining upstream of {host}"),
-            Summary::AddKey(generation) => write!(f, "add key of generation {generation}"),
-            Summary::ActivateKey => f.write_str("activate the other key"),
-            Summary::ReplaceRoutes(number, rules) => {
+            ChangeSummary::SetDrain(host, true) => write!(f, "drain upstream of {host}"),
+            ChangeSummary::SetDrain(host, false) => write!(f, "stop draining upstream of {host}"),
+            ChangeSummary::AddKey(generation) => write!(f, "add key of generation {generation}"),
+            ChangeSummary::ActivateKey => f.write_str("activate the other key"),
+            ChangeSummary::ReplaceRoutes(number, rules) => {
                 write!(f, "replace the routes by set {number} of {rules} rules")
             }
-            Summary::Group(change) => write!(f, "change the control group: {change}"),
+            ChangeSummary::Group(change) => write!(f, "change the control group: {change}"),
         }
     }
 }
 
-impl From<&Change> for Summary {
+impl From<&Change> for ChangeSummary {
     fn from(change: &Change) -> Self {
         match change.clone() {
-            Change::CreateService { name, address } => Summary::CreateService(name, address),
-            Change::DeleteService { name } => Summary::DeleteService(name),
+            Change::CreateService { name, address } => ChangeSummary::CreateService(name, address),
+            Change::DeleteService { name } => ChangeSummary::DeleteService(name),
             Change::SetTarget {
                 service,
                 class,
                 target,
-            } => Summary::SetTarget(service, class, target),
-            Change::DeleteTarget { service, class } => Summary::DeleteTarget(service, class),
-            Change::SetDrain { host, drain } => Summary::SetDrain(host, drain),
-            Change::AddKey { key } => Summary::AddKey(key.generation),
-            Change::ActivateKey => Summary::ActivateKey,
+            } => ChangeSummary::SetTarget(service, class, target),
+            Change::DeleteTarget { service, class } => ChangeSummary::DeleteTarget(service, class),
+            Change::SetDrain { host, drain } => ChangeSummary::SetDrain(host, drain),
+            Change::AddKey { key } => ChangeSummary::AddKey(key.generation),
+            Change::ActivateKey => ChangeSummary::ActivateKey,
             Change::ReplaceRoutes(set) => {
-                Summary::ReplaceRoutes(set.number, set.rules.len() as u64)
+                ChangeSummary::ReplaceRoutes(set.number, set.rules.len() as u64)
             }
-            Change::NoteGroup { change, .. } => Summary::Group(change),
+            Change::NoteGroup { change, .. } => ChangeSummary::Group(change),
         }
     }
 }
--- a/crates/consensus/src/process/settings.rs
+++ b/crates/consensus/src/process/settings.rs
@@ -4,42 +4,42 @@
 use std::time::Duration;
 use types::MemberId;
 
-/// Who this member is.
+/// Id and address of this member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Identity {
-    /// The id that was made with the data folder.
+pub struct MemberIdentity {
+    /// The id that was generated with the data folder.
     pub id: MemberId,
-    /// Where other members reach this one; goes along in each message, so that
-    /// a member that knows no group can answer.
+    /// Address at which other members reach this one. It is sent in each message,
+    /// so that a member without a group can reply.
     pub address: SocketAddr,
 }
 
-/// Times and sizes of the protocol.
+/// Timeouts and limits of the protocol.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Settings {
-    /// Time between two rounds of heartbeats.
-    pub heartbeat: Duration,
+    /// Time between two heartbeat rounds.
+    pub heartbeat_interval: Duration,
     /// Shortest time without a leader before an election; at least twice
-    /// `heartbeat`, or one lost message costs an election.
-    pub election_min: Duration,
-    /// Longest time without a leader before an election; above `election_min`.
-    /// A leader that hears no majority for this long steps down.
-    pub election_max: Duration,
-    /// Bytes of entries after which a message is full; a single larger entry
-    /// is still sent.
-    pub batch_bytes: usize,
-    /// Entries sent to a member ahead of its acknowledgement.
-    pub window: u64,
+    /// `heartbeat_interval`, or one lost message starts an election.
+    pub election_timeout_min: Duration,
+    /// Longest time without a leader before an election; above `election_timeout_min`.
+    /// A leader that gets no replies from a quorum for this long steps down.
+    pub election_timeout_max: Duration,
+    /// Maximum size of the entries in one message, in bytes; a single larger
+    /// entry is still sent.
+    pub max_append_bytes: usize,
+    /// Maximum number of unacknowledged entries sent to a member.
+    pub max_inflight_entries: u64,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Settings {
-            heartbeat: Duration::from_millis(100),
-            election_min: Duration::from_millis(400),
-            election_max: Duration::from_millis(800),
-            batch_bytes: 64 * 1024,
-            window: 1024,
+            heartbeat_interval: Duration::from_millis(100),
+            election_timeout_min: Duration::from_millis(400),
+            election_timeout_max: Duration::from_millis(800),
+            max_append_bytes: 64 * 1024,
+            max_inflight_entries: 1024,
         }
     }
 }
--- a/crates/consensus/src/request/event.rs
+++ b/crates/consensus/src/request/completion.rs
@@ -1,65 +1,66 @@
-//! Answers to proposals, group changes and reads.
+//! Results of proposals, group changes and reads.
 
 use std::fmt;
 use std::net::SocketAddr;
 use types::{MemberId, Revision};
 
-/// Names a proposal, group change or read towards the caller, who chooses it.
+/// Identifies a proposal, group change or read; chosen by the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Token(pub u64);
+pub struct RequestToken(pub u64);
 
-impl fmt::Display for Token {
+impl fmt::Display for RequestToken {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.fmt(f)
     }
 }
 
-/// The answer to a proposal, a group change or a read. Each token gets exactly
-/// one, unless the process ends first.
+/// The result of a proposal, group change or read. Exactly one is emitted per
+/// token, unless the process ends first.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Event {
-    /// The entry is committed at `index`; it is in [`committed`] of this output
+pub enum Completion {
+    /// The entry is committed at `index`; it is in [`committed_entries`] of this output
     /// or of an earlier one.
     ///
-    /// [`committed`]: crate::Output::committed
+    /// [`committed_entries`]: crate::Output::committed_entries
     Accepted {
         /// The proposal or group change.
-        token: Token,
-        /// Where the log holds it.
+        token: RequestToken,
+        /// Log index of its entry.
         index: Revision,
     },
-    /// Not accepted and never will be.
+    /// Not accepted; it will never take effect.
     Rejected {
         /// The proposal, group change or read.
-        token: Token,
-        /// Why.
+        token: RequestToken,
+        /// Reason for the rejection.
         reason: Rejection,
     },
     /// Leadership ended before the commit: the outcome is unknown.
-    Lost {
+    OutcomeUnknown {
         /// The proposal or group change.
-        token: Token,
+        token: RequestToken,
     },
-    /// This member was the leader after the read was asked for. The state after
-    /// `index` is fresh, and all entries up to it have been handed out.
+    /// A quorum confirmed this leader after the read was requested: reading the
+    /// state at `index` is linearizable. All entries up to `index` have been
+    /// returned as committed.
     ReadConfirmed {
         /// The read.
-        token: Token,
+        token: RequestToken,
         /// The commit index.
         index: Revision,
     },
 }
 
-/// Why something was not accepted.
+/// Reason why a proposal, group change or read was rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Rejection {
-    /// Another member leads, or none does.
+    /// Another member is the leader, or there is none.
     #[error("this member is not the leader")]
     NotLeader {
         /// The leader and its address, if known.
         leader: Option<(MemberId, SocketAddr)>,
     },
-    /// The disk refuses writes.
+    /// The last write to the leader's disk failed.
     #[error("the disk of the leader is full, read-only or failing")]
     DiskFailed,
     /// The leader has not yet committed an entry of its own term.
@@ -68,7 +69,8 @@
     /// Another group change is not committed yet.
     #[error("another group change is in progress")]
     ChangePending,
-    /// The learner lacks committed entries or was not heard lately.
+    /// The learner lacks committed entries or has not replied
+    /// within an election timeout.
     #[error("the learner has not caught up")]
     NotCaughtUp,
     /// The member to be added is already in the group.
--- a/crates/consensus/src/version/mod.rs
+++ b/crates/consensus/src/version/mod.rs
@@ -1,11 +1,11 @@
-//! What changes with a version of the log: entries, groups and snapshots.
+//! The log and its versioned contents: entries, groups and snapshots.
 
 mod entry;
 mod group;
 mod log;
 mod snapshot;
 
-pub use entry::{Entry, Payload, Position};
+pub use entry::{EntryPayload, LogEntry, LogPosition};
 pub use group::Group;
-pub(crate) use log::{Log, next};
+pub(crate) use log::{Log, index_after};
 pub use snapshot::Snapshot;
--- a/crates/dedup/src/request/mod.rs
+++ b/crates/dedup/src/request/mod.rs
@@ -1,7 +1,7 @@
-//! Keys, and what is kept under them.
+//! Idempotency keys, and the outcomes stored under them.
 
 mod key;
 mod result;
 
-pub use key::{Asker, Fingerprint, InvalidKey, Key};
-pub use result::{Begin, End, Kept};
+pub use key::{AttemptId, Fingerprint, IdempotencyKey, InvalidKey};
+pub use result::{BeginReply, KeyedOutcome, StoredAnswer};
--- a/crates/directory/src/lib.rs
+++ b/crates/directory/src/lib.rs
@@ -1,10 +1,11 @@
-//! The processes of a deployment, as they are found without a list.
+//! Directory of the processes of a deployment.
 //!
-//! Every process says hello to a control host, which notes it in its
-//! [`Directory`]. Control hosts tell one another what they have heard
-//! ([`Directory::heard`]), and tell each process what changed since its last
-//! hello ([`Directory::news`]); the process keeps a [`View`]. All of it is soft
-//! state: it needs no agreement, and is complete again a hello after a restart.
+//! Every process sends a hello to a control host, which records it in its
+//! [`Directory`]. Control hosts relay the hellos that they receive to one
+//! another ([`Directory::heard_since`]). The reply to a hello carries the changes
+//! since the version that the process has ([`Directory::deltas_since`]); the
+//! process applies them to its [`View`]. All of this is soft state: it needs no
+//! consensus, and is complete again one hello interval after a restart.
 //!
 //! ```
 //! use directory::{Directory, Node, View};
@@ -12,10 +13,10 @@
 //!
 //! let now = Instant::now();
 //! let mut directory = Directory::new(1);
-//! directory.note(Node::example("10.0.0.1:7000"), now);
+//! directory.record_hello(Node::example("10.0.0.1:7000"), now);
 //! let mut view = View::default();
-//! for news in directory.news(view.mark()) {
-//!     view.apply(news, now);
+//! for delta in directory.deltas_since(view.version()) {
+//!     view.apply(delta, now);
 //! }
 //! assert_eq!(view.nodes().count(), 1);
 //! ```
@@ -23,5 +24,7 @@
 pub mod process;
 pub mod version;
 
-pub use process::{Changes, Coverage, Directory, LEASE, Node, Part, View};
-pub use version::{Hello, Mark, News, ROUTES_PATH, Reply, Spoken};
+pub use process::{Coverage, Directory, NODE_LEASE, Node, NodeRole, View, ViewChanges};
+pub use version::{
+    ControlMessage, DirectoryDelta, DirectoryVersion, Hello, HelloReply, ROUTES_PATH,
+};
--- a/crates/flow/src/connection/key.rs
+++ b/crates/flow/src/connection/key.rs
@@ -1,23 +1,23 @@
-//! Identity of a flow.
+//! Address pair that identifies a flow.
 
 use std::{fmt, net::SocketAddrV4};
 
 use serde::{Deserialize, Serialize};
 use twox_hash::XxHash64;
 
-/// The two ends of a flow as the caller sees them.
+/// The addresses of both ends of a flow, as the caller sees them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Key {
-    /// The caller's address.
+pub struct FlowTuple {
+    /// Address of the caller.
     pub caller: SocketAddrV4,
-    /// The address that the caller sends to.
+    /// The service address that the caller sends to.
     pub service: SocketAddrV4,
 }
 
-impl Key {
-    /// A hash that is equal on every host.
+impl FlowTuple {
+    /// A hash that is the same on every host and in every process.
     #[must_use]
-    pub fn hash(&self) -> u64 {
+    pub fn stable_hash(&self) -> u64 {
         let mut bytes = [0; 12];
         bytes[..4].copy_from_slice(&self.caller.ip().octets());
         bytes[4..6].copy_from_slice(&self.caller.port().to_be_bytes());
@@ -27,7 +27,7 @@
     }
 }
 
-impl fmt::Display for Key {
+impl fmt::Display for FlowTuple {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}-{}", self.caller, self.service)
     }
--- a/crates/flow/src/connection/mod.rs
+++ b/crates/flow/src/connection/mod.rs
@@ -1,9 +1,9 @@
-//! What lasts for a flow.
+//! Types that live as long as a flow.
 
 mod flow;
 mod key;
 mod segment;
 
 pub(crate) use flow::{Flow, Stage};
-pub use key::Key;
+pub use key::FlowTuple;
 pub use segment::Segment;
--- a/crates/flow/src/process/steering/outcome.rs
+++ b/crates/flow/src/process/steering/outcome.rs
@@ -1,4 +1,4 @@
-//! What a balancer decides.
+//! Decisions of a balancer.
 
 use std::net::SocketAddrV4;
 
@@ -9,85 +9,86 @@
 
 /// What to do with a datagram of a caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Steer {
-    /// Send it to an agent.
-    To {
-        /// The agent.
+pub enum SteeringDecision {
+    /// Forward it to an agent.
+    Forward {
+        /// Address of the agent.
         agent: SocketAddrV4,
-        /// How the agent is to take it.
+        /// Why the datagram goes to this agent.
         origin: Origin,
-        /// The service whose agent it is.
+        /// The agent's service.
         service: ServiceName,
     },
-    /// Ask these agents for the flow; the datagram waits.
-    Ask(Vec<(SocketAddrV4, ServiceName)>),
-    /// The datagram waits for a search that is under way.
-    Parked,
-    /// Break off the flow towards the caller.
+    /// Ask these agents whether they hold the flow; the datagram is queued.
+    Query(Vec<(SocketAddrV4, ServiceName)>),
+    /// The datagram is queued until a running search ends.
+    Queued,
+    /// Send a reset to the caller.
     Reset,
-    /// Drop it.
-    Drop(Dropped),
+    /// Drop the datagram.
+    Drop(DropReason),
 }
 
 /// Why a datagram was dropped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Dropped {
-    /// No routing set is known yet.
+pub enum DropReason {
+    /// No routing set has arrived yet.
     NoRoutes,
-    /// The address has no rule, and the flow is not known here.
+    /// No rule for the address, and no hint for the flow.
     NoRule,
-    /// No agent of the service takes new flows.
+    /// No agent of the service accepts new flows.
     NoAgent,
-    /// Too many searches or datagrams wait.
+    /// Too many searches are running, or too many datagrams of the flow are
+    /// queued.
     Busy,
     /// No agent has claimed the flow.
     NotFound,
 }
 
-impl Dropped {
-    /// The name in metrics and log lines.
+impl DropReason {
+    /// The reason as a metric label and in log lines.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
-            Dropped::NoRoutes => "no_routes",
-            Dropped::NoRule => "no_rule",
-            Dropped::NoAgent => "no_agent",
-            Dropped::Busy => "busy",
-            Dropped::NotFound => "not_found",
+            DropReason::NoRoutes => "no_routes",
+            DropReason::NoRule => "no_rule",
+            DropReason::NoAgent => "no_agent",
+            DropReason::Busy => "busy",
+            DropReason::NotFound => "not_found",
         }
     }
 }
 
-/// A parked datagram that can go on.
+/// A queued datagram to forward.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Release {
-    /// The agent to send it to.
+pub struct ReleasedDatagram {
+    /// Address of the agent.
     pub agent: SocketAddrV4,
-    /// How the agent is to take it.
+    /// Why the datagram goes to this agent.
     pub origin: Origin,
-    /// The service whose agent it is.
+    /// The agent's service.
     pub service: ServiceName,
     /// The datagram.
     pub payload: Bytes,
 }
 
-/// Agents to ask for the flow of a datagram.
+/// A query to agents for the holder of a flow.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Question {
+pub struct FlowQuery {
     /// A datagram of the flow.
     pub payload: Bytes,
-    /// The agents.
-    pub others: Vec<(SocketAddrV4, ServiceName)>,
+    /// Addresses and services of the agents.
+    pub agents: Vec<(SocketAddrV4, ServiceName)>,
 }
 
-/// What follows from the searches that ended.
+/// Results of the searches whose deadline has passed.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Ended {
-    /// Datagrams that go on.
-    pub released: Vec<Release>,
-    /// Searches that are widened.
-    pub asked: Vec<Question>,
-    /// A datagram of each flow that certainly no agent holds: it is to be
-    /// broken off, so that its caller need not wait.
-    pub lost: Vec<Bytes>,
+pub struct SearchResults {
+    /// Datagrams to forward.
+    pub released: Vec<ReleasedDatagram>,
+    /// Queries of the searches that continue with another round.
+    pub queries: Vec<FlowQuery>,
+    /// A datagram of each flow that no agent holds: the flow is reset at once,
+    /// so that its caller does not wait for a timeout.
+    pub lost_flows: Vec<Bytes>,
 }
--- a/crates/member/tests/common/mod.rs
+++ b/crates/member/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A leader's registry with one service, driven by milliseconds.
+//! A leader's registry with one service, on a simulated clock in milliseconds.
 #![allow(dead_code)]
 
 use std::{
@@ -8,20 +8,20 @@
 
 use member::{Publication, Registry, Settings};
 use types::{
-    Announcement, ClassLoad, Connections, HostName, Loads, Member, ServiceId, Slots, Target, Term,
-    UpstreamId, UpstreamState,
+    ClassLoad, ClassLoads, Connections, HostName, ServiceId, Slots, Target, Term,
+    UpstreamAnnouncement, UpstreamId, UpstreamMember, UpstreamState,
 };
 
 pub const SERVICE: ServiceId = ServiceId(1);
 
-/// Slots of each upstream by its target.
+/// Target slots of each upstream.
 pub const CARRY: u32 = 8;
 
 pub fn host(n: u64) -> HostName {
     format!("host-{n}").parse().unwrap()
 }
 
-fn loads(slots: u32, in_flight: u32, queued: u32) -> Loads {
+fn loads(slots: u32, in_flight: u32, queued: u32) -> ClassLoads {
     let load = ClassLoad {
         slots: Slots(slots),
         in_flight: Slots(in_flight),
@@ -30,15 +30,15 @@
     BTreeMap::from([("default".parse().unwrap(), load)])
 }
 
-/// Announcement of upstream `n`, idle and ready for a minute.
-pub fn ann(n: u64) -> Announcement {
+/// Announcement of upstream `n`, idle and ready since one minute.
+pub fn announcement(n: u64) -> UpstreamAnnouncement {
     let port = u16::try_from(n).unwrap();
-    Announcement {
+    UpstreamAnnouncement {
         id: UpstreamId(n),
         service: "badges".parse().unwrap(),
         data_centre: "dar-1".parse().unwrap(),
-        data: ([127, 0, 0, 1], port).into(),
-        peer: ([127, 0, 0, 2], port).into(),
+        data_address: ([127, 0, 0, 1], port).into(),
+        peer_address: ([127, 0, 0, 2], port).into(),
         state: UpstreamState::Ready,
         connections: Connections(0),
         loads: loads(CARRY, 0, 0),
@@ -46,21 +46,28 @@
     }
 }
 
-pub fn in_state(n: u64, state: UpstreamState) -> Announcement {
-    Announcement { state, ..ann(n) }
+pub fn in_state(n: u64, state: UpstreamState) -> UpstreamAnnouncement {
+    UpstreamAnnouncement {
+        state,
+        ..announcement(n)
+    }
 }
 
-/// Announcement of upstream `n` with slots, requests in flight and queued.
-pub fn busy(n: u64, slots: u32, in_flight: u32, queued: u32) -> Announcement {
+/// Announcement of upstream `n` with the given slots and requests in flight and
+/// queued.
+pub fn with_load(n: u64, slots: u32, in_flight: u32, queued: u32) -> UpstreamAnnouncement {
     let loads = loads(slots, in_flight, queued);
-    Announcement { loads, ..ann(n) }
+    UpstreamAnnouncement {
+        loads,
+        ..announcement(n)
+    }
 }
 
-pub fn cold(n: u64) -> Announcement {
+pub fn newly_ready(n: u64) -> UpstreamAnnouncement {
     let ready_for = Duration::ZERO;
-    Announcement {
+    UpstreamAnnouncement {
         ready_for,
-        ..ann(n)
+        ..announcement(n)
     }
 }
 
@@ -88,10 +95,10 @@
         }
     }
 
-    /// A leader whose first publication has the upstreams `1..=n`, warm.
-    pub fn with(n: u64) -> Self {
+    /// A leader whose first publication has the upstreams `1..=n` at full share.
+    pub fn with_warm_upstreams(n: u64) -> Self {
         let mut leader = Leader::new();
-        leader.run(3000, &(1..=n).map(ann).collect::<Vec<_>>());
+        leader.run(3000, &(1..=n).map(announcement).collect::<Vec<_>>());
         leader
     }
 
@@ -99,30 +106,31 @@
         self.start + Duration::from_millis(millis)
     }
 
-    pub fn announce(&mut self, ann: &Announcement) {
+    pub fn announce(&mut self, announcement: &UpstreamAnnouncement) {
         let now = self.at(self.now);
-        self.registry.announce(now, &host(ann.id.0), ann);
+        self.registry
+            .announce(now, &host(announcement.id.0), announcement);
     }
 
     pub fn tick(&mut self) -> Option<Publication> {
         self.registry.tick(self.at(self.now))
     }
 
-    /// Lets time pass in steps of 500 ms with these announcements at each of
-    /// them; returns the versions that were published.
-    pub fn run(&mut self, millis: u64, anns: &[Announcement]) -> Vec<Publication> {
+    /// Advances the clock in steps of 500 ms, with these announcements at each
+    /// step. Returns the published versions.
+    pub fn run(&mut self, millis: u64, announcements: &[UpstreamAnnouncement]) -> Vec<Publication> {
         let mut published = Vec::new();
         for _ in 0..millis / 500 {
             self.now += 500;
-            for ann in anns {
-                self.announce(ann);
+            for announcement in announcements {
+                self.announce(announcement);
             }
             published.extend(self.tick());
         }
         published
     }
 
-    pub fn members(&self) -> &BTreeMap<UpstreamId, Member> {
+    pub fn members(&self) -> &BTreeMap<UpstreamId, UpstreamMember> {
         self.registry.members(SERVICE)
     }
 
--- a/crates/net/src/process/mod.rs
+++ b/crates/net/src/process/mod.rs
@@ -1,7 +1,7 @@
-//! What lives as long as the process.
+//! Sockets and servers with the lifetime of the process.
 
 mod serve;
 mod udp;
 
-pub use serve::{Limits, serve};
+pub use serve::{ServerLimits, serve};
 pub use udp::bind_udp;
--- a/crates/net/src/request/message.rs
+++ b/crates/net/src/request/message.rs
@@ -1,50 +1,50 @@
-//! Requests and answers whose bodies are in memory.
+//! HTTP requests and responses whose bodies are in memory.
 
 use std::{future::Future, net::SocketAddr};
 
 use bytes::Bytes;
 use http::{Method, StatusCode};
 
-/// A request whose body has been read.
+/// An HTTP request whose body has been read.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Call {
-    /// The method.
+pub struct BufferedRequest {
+    /// The HTTP method.
     pub method: Method,
-    /// The path, without a query.
+    /// The path, without the query.
     pub path: String,
-    /// The body.
+    /// The whole body.
     pub body: Bytes,
-    /// Who sent the request.
-    pub from: SocketAddr,
+    /// Address from which the request was sent.
+    pub client_address: SocketAddr,
 }
 
-/// An answer.
+/// An HTTP response whose body is in memory.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Answer {
-    /// The status.
+pub struct BufferedResponse {
+    /// The status code.
     pub status: StatusCode,
-    /// The type of the body; none without a body.
+    /// Value of the `content-type` field; the field is omitted if this is empty.
     pub content_type: &'static str,
-    /// Where else to ask; none if empty.
+    /// Value of the `location` field; the field is omitted if this is empty.
     pub location: String,
-    /// The body.
+    /// The whole body; may be empty.
     pub body: Bytes,
 }
 
-impl Answer {
-    /// Sends the caller to another place.
+impl BufferedResponse {
+    /// A temporary redirect (307) to `location`.
     #[must_use]
     pub fn redirect(location: String) -> Self {
-        Answer {
+        BufferedResponse {
             location,
-            ..Answer::empty(StatusCode::TEMPORARY_REDIRECT)
+            ..BufferedResponse::empty(StatusCode::TEMPORARY_REDIRECT)
         }
     }
 
-    /// An answer without a body.
+    /// A response without a body.
     #[must_use]
     pub fn empty(status: StatusCode) -> Self {
-        Answer {
+        BufferedResponse {
             status,
             content_type: "",
             location: String::new(),
@@ -52,10 +52,10 @@
         }
     }
 
-    /// A successful answer with a body.
+    /// A response with status 200 and a body.
     #[must_use]
     pub fn ok(content_type: &'static str, body: impl Into<Bytes>) -> Self {
-        Answer {
+        BufferedResponse {
             status: StatusCode::OK,
             content_type,
             location: String::new(),
@@ -64,8 +64,8 @@
     }
 }
 
-/// Answers requests. A clone of it serves each connection.
+/// Handles requests. Each connection gets a clone of the handler.
 pub trait Handler: Clone + 'static {
-    /// Answers a request.
-    fn answer(&self, call: Call) -> impl Future<Output = Answer>;
+    /// Returns the response to a request.
+    fn handle(&self, req: BufferedRequest) -> impl Future<Output = BufferedResponse>;
 }
--- a/crates/net/tests/http.rs
+++ b/crates/net/tests/http.rs
@@ -1,4 +1,4 @@
-//! The small HTTP server and client.
+//! The HTTP server and client.
 
 use std::{
     net::SocketAddr,
@@ -8,32 +8,34 @@
 use actix_rt::{System, spawn};
 use bytes::Bytes;
 use http::{Method, StatusCode};
-use net::{Answer, Call, CallError, Handler, Limits, call, serve};
+use net::{
+    BufferedRequest, BufferedResponse, Handler, RequestError, ServerLimits, send_request, serve,
+};
 use tokio::net::TcpListener;
 
 #[derive(Clone)]
 struct Echo;
 
 impl Handler for Echo {
-    async fn answer(&self, call: Call) -> Answer {
-        match call.path.as_str() {
-            "/echo" => Answer::ok("text/plain", call.body),
+    async fn handle(&self, req: BufferedRequest) -> BufferedResponse {
+        match req.path.as_str() {
+            "/echo" => BufferedResponse::ok("text/plain", req.body),
             "/slow" => {
                 actix_rt::time::sleep(Duration::from_secs(5)).await;
-                Answer::empty(StatusCode::OK)
+                BufferedResponse::empty(StatusCode::OK)
             }
-            _ => Answer::empty(StatusCode::NOT_FOUND),
+            _ => BufferedResponse::empty(StatusCode::NOT_FOUND),
         }
     }
 }
 
-async fn server() -> SocketAddr {
+async fn start_server() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let limits = Limits {
-        body: 1000,
-        request: Duration::from_millis(200),
-        ..Limits::default()
+    let limits = ServerLimits {
+        max_body_bytes: 1000,
+        request_timeout: Duration::from_millis(200),
+        ..ServerLimits::default()
     };
     spawn(serve(listener, Echo, limits));
     address
@@ -43,17 +45,17 @@
     address: SocketAddr,
     path: &str,
     len: usize,
-) -> Result<(StatusCode, Bytes), CallError> {
+) -> Result<(StatusCode, Bytes), RequestError> {
     let deadline = Instant::now() + Duration::from_secs(2);
     let body = Bytes::from(vec![7; len]);
-    call(address, Method::POST, path, body, 1000, deadline).await
+    send_request(address, Method::POST, path, body, 1000, deadline).await
 }
 
-/// Guards against bodies that are cut, and against too large ones that are taken.
+/// Guards against truncated bodies, and against oversized ones that are accepted.
 #[test]
-fn answers_by_size_and_path() {
+fn status_depends_on_body_size_and_path() {
     System::new().block_on(async {
-        let address = server().await;
+        let address = start_server().await;
         let (status, body) = post(address, "/echo", 1000).await.unwrap();
         assert_eq!((status, body.len()), (StatusCode::OK, 1000));
         let cases = [
@@ -71,34 +73,34 @@
     });
 }
 
-/// Guards against a call that waits for ever on a host that takes connections
-/// and says nothing.
+/// Guards against a request that waits forever for a host that accepts the
+/// connection and sends nothing.
 #[test]
-fn a_silent_host_costs_no_more_than_the_deadline() {
+fn a_request_to_an_unresponsive_host_ends_at_the_deadline() {
     System::new().block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         let start = Instant::now();
         let deadline = start + Duration::from_millis(100);
-        let answer = call(address, Method::GET, "/", Bytes::new(), 10, deadline).await;
-        assert!(matches!(answer, Err(CallError::Deadline)));
+        let result = send_request(address, Method::GET, "/", Bytes::new(), 10, deadline).await;
+        assert!(matches!(result, Err(RequestError::Deadline)));
         assert!(start.elapsed() < Duration::from_secs(2));
     });
 }
 
-/// Guards against a server that ends on bytes that are no HTTP.
+/// Guards against a server that stops after bytes that are not HTTP.
 #[test]
-fn garbage_does_not_end_the_server() {
+fn invalid_http_does_not_stop_the_server() {
     System::new().block_on(async {
-        let address = server().await;
-        for garbage in [
+        let address = start_server().await;
+        for bytes in [
             &b"\x00\xff\x00"[..],
             b"GET",
             b"POST /echo HTTP/1.1\r\ncontent-length: -1\r\n\r\n",
         ] {
             let stream = tokio::net::TcpStream::connect(address).await.unwrap();
             stream.writable().await.unwrap();
-            stream.try_write(garbage).unwrap();
+            stream.try_write(bytes).unwrap();
         }
         assert_eq!(post(address, "/echo", 1).await.unwrap().0, StatusCode::OK);
     });
--- a/crates/relay/src/connection/mod.rs
+++ b/crates/relay/src/connection/mod.rs
@@ -1,7 +1,8 @@
-//! What lasts for a flow: the callers' protocol, and messages about flows.
+//! State with the lifetime of a flow: the callers' protocol, and messages about
+//! flows.
 
 mod codec;
 mod message;
 
 pub use codec::Codec;
-pub use message::{Message, Report, Tag};
+pub use message::{AgentReport, Message, ServiceTag};
--- a/crates/replica/src/process/mod.rs
+++ b/crates/replica/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! What lasts as long as the process: tasks, settings, the handle.
+//! Types that live as long as the process: tasks, settings and the handle.
 
 mod group;
 mod http;
@@ -9,6 +9,6 @@
 mod settings;
 mod transport;
 
-pub use replica::Replica;
-pub use run::{observe, start};
+pub use replica::ReplicaHandle;
+pub use run::{start, start_observer};
 pub use settings::Settings;
--- a/crates/route/src/version/mod.rs
+++ b/crates/route/src/version/mod.rs
@@ -1,9 +1,10 @@
-//! What changes with a version: the table and the placement of buckets.
+//! Types that change with the version of a service: the routing table and the
+//! owners of buckets.
 
 mod assign;
-mod owners;
-mod packed;
-mod table;
+mod bucket_owners;
+mod packed_ints;
+mod routing_table;
 
-pub use owners::Owners;
-pub use table::Table;
+pub use bucket_owners::BucketOwners;
+pub use routing_table::RoutingTable;
--- a/crates/store/src/process/mod.rs
+++ b/crates/store/src/process/mod.rs
@@ -1,11 +1,12 @@
-//! What lasts as long as the process: the folder, the open store, its thread.
+//! The data folder, the open store and its thread, which last as long as the
+//! process.
 
 mod dir;
 mod open;
 mod store;
 mod thread;
 
-pub use dir::{Dir, Disk};
-pub use open::{Found, open};
+pub use dir::{DataDir, Disk};
+pub use open::{RecoveredMember, open};
 pub use store::Store;
-pub use thread::{Handle, Report, start};
+pub use thread::{StoreHandle, WriteReport, spawn};
--- a/crates/trace/src/process/mod.rs
+++ b/crates/trace/src/process/mod.rs
@@ -1,8 +1,8 @@
-//! What lasts as long as a process that wrote lines.
+//! The logs of processes, split into incarnations.
 
-mod clock;
-mod reader;
-mod run;
+mod clock_correction;
+mod collection;
+mod incarnation;
 
-pub use reader::Reader;
-pub use run::Run;
+pub use collection::LogCollection;
+pub use incarnation::Incarnation;
--- a/crates/types/src/version/mod.rs
+++ b/crates/types/src/version/mod.rs
@@ -1,13 +1,16 @@
-//! What changes with a version of the configuration or of the membership.
+//! Types of the configuration and the membership, which change with their version.
 
 mod key;
-mod member;
+mod membership;
 mod number;
 mod routes;
 mod service;
 
 pub use key::{CidKey, KeyGeneration, KeySet};
-pub use member::{Announcement, Balancer, ClassLoad, Loads, Member, ServiceState, UpstreamState};
+pub use membership::{
+    BalancerAnnouncement, ClassLoad, ClassLoads, ServiceState, UpstreamAnnouncement,
+    UpstreamMember, UpstreamState,
+};
 pub use number::{Revision, Term, Version};
-pub use routes::{Part, RoutingDelta, RoutingSet, Rule, SetNumber};
+pub use routes::{RouteWeight, RoutingDelta, RoutingRule, RoutingSet, RoutingSetNumber};
 pub use service::{PathPrefix, Service, ServiceId, Share, Target};
--- a/crates/types/src/version/routes.rs
+++ b/crates/types/src/version/routes.rs
@@ -1,4 +1,4 @@
-//! Routing sets: which services take the flows to an address.
+//! Routing sets, which assign the flows to an address to services.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -9,100 +9,105 @@
 use crate::ServiceName;
 
 decimal! {
-    /// Number of a routing set, chosen by whoever wrote it. The highest one is
-    /// in force.
-    SetNumber(u64)
+    /// Number of a routing set, chosen by its author. The set with the highest
+    /// number is in force.
+    RoutingSetNumber(u64)
 }
 
 decimal! {
-    /// Part of the new flows of an address that goes to a service, relative to
-    /// the other parts of the same address.
-    Part(u32)
+    /// Weight of a service among the services that share the new flows of one
+    /// address.
+    RouteWeight(u32)
 }
 
-/// The services that take the new flows of one address.
+/// The services that receive the new flows to one address.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Rule {
-    /// Never empty in a set that was accepted; at least one part is above 0.
-    pub parts: BTreeMap<ServiceName, Part>,
+pub struct RoutingRule {
+    /// Weight of each service. In an accepted set, at least one is above 0.
+    pub weights: BTreeMap<ServiceName, RouteWeight>,
 }
 
-impl Rule {
-    /// The service of a new flow whose key has this hash. The same hash gives
-    /// the same service as long as the rule stays.
+impl RoutingRule {
+    /// Selects the service of a new flow by the hash of its key. The same hash
+    /// selects the same service until the rule changes.
     ///
     /// ```
-    /// use types::{Part, Rule};
+    /// use types::{RouteWeight, RoutingRule};
     ///
-    /// let rule = Rule { parts: [("vouchers".parse()?, Part(1))].into() };
-    /// assert_eq!(rule.service(17).map(ToString::to_string), Some("vouchers".to_owned()));
+    /// let rule = RoutingRule { weights: [("vouchers".parse()?, RouteWeight(1))].into() };
+    /// assert_eq!(rule.select_service(17).map(ToString::to_string), Some("vouchers".to_owned()));
     /// # Ok::<(), types::Error>(())
     /// ```
     #[must_use]
-    pub fn service(&self, hash: u64) -> Option<&ServiceName> {
-        let total: u64 = self.parts.values().map(|part| u64::from(part.0)).sum();
-        let mut point = hash.checked_rem(total)?;
-        self.parts.iter().find_map(|(name, part)| {
-            let part = u64::from(part.0);
-            if point < part {
+    pub fn select_service(&self, hash: u64) -> Option<&ServiceName> {
+        let total_weight: u64 = self
+            .weights
+            .values()
+            .map(|weight| u64::from(weight.0))
+            .sum();
+        let mut offset = hash.checked_rem(total_weight)?;
+        self.weights.iter().find_map(|(name, weight)| {
+            let weight = u64::from(weight.0);
+            if offset < weight {
                 return Some(name);
             }
-            point -= part;
+            offset -= weight;
             None
         })
     }
 }
 
-/// A whole set of rules, given at once at a number of the writer's choosing.
+/// The routing rules of all addresses, replaced as a whole.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RoutingSet {
-    /// Orders the sets.
-    pub number: SetNumber,
+    /// Number by which sets are ordered.
+    pub number: RoutingSetNumber,
     /// The rule of each address.
-    pub rules: BTreeMap<SocketAddr, Rule>,
-    /// A flow that is idle for longer may be forgotten.
+    pub rules: BTreeMap<SocketAddr, RoutingRule>,
+    /// Time without a packet after which the state of a flow may be dropped.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
-    pub idle: Duration,
-    /// The text from which the set was read, given back to whoever reads the
-    /// set. It does not go to nodes.
+    pub idle_timeout: Duration,
+    /// Source text of the set, returned to those who query it. It is not sent
+    /// to nodes.
     pub document: Bytes,
 }
 
 impl Default for RoutingSet {
     fn default() -> Self {
         RoutingSet {
-            number: SetNumber(0),
+            number: RoutingSetNumber(0),
             rules: BTreeMap::new(),
-            idle: Duration::from_mins(1),
+            idle_timeout: Duration::from_mins(1),
             document: Bytes::new(),
         }
     }
 }
 
-/// What a node that has the set `base` lacks of the set `number`.
+/// Difference between the routing sets `base` and `number`.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RoutingDelta {
-    /// The set that the node has; `None` if this holds the whole set.
-    pub base: Option<SetNumber>,
-    /// The set that the node has afterwards.
-    pub number: SetNumber,
+    /// The set that the delta applies to; `None` if the delta is a whole set.
+    pub base: Option<RoutingSetNumber>,
+    /// The set that results from the delta.
+    pub number: RoutingSetNumber,
     /// Rules that are new or changed.
-    pub changed: BTreeMap<SocketAddr, Rule>,
-    /// Addresses that have no rule any more.
+    pub changed: BTreeMap<SocketAddr, RoutingRule>,
+    /// Addresses whose rule was removed.
     pub removed: Vec<SocketAddr>,
-    /// See [`RoutingSet::idle`].
+    /// See [`RoutingSet::idle_timeout`].
     #[serde_as(as = "DurationMilliSeconds<u64>")]
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 impl RoutingSet {
-    /// What a node lacks that has `base`, or nothing if that is `None`.
+    /// Difference between `base` and this set, or the whole set if `base` is
+    /// `None`.
     #[must_use]
     pub fn delta_from(&self, base: Option<&RoutingSet>) -> RoutingDelta {
-        let held = |address: &SocketAddr| base.and_then(|base| base.rules.get(address));
+        let base_rule = |address: &SocketAddr| base.and_then(|base| base.rules.get(address));
         let removed = base.into_iter().flat_map(|base| base.rules.keys());
         RoutingDelta {
             base: base.map(|base| base.number),
@@ -110,22 +115,22 @@
             changed: self
                 .rules
                 .iter()
-                .filter(|(address, rule)| held(address) != Some(rule))
+                .filter(|(address, rule)| base_rule(address) != Some(rule))
                 .map(|(address, rule)| (*address, rule.clone()))
                 .collect(),
             removed: removed
                 .filter(|address| !self.rules.contains_key(address))
                 .copied()
                 .collect(),
-            idle: self.idle,
+            idle_timeout: self.idle_timeout,
         }
     }
 
-    /// Moves on by `delta`. Returns whether it fitted: one that starts from
-    /// another set or goes back changes nothing.
-    pub fn advance(&mut self, delta: RoutingDelta) -> bool {
-        let fits = delta.base.is_none_or(|base| base == self.number);
-        if !fits || delta.number <= self.number {
+    /// Applies `delta`, and returns whether it was applied. A delta with another
+    /// base, or whose number is not higher, is ignored.
+    pub fn apply(&mut self, delta: RoutingDelta) -> bool {
+        let base_matches = delta.base.is_none_or(|base| base == self.number);
+        if !base_matches || delta.number <= self.number {
             return false;
         }
         if delta.base.is_none() {
@@ -136,7 +141,7 @@
         }
         self.rules.extend(delta.changed);
         self.number = delta.number;
-        self.idle = delta.idle;
+        self.idle_timeout = delta.idle_timeout;
         true
     }
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,13 +1,13 @@
-//! Encodings of everything that the processes of limpetplank send each other.
+//! Encodings of the messages and datagrams that limpetplank processes exchange.
 //!
 //! Datagrams between balancers and agents carry a PROXY protocol v2 prefix
-//! ([`Prefix`]); QUIC packets are read as far as a balancer may read them
-//! ([`QuicHeader`]); connection ids carry an encrypted upstream id
-//! ([`CidCodec`]). Control messages are `MessagePack` behind a protocol version
-//! ([`encode`], [`decode`]).
+//! ([`Prefix`]). QUIC packets are decoded only as far as a balancer may read them
+//! ([`QuicHeader`]). Connection ids carry an encrypted upstream id
+//! ([`CidCodec`]). Control messages are a protocol version followed by
+//! `MessagePack` ([`encode`], [`decode`]).
 //!
-//! Nothing here decides anything, and every decoder takes arbitrary input
-//! without a panic:
+//! This crate contains no decisions, only encodings. Every decoder accepts
+//! arbitrary input without a panic:
 //!
 //! ```
 //! use wire::{Endpoints, Prefix};
@@ -33,10 +33,10 @@
 pub mod version;
 
 pub use connection::{
-    CID_LEN, CidCodec, ConnectionId, Endpoints, LongKind, MAX_PREFIX_LEN, Prefix, QuicHeader,
+    CID_LEN, CidCodec, ConnectionId, Endpoints, LongHeaderKind, MAX_PREFIX_LEN, Prefix, QuicHeader,
     ServiceTag,
 };
 pub use error::{Category, Error, Result};
-pub use process::{CONTENT_TYPE, MAX_MESSAGE, decode, encode};
+pub use process::{CONTENT_TYPE, MAX_MESSAGE_LEN, decode, encode};
 pub use request::{ClaimHeader, OfferRequest, ReserveReply, ReserveRequest};
-pub use version::{Subset, SyncReply, SyncRequest, Update};
+pub use version::{ServiceSubset, SyncReply, SyncRequest, Update};
--- a/crates/wire/src/version/mod.rs
+++ b/crates/wire/src/version/mod.rs
@@ -1,5 +1,5 @@
-//! Messages that bring a version of the configuration to a node.
+//! Messages that distribute versions of the configuration to nodes.
 
 mod sync;
 
-pub use sync::{Subset, SyncReply, SyncRequest, Update};
+pub use sync::{ServiceSubset, SyncReply, SyncRequest, Update};
